--- a/lupinreach/mesh/messages/registry.py
+++ b/lupinreach/mesh/messages/registry.py
@@ -103,7 +103,7 @@
 
 @register
 @dataclass(slots=True)
-class BeatTaken(Message):
+class HeartbeatAccepted(Message):
     """The proxy has put a forwarded beat in force."""
 
     NUMBER: ClassVar[int] = 38
--- a/lupinreach/mesh/proxy/inbound.py
+++ b/lupinreach/mesh/proxy/inbound.py
@@ -9,12 +9,12 @@
 from lupinreach.mesh.link import Address, Link, listen
 from lupinreach.mesh.messages import (
     BackendStatus,
-    BeatTaken,
     BodyPart,
     Cancel,
     Describe,
     Description,
     ForwardedBeat,
+    HeartbeatAccepted,
     Message,
     NewsPull,
     PeerHello,
@@ -88,7 +88,7 @@
             link.send(self._news.as_news())
         elif isinstance(message, ForwardedBeat):
             if self._on_beat(message):
-                link.send(BeatTaken(message.number))
+                link.send(HeartbeatAccepted(message.number))
         elif isinstance(message, Describe):
             link.send(Description(self._describe()))
 
--- a/lupinreach/mesh/registry/beats.py
+++ b/lupinreach/mesh/registry/beats.py
@@ -12,7 +12,7 @@
 
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.link import Dialer, Link, parse_address
-from lupinreach.mesh.messages import BeatTaken, ForwardedBeat, Message
+from lupinreach.mesh.messages import ForwardedBeat, HeartbeatAccepted, Message
 from lupinreach.mesh.proxy.local_backend import Heartbeat
 from lupinreach.mesh.registry.agents import AgentTable
 
@@ -43,7 +43,7 @@
         taken = asyncio.Event()
 
         def on_message(link: Link, message: Message) -> None:
-            if isinstance(message, BeatTaken) and message.number == beat.number:
+            if isinstance(message, HeartbeatAccepted) and message.number == beat.number:
                 taken.set()
 
         dialer = Dialer(parse_address(address), lambda link: link.send(beat), on_message, lambda link: None)
