--- a/lupinreach/mesh/messages/registry.py
+++ b/lupinreach/mesh/messages/registry.py
@@ -92,7 +92,7 @@
 
 @register
 @dataclass(slots=True)
-class ForwardedBeat(Message):
+class ForwardedHeartbeat(Message):
     """A backend's heartbeat or sign-off that reached a registry, for the proxy beside that backend."""
 
     NUMBER: ClassVar[int] = 37
--- a/lupinreach/mesh/proxy/inbound.py
+++ b/lupinreach/mesh/proxy/inbound.py
@@ -13,7 +13,7 @@
     Cancel,
     Describe,
     Description,
-    ForwardedBeat,
+    ForwardedHeartbeat,
     HeartbeatAccepted,
     Message,
     NewsPull,
@@ -40,7 +40,7 @@
         news: NewsHolder,
         gossip: Gossip,
         describe: Callable[[], dict[str, Any]],
-        on_beat: Callable[[ForwardedBeat], bool],
+        on_beat: Callable[[ForwardedHeartbeat], bool],
         bandwidth_mbps: float,
     ) -> None:
         self._on_beat = on_beat
@@ -86,7 +86,7 @@
             self._gossip.answer(link, message)
         elif isinstance(message, NewsPull):
             link.send(self._news.as_news())
-        elif isinstance(message, ForwardedBeat):
+        elif isinstance(message, ForwardedHeartbeat):
             if self._on_beat(message):
                 link.send(HeartbeatAccepted(message.number))
         elif isinstance(message, Describe):
--- a/lupinreach/mesh/proxy/program.py
+++ b/lupinreach/mesh/proxy/program.py
@@ -15,7 +15,7 @@
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.events import Event, EventLog
 from lupinreach.mesh.instance_calls import add_instance_calls, parse_heartbeat
-from lupinreach.mesh.messages import AgentEntry, AgentHello, ForwardedBeat
+from lupinreach.mesh.messages import AgentEntry, AgentHello, ForwardedHeartbeat
 from lupinreach.mesh.metrics import Metric
 from lupinreach.mesh.proxy.gate import Gate
 from lupinreach.mesh.proxy.gossip import Gossip
@@ -155,7 +155,7 @@
         self._on_deregister(instance_id)
         return Ok("")
 
-    def _on_forwarded(self, forwarded: ForwardedBeat) -> bool:
+    def _on_forwarded(self, forwarded: ForwardedHeartbeat) -> bool:
         """A beat of the backend beside this proxy came by way of a registry; true once it is in force."""
         if forwarded.body is None:
             self._on_deregister(forwarded.instance_id)
--- a/lupinreach/mesh/registry/beats.py
+++ b/lupinreach/mesh/registry/beats.py
@@ -12,7 +12,7 @@
 
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.link import Dialer, Link, parse_address
-from lupinreach.mesh.messages import ForwardedBeat, HeartbeatAccepted, Message
+from lupinreach.mesh.messages import ForwardedHeartbeat, HeartbeatAccepted, Message
 from lupinreach.mesh.proxy.local_backend import Heartbeat
 from lupinreach.mesh.registry.agents import AgentTable
 
@@ -30,14 +30,14 @@
         """Hand a heartbeat on; Ok with the proxy's address for the later ones."""
         host = beat.address.rpartition(":")[0]
         address = self._agents.address_beside(instance_id, host)
-        return await self._forward(address, ForwardedBeat(1, instance_id, body))
+        return await self._forward(address, ForwardedHeartbeat(1, instance_id, body))
 
     async def sign_off(self, instance_id: str) -> Result[str, ErrorKind]:
         """Hand a sign-off on."""
         address = self._agents.address_beside(instance_id, "")
-        return await self._forward(address, ForwardedBeat(1, instance_id, None))
+        return await self._forward(address, ForwardedHeartbeat(1, instance_id, None))
 
-    async def _forward(self, address: str | None, beat: ForwardedBeat) -> Result[str, ErrorKind]:
+    async def _forward(self, address: str | None, beat: ForwardedHeartbeat) -> Result[str, ErrorKind]:
         if address is None:
             return Err(ErrorKind.PROXY_UNREACHABLE)
         taken = asyncio.Event()
