--- a/lupinreach/mesh/messages/peers.py
+++ b/lupinreach/mesh/messages/peers.py
@@ -80,7 +80,7 @@
 
 @register
 @dataclass(slots=True)
-class NotTaken(Message):
+class RequestRejected(Message):
     """The gate did not pass the request on: it has not run and will not."""
 
     NUMBER: ClassVar[int] = 14
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -15,7 +15,7 @@
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.errors import AttemptFailure, NotTakenReason
 from lupinreach.mesh.link import parse_address
-from lupinreach.mesh.messages import Answer, BackendStatus, Failed, NotTaken, Request
+from lupinreach.mesh.messages import Answer, BackendStatus, Failed, Request, RequestRejected
 from lupinreach.mesh.proxy.admission import Admission, NotAdmitted
 from lupinreach.mesh.proxy.gate_counts import GateCounts
 from lupinreach.mesh.proxy.local_backend import BackendState, Heartbeat, LocalBackend
@@ -29,7 +29,7 @@
 MIN_RUN_MS = 2  # with less time left a request is not passed on
 COLD_AFTER_EVACUATION_S = 10.0  # at most, until a heartbeat tells
 
-Outcome = Answer | NotTaken | Failed
+Outcome = Answer | RequestRejected | Failed
 
 
 class Gate:
@@ -145,7 +145,7 @@
 
     # A request.
 
-    def refuse_early(self, asked: Request, age_s: float) -> NotTaken | None:
+    def refuse_early(self, asked: Request, age_s: float) -> RequestRejected | None:
         """For a request whose body was not sent yet: the refusal that it would meet now, if any."""
         reason = self._refusal(asked)
         if reason is None and asked.remaining_ms - 1000 * age_s < MIN_RUN_MS:
@@ -155,7 +155,7 @@
         full = self.admission.would_refuse(RequestKind.of(asked), asked.wait_ms - 1000 * age_s)
         return self._not_taken(asked, full.reason, full.retry_ms) if full is not None else None
 
-    def refuse_full(self, asked: Request, retry_ms: float) -> NotTaken:
+    def refuse_full(self, asked: Request, retry_ms: float) -> RequestRejected:
         """The link to this machine is too busy for its body."""
         return self._not_taken(asked, NotTakenReason.FULL, retry_ms)
 
@@ -266,10 +266,10 @@
             waiting=self.admission.waiting,
         )
 
-    def _not_taken(self, asked: Request, reason: NotTakenReason, retry_ms: float) -> NotTaken:
+    def _not_taken(self, asked: Request, reason: NotTakenReason, retry_ms: float) -> RequestRejected:
         admission = self.admission
         self.counts.refused(RequestKind.of(asked), reason)
-        return NotTaken(asked.number, int(reason), int(retry_ms), admission.running, admission.waiting)
+        return RequestRejected(asked.number, int(reason), int(retry_ms), admission.running, admission.waiting)
 
     def _failed(self, asked: Request, failure: AttemptFailure, ran: bool) -> Failed:
         return Failed(asked.number, int(failure), ran, self.admission.running, self.admission.waiting)
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -9,7 +9,7 @@
 from lupinreach.http1.message import OF_CONNECTION
 from lupinreach.mesh.configuration import Route
 from lupinreach.mesh.errors import AttemptFailure, ErrorKind, NotTakenReason
-from lupinreach.mesh.messages import Answer, Failed, NotTaken, Request
+from lupinreach.mesh.messages import Answer, Failed, Request, RequestRejected
 from lupinreach.mesh.proxy.gate import DEADLINE, Gate, Outcome
 from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.peers import Peer, PeerTable
@@ -176,7 +176,7 @@
     ) -> HttpAnswer | None:
         """The answer that an outcome gives, or None for another attempt."""
         now = asyncio.get_running_loop().time()
-        if isinstance(outcome, NotTaken):
+        if isinstance(outcome, RequestRejected):
             return self._judge_not_taken(passage, peer, outcome)
         passage.excluded.add(peer.address)
         if isinstance(outcome, Failed):
@@ -193,7 +193,7 @@
         self._learn_size(passage, outcome)
         return HttpAnswer(outcome.status, outcome.headers, outcome.body)
 
-    def _judge_not_taken(self, passage: _Passage, peer: Peer, outcome: NotTaken) -> HttpAnswer | None:
+    def _judge_not_taken(self, passage: _Passage, peer: Peer, outcome: RequestRejected) -> HttpAnswer | None:
         self._policy.released(peer, passage.aim_ms)
         passage.excluded.add(peer.address)
         passage.refusals += 1
--- a/lupinreach/mesh/proxy/peers.py
+++ b/lupinreach/mesh/proxy/peers.py
@@ -16,10 +16,10 @@
     Cancel,
     Failed,
     Message,
-    NotTaken,
     PeerHello,
     Ping,
     Request,
+    RequestRejected,
 )
 from lupinreach.mesh.proxy.body_credit import OFFER_FROM, BodySender
 from lupinreach.mesh.proxy.gate import Gate, Outcome
@@ -178,7 +178,7 @@
                 future.set_result(Failed(number, int(AttemptFailure.LINK_LOST), ran))
 
     def _message(self, link: Link, message: Message) -> None:
-        if isinstance(message, Answer | NotTaken | Failed):
+        if isinstance(message, Answer | RequestRejected | Failed):
             self.status.running = message.running
             self.status.waiting = message.waiting
             found = self._out.pop(message.number, None)
