--- a/lupinreach/mesh/messages/__init__.py
+++ b/lupinreach/mesh/messages/__init__.py
@@ -10,12 +10,12 @@
     BodyPart,
     Cancel,
     Failed,
-    NewsPull,
     PeerHello,
     Request,
     RequestRejected,
     Shuffle,
     Shuffled,
+    StateUpdatePull,
 )
 from lupinreach.mesh.messages.registry import (
     AgentEntry,
@@ -65,7 +65,7 @@
     "Message",
     "News",
     "NewsAcknowledged",
-    "NewsPull",
+    "StateUpdatePull",
     "RequestRejected",
     "Order",
     "OrderResult",
--- a/lupinreach/mesh/messages/peers.py
+++ b/lupinreach/mesh/messages/peers.py
@@ -135,7 +135,7 @@
 
 @register
 @dataclass(slots=True)
-class NewsPull(Message):
+class StateUpdatePull(Message):
     """Asks a neighbour for its configuration news, whose version is above one's own, or a registry for the whole."""
 
     NUMBER: ClassVar[int] = 19
--- a/lupinreach/mesh/proxy/gossip.py
+++ b/lupinreach/mesh/proxy/gossip.py
@@ -7,7 +7,7 @@
 
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.link import Dialer, Link, parse_address
-from lupinreach.mesh.messages import Message, News, NewsPull, PeerHello, Shuffle, Shuffled
+from lupinreach.mesh.messages import Message, News, PeerHello, Shuffle, Shuffled, StateUpdatePull
 from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.partial_view import PartialView
 from lupinreach.mesh.tasks import spawn
@@ -63,7 +63,7 @@
         if self._is_behind(told):
             await asyncio.sleep(PATIENCE_S)
         if self._is_behind(told):
-            link.send(NewsPull())
+            link.send(StateUpdatePull())
         else:
             done.set()
 
--- a/lupinreach/mesh/proxy/inbound.py
+++ b/lupinreach/mesh/proxy/inbound.py
@@ -16,10 +16,10 @@
     ForwardedHeartbeat,
     HeartbeatAccepted,
     Message,
-    NewsPull,
     PeerHello,
     Request,
     Shuffle,
+    StateUpdatePull,
 )
 from lupinreach.mesh.proxy.body_credit import BodyReceiver
 from lupinreach.mesh.proxy.gate import Gate, Outcome
@@ -84,7 +84,7 @@
             link.send(self._gate.status())
         elif isinstance(message, Shuffle):
             self._gossip.answer(link, message)
-        elif isinstance(message, NewsPull):
+        elif isinstance(message, StateUpdatePull):
             link.send(self._news.as_news())
         elif isinstance(message, ForwardedHeartbeat):
             if self._on_beat(message):
--- a/lupinreach/mesh/proxy/registry_client.py
+++ b/lupinreach/mesh/proxy/registry_client.py
@@ -14,8 +14,8 @@
     Message,
     News,
     NewsAcknowledged,
-    NewsPull,
     RegistryStatus,
+    StateUpdatePull,
 )
 from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.rendezvous import rendezvous_rank
@@ -152,7 +152,7 @@
         if isinstance(message, News):
             if self._news.apply(message) is Applied.UNFIT:
                 self._log.write(Event.UPDATE_UNFIT, registry=held.address, version=message.config_version)
-                self._send(held, NewsPull())
+                self._send(held, StateUpdatePull())
             self._send(held, NewsAcknowledged(list(self._news.stamp), self._news.version))
         elif isinstance(message, AgentEntry):
             self._on_entry(message)
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -23,9 +23,9 @@
     Message,
     News,
     NewsAcknowledged,
-    NewsPull,
     RegistryHello,
     RegistryStatus,
+    StateUpdatePull,
     encode,
 )
 from lupinreach.mesh.metrics import Metric
@@ -136,7 +136,7 @@
             self._on_entry(link, message, now)
         elif isinstance(message, NewsAcknowledged):
             self.feed.acknowledged(link, message)
-        elif isinstance(message, NewsPull):
+        elif isinstance(message, StateUpdatePull):
             self.feed.pulled(link)
         elif isinstance(message, Describe):
             link.send(Description(self.describe()))
