--- a/benchmarks/mesh_slopes.py
+++ b/benchmarks/mesh_slopes.py
@@ -20,7 +20,7 @@
 
 from lupinreach.mesh.demo import _call
 from lupinreach.mesh.link import Link
-from lupinreach.mesh.messages import AgentEntry, AgentHello, Message, News, NewsAcknowledged
+from lupinreach.mesh.messages import AgentEntry, AgentHello, Message, News, StateUpdateAcknowledged
 from lupinreach.mesh.settings import SETTINGS_VARIABLE
 
 HOST = "127.78.0.1"
@@ -59,7 +59,7 @@
     def _message(self, link: Link, message: Message) -> None:
         if isinstance(message, News):
             self.version = message.config_version
-            link.send(NewsAcknowledged(message.stamp, message.config_version))
+            link.send(StateUpdateAcknowledged(message.stamp, message.config_version))
 
     async def restart(self) -> None:
         assert self.link is not None
--- a/lupinreach/mesh/messages/__init__.py
+++ b/lupinreach/mesh/messages/__init__.py
@@ -24,9 +24,9 @@
     ForwardedHeartbeat,
     HeartbeatAccepted,
     News,
-    NewsAcknowledged,
     RegistryHello,
     RegistryStatus,
+    StateUpdateAcknowledged,
 )
 from lupinreach.mesh.messages.stores import (
     Accept,
@@ -64,7 +64,7 @@
     "Installed",
     "Message",
     "News",
-    "NewsAcknowledged",
+    "StateUpdateAcknowledged",
     "StateUpdatePull",
     "RequestRejected",
     "Order",
--- a/lupinreach/mesh/messages/registry.py
+++ b/lupinreach/mesh/messages/registry.py
@@ -54,7 +54,7 @@
 
 @register
 @dataclass(slots=True)
-class NewsAcknowledged(Message):
+class StateUpdateAcknowledged(Message):
     """A receiver has dealt with the oldest `News` that was out to it, and holds this state now."""
 
     NUMBER: ClassVar[int] = 33
--- a/lupinreach/mesh/proxy/registry_client.py
+++ b/lupinreach/mesh/proxy/registry_client.py
@@ -13,8 +13,8 @@
     AgentHello,
     Message,
     News,
-    NewsAcknowledged,
     RegistryStatus,
+    StateUpdateAcknowledged,
     StateUpdatePull,
 )
 from lupinreach.mesh.proxy.news import NewsHolder
@@ -153,7 +153,7 @@
             if self._news.apply(message) is Applied.UNFIT:
                 self._log.write(Event.UPDATE_UNFIT, registry=held.address, version=message.config_version)
                 self._send(held, StateUpdatePull())
-            self._send(held, NewsAcknowledged(list(self._news.stamp), self._news.version))
+            self._send(held, StateUpdateAcknowledged(list(self._news.stamp), self._news.version))
         elif isinstance(message, AgentEntry):
             self._on_entry(message)
         elif isinstance(message, RegistryStatus):
--- a/lupinreach/mesh/registry/news_feed.py
+++ b/lupinreach/mesh/registry/news_feed.py
@@ -9,7 +9,7 @@
 from lupinreach.mesh.configuration_update import ConfigurationHistory
 from lupinreach.mesh.events import Event, EventLog
 from lupinreach.mesh.link import Link
-from lupinreach.mesh.messages import AgentHello, News, NewsAcknowledged, encode
+from lupinreach.mesh.messages import AgentHello, News, StateUpdateAcknowledged, encode
 from lupinreach.mesh.send_window import NewsProgress
 
 LATE_S = 1.0  # a change that a proxy has not acknowledged for so long is logged
@@ -72,7 +72,7 @@
         """The link has ended."""
         self._receivers.pop(link, None)
 
-    def acknowledged(self, link: Link, message: NewsAcknowledged) -> None:
+    def acknowledged(self, link: Link, message: StateUpdateAcknowledged) -> None:
         """A proxy has dealt with the oldest news that was out to it, and says what it holds."""
         receiver = self._receivers.get(link)
         if receiver is None:
--- a/lupinreach/mesh/registry/orders.py
+++ b/lupinreach/mesh/registry/orders.py
@@ -13,9 +13,9 @@
 from lupinreach.mesh.messages import (
     Message,
     News,
-    NewsAcknowledged,
     Order,
     OrderResult,
+    StateUpdateAcknowledged,
     StoreStatus,
     Subscribe,
 )
@@ -96,7 +96,7 @@
                 future.set_result(message)
         elif isinstance(message, News):
             self._on_news(message)
-            link.send(NewsAcknowledged(message.stamp, self._version()))
+            link.send(StateUpdateAcknowledged(message.stamp, self._version()))
 
     def primary(self) -> Link | None:
         """The link to the store that serves under the highest epoch."""
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -22,9 +22,9 @@
     Description,
     Message,
     News,
-    NewsAcknowledged,
     RegistryHello,
     RegistryStatus,
+    StateUpdateAcknowledged,
     StateUpdatePull,
     encode,
 )
@@ -134,7 +134,7 @@
             self._on_agent(link, message, now)
         elif isinstance(message, AgentEntry):
             self._on_entry(link, message, now)
-        elif isinstance(message, NewsAcknowledged):
+        elif isinstance(message, StateUpdateAcknowledged):
             self.feed.acknowledged(link, message)
         elif isinstance(message, StateUpdatePull):
             self.feed.pulled(link)
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -12,8 +12,8 @@
     Description,
     Message,
     News,
-    NewsAcknowledged,
     Order,
+    StateUpdateAcknowledged,
     StoreHello,
     StoreStatus,
     Subscribe,
@@ -135,7 +135,7 @@
             link.send(Description(self.describe()))
         elif isinstance(message, Subscribe):
             self._on_subscribe(link, message)
-        elif isinstance(message, NewsAcknowledged):
+        elif isinstance(message, StateUpdateAcknowledged):
             self._on_acknowledged(link)
         elif isinstance(message, Order):
             self.replica.submit(message, link.send)
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -18,7 +18,7 @@
     ConfigurationUpdate,
     unpack_whole,
 )
-from lupinreach.mesh.messages import AgentHello, Message, News, NewsAcknowledged, decode
+from lupinreach.mesh.messages import AgentHello, Message, News, StateUpdateAcknowledged, decode
 from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.route_table import RouteTable
@@ -140,7 +140,7 @@
             wire = wires[number]
             if holder.apply(message) is Applied.UNFIT:
                 feed.pulled(wire)
-            feed.acknowledged(wire, NewsAcknowledged(list(holder.stamp), holder.version))
+            feed.acknowledged(wire, StateUpdateAcknowledged(list(holder.stamp), holder.version))
 
         wire: Any = _Wire(deliver)
         feeds.append(feed)
@@ -194,7 +194,7 @@
             feed.history.take(_configuration(number, {key: float(number) for key in routes}))
             feed.publish([1, number], {})
         assert len(wire.queued) == 1
-        feed.acknowledged(wire, NewsAcknowledged([1, 1], "00000001"))
+        feed.acknowledged(wire, StateUpdateAcknowledged([1, 1], "00000001"))
         assert len(wire.queued) == 2 and feed.receivers[0].progress.config_version == f"{49:08x}"
 
     asyncio.run(play())
