--- a/benchmarks/mesh_slopes.py
+++ b/benchmarks/mesh_slopes.py
@@ -20,7 +20,7 @@
 
 from lupinreach.mesh.demo import _call
 from lupinreach.mesh.link import Link
-from lupinreach.mesh.messages import AgentEntry, AgentHello, Message, News, StateUpdateAcknowledged
+from lupinreach.mesh.messages import AgentEntry, AgentHello, Message, StateUpdate, StateUpdateAcknowledged
 from lupinreach.mesh.settings import SETTINGS_VARIABLE
 
 HOST = "127.78.0.1"
@@ -57,7 +57,7 @@
         self.link.send(AgentEntry(self.address, self.life, 1, service, zone, f"i-{self.number}", True))
 
     def _message(self, link: Link, message: Message) -> None:
-        if isinstance(message, News):
+        if isinstance(message, StateUpdate):
             self.version = message.config_version
             link.send(StateUpdateAcknowledged(message.stamp, message.config_version))
 
--- a/lupinreach/mesh/messages/__init__.py
+++ b/lupinreach/mesh/messages/__init__.py
@@ -23,9 +23,9 @@
     AliveAgents,
     ForwardedHeartbeat,
     HeartbeatAccepted,
-    News,
     RegistryHello,
     RegistryStatus,
+    StateUpdate,
     StateUpdateAcknowledged,
 )
 from lupinreach.mesh.messages.stores import (
@@ -63,7 +63,7 @@
     "Install",
     "Installed",
     "Message",
-    "News",
+    "StateUpdate",
     "StateUpdateAcknowledged",
     "StateUpdatePull",
     "RequestRejected",
--- a/lupinreach/mesh/messages/registry.py
+++ b/lupinreach/mesh/messages/registry.py
@@ -39,7 +39,7 @@
 
 @register
 @dataclass(slots=True)
-class News(Message):
+class StateUpdate(Message):
     """Configuration and evacuations as committed by the store, in one numbered change."""
 
     NUMBER: ClassVar[int] = 32
--- a/lupinreach/mesh/proxy/gossip.py
+++ b/lupinreach/mesh/proxy/gossip.py
@@ -7,7 +7,7 @@
 
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.link import Dialer, Link, parse_address
-from lupinreach.mesh.messages import Message, News, PeerHello, Shuffle, Shuffled, StateUpdatePull
+from lupinreach.mesh.messages import Message, PeerHello, Shuffle, Shuffled, StateUpdate, StateUpdatePull
 from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.partial_view import PartialView
 from lupinreach.mesh.tasks import spawn
@@ -42,7 +42,7 @@
                 self.view.end_round(partner, message.entries)
                 asking = spawn(self._pull_if_behind(link, message, done))
                 self._asking = asking
-            elif isinstance(message, News):
+            elif isinstance(message, StateUpdate):
                 self._news.apply(message)
                 done.set()
 
--- a/lupinreach/mesh/proxy/news.py
+++ b/lupinreach/mesh/proxy/news.py
@@ -7,7 +7,7 @@
 
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.configuration_update import Applied, ConfigurationUpdate, pack_whole, unpack_whole
-from lupinreach.mesh.messages import News
+from lupinreach.mesh.messages import StateUpdate
 from lupinreach.mesh.route_table import RouteTable
 
 Stamp = tuple[int, int]
@@ -21,7 +21,9 @@
         self.table: RouteTable | None = None
         self.stamp: Stamp = (0, 0)
         self.evacuations: dict[str, bool] = {}
-        self._stale: list[News] = []  # that senders without contact to a primary told, until it may be used
+        self._stale: list[
+            StateUpdate
+        ] = []  # that senders without contact to a primary told, until it may be used
         self._listeners: list[Callable[[], None]] = []
         self.applied = 0  # configurations put in force
 
@@ -36,7 +38,7 @@
     def evacuated(self, zone: str) -> bool:
         return self.evacuations.get(zone, False)
 
-    def apply(self, news: News) -> Applied:
+    def apply(self, news: StateUpdate) -> Applied:
         """Put what is newer in force.
 
         A sender that is cut off from the primary may hold an old configuration. It is progress for a proxy
@@ -56,7 +58,7 @@
         for news in stale:
             self._apply(news)
 
-    def _apply(self, news: News) -> Applied:
+    def _apply(self, news: StateUpdate) -> Applied:
         applied = self._apply_configuration(news)
         stamp: Stamp = (news.stamp[0], news.stamp[1])
         changed = applied is Applied.IN_FORCE
@@ -69,7 +71,7 @@
                 listener()
         return applied
 
-    def _apply_configuration(self, news: News) -> Applied:
+    def _apply_configuration(self, news: StateUpdate) -> Applied:
         if news.config is None or not is_newer(news.config_version, self.version):
             return Applied.NOT_NEWER
         if news.base:
@@ -79,7 +81,7 @@
         self.applied += applied is Applied.IN_FORCE
         return applied
 
-    def as_news(self) -> News:
+    def as_news(self) -> StateUpdate:
         """All that is held, as one message; a proxy can't know that it is the newest."""
         whole = pack_whole(self.table) if self.table is not None else None
-        return News(list(self.stamp), self.version, whole, self.evacuations, fresh=False)
+        return StateUpdate(list(self.stamp), self.version, whole, self.evacuations, fresh=False)
--- a/lupinreach/mesh/proxy/registry_client.py
+++ b/lupinreach/mesh/proxy/registry_client.py
@@ -12,8 +12,8 @@
     AgentEntry,
     AgentHello,
     Message,
-    News,
     RegistryStatus,
+    StateUpdate,
     StateUpdateAcknowledged,
     StateUpdatePull,
 )
@@ -149,7 +149,7 @@
         self._log.write(Event.REGISTRY_DOWN, registry=held.address)
 
     def _message(self, held: _Held, message: Message) -> None:
-        if isinstance(message, News):
+        if isinstance(message, StateUpdate):
             if self._news.apply(message) is Applied.UNFIT:
                 self._log.write(Event.UPDATE_UNFIT, registry=held.address, version=message.config_version)
                 self._send(held, StateUpdatePull())
--- a/lupinreach/mesh/registry/news_feed.py
+++ b/lupinreach/mesh/registry/news_feed.py
@@ -9,7 +9,7 @@
 from lupinreach.mesh.configuration_update import ConfigurationHistory
 from lupinreach.mesh.events import Event, EventLog
 from lupinreach.mesh.link import Link
-from lupinreach.mesh.messages import AgentHello, News, StateUpdateAcknowledged, encode
+from lupinreach.mesh.messages import AgentHello, StateUpdate, StateUpdateAcknowledged, encode
 from lupinreach.mesh.send_window import NewsProgress
 
 LATE_S = 1.0  # a change that a proxy has not acknowledged for so long is logged
@@ -97,7 +97,7 @@
         progress = receiver.progress
         if progress.stamp >= self.stamp:
             return
-        news = News(self.stamp, self.history.version, None, self.evacuations, self._in_contact())
+        news = StateUpdate(self.stamp, self.history.version, None, self.evacuations, self._in_contact())
         if progress.config_version != self.history.version and self.history.table is not None:
             takes_update = receiver.takes_updates and not receiver.needs_whole
             base = self.history.base_for(progress.config_version) if takes_update else ""
--- a/lupinreach/mesh/registry/orders.py
+++ b/lupinreach/mesh/registry/orders.py
@@ -12,9 +12,9 @@
 from lupinreach.mesh.link import Dialer, Link
 from lupinreach.mesh.messages import (
     Message,
-    News,
     Order,
     OrderResult,
+    StateUpdate,
     StateUpdateAcknowledged,
     StoreStatus,
     Subscribe,
@@ -48,7 +48,7 @@
 class StoreLinks:
     """Held links to all known stores, and the orders that are out on them."""
 
-    def __init__(self, port: int, version: Callable[[], str], on_news: Callable[[News], None]) -> None:
+    def __init__(self, port: int, version: Callable[[], str], on_news: Callable[[StateUpdate], None]) -> None:
         self._port = port
         self._stores: dict[str, _Store] = {}  # by host
         self._numbers = 0
@@ -94,7 +94,7 @@
             future = self._out.pop(message.number, None)
             if future is not None and not future.done():
                 future.set_result(message)
-        elif isinstance(message, News):
+        elif isinstance(message, StateUpdate):
             self._on_news(message)
             link.send(StateUpdateAcknowledged(message.stamp, self._version()))
 
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -21,9 +21,9 @@
     Describe,
     Description,
     Message,
-    News,
     RegistryHello,
     RegistryStatus,
+    StateUpdate,
     StateUpdateAcknowledged,
     StateUpdatePull,
     encode,
@@ -210,7 +210,7 @@
 
     # News.
 
-    def _on_news(self, news: News) -> None:
+    def _on_news(self, news: StateUpdate) -> None:
         """A primary store tells a committed state."""
         if news.stamp <= self.feed.stamp:
             return
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -11,8 +11,8 @@
     Describe,
     Description,
     Message,
-    News,
     Order,
+    StateUpdate,
     StateUpdateAcknowledged,
     StoreHello,
     StoreStatus,
@@ -269,7 +269,7 @@
         if stamp == subscriber.stamp:
             return
         config = document.config if document.version != subscriber.config_version else None
-        data = encode(News(stamp, document.version, config or None, document.evacuations))
+        data = encode(StateUpdate(stamp, document.version, config or None, document.evacuations))
         if not subscriber.allows(len(data)):
             return
         subscriber.sent(len(data), document.version, stamp)
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -18,7 +18,7 @@
     ConfigurationUpdate,
     unpack_whole,
 )
-from lupinreach.mesh.messages import AgentHello, Message, News, StateUpdateAcknowledged, decode
+from lupinreach.mesh.messages import AgentHello, Message, StateUpdate, StateUpdateAcknowledged, decode
 from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.route_table import RouteTable
@@ -136,7 +136,7 @@
         feed = NewsFeed(lambda: True, _Quiet())  # type: ignore[arg-type]
 
         def deliver(message: Message, feed: NewsFeed = feed, number: int = len(feeds)) -> None:
-            assert isinstance(message, News)
+            assert isinstance(message, StateUpdate)
             wire = wires[number]
             if holder.apply(message) is Applied.UNFIT:
                 feed.pulled(wire)
