--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -9,7 +9,7 @@
 import sys
 from statistics import quantiles
 
-from lupinreach.mesh.model.histories import History, Plan, Store
+from lupinreach.mesh.model.histories import History, Plan, SimulatedStore
 from lupinreach.mesh.model.ledger import Ledger
 
 END_S = 40.0
@@ -45,7 +45,7 @@
         if self.safe_after is None and any(self._serves_later_view(store) for store in self.stores.values()):
             self.safe_after = self.now - self.lost_at
 
-    def _serves_later_view(self, store: Store) -> bool:
+    def _serves_later_view(self, store: SimulatedStore) -> bool:
         replica = store.awake
         return replica is not None and replica.serving and replica.view.epoch > self.epoch_at_loss
 
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -40,7 +40,7 @@
     late_share: float = 0.0  # of all messages
 
 
-class Store:
+class SimulatedStore:
     """One machine with its replica."""
 
     def __init__(self, history: History, host: str, zone: str) -> None:
@@ -97,7 +97,7 @@
         self.trace = trace
         self.tolerance = Tolerance(plan.machines, 0, 0)
         self.hosts = [f"h{i}" for i in range(2 * plan.machines + 1)]
-        self.stores = {host: Store(self, host, f"z{i % ZONES}") for i, host in enumerate(self.hosts)}
+        self.stores = {host: SimulatedStore(self, host, f"z{i % ZONES}") for i, host in enumerate(self.hosts)}
         self.now = 0.0
         self.ledger = Ledger()
         self.sent = 0
@@ -120,7 +120,7 @@
         """A store learnt of a view: every copy of it holds all, or its disk was lost since."""
         self.ledger.decided(view, complete_copies(view, [store.record for store in self.stores.values()]))
 
-    def _run(self, store: Store, work: Any, *args: Any) -> None:
+    def _run(self, store: SimulatedStore, work: Any, *args: Any) -> None:
         """Let a store's process do something, in which it may die."""
         try:
             work(*args)
@@ -130,7 +130,7 @@
 
     # The network.
 
-    def carry(self, source: Store, identity: str, data: bytes) -> None:
+    def carry(self, source: SimulatedStore, identity: str, data: bytes) -> None:
         """A message leaves a store; it may be lost, late or doubled."""
         target = next(
             (s for s in self.stores.values() if s.replica is not None and s.replica.identity == identity),
@@ -153,7 +153,7 @@
             return self.chance.uniform(USUAL_DELAY_S[0], self.plan.latest_s)
         return self.chance.uniform(*USUAL_DELAY_S)
 
-    def _deliver(self, target: Store, replica: Replica, sender: str, data: bytes) -> None:
+    def _deliver(self, target: SimulatedStore, replica: Replica, sender: str, data: bytes) -> None:
         if target.replica is not replica:
             return  # links end with the process
         if self.now < target.frozen_until:
@@ -161,12 +161,12 @@
             return
         self._run(target, replica.handle, sender, decode(msgpack.unpackb(data)))
 
-    def _tick(self, store: Store) -> None:
+    def _tick(self, store: SimulatedStore) -> None:
         self.at(TICK_S, self._tick, store)
         if store.awake is not None:
             self._run(store, store.awake.tick, self.now)
 
-    def _status(self, store: Store) -> None:
+    def _status(self, store: SimulatedStore) -> None:
         self.at(STATUS_S, self._status, store)
         replica = store.awake
         if replica is None:
@@ -175,7 +175,7 @@
             if other is not store and other.replica is not None and (store.host, other.host) not in self.cuts:
                 self.at(0.005, self._hear, other, other.replica, replica, store)
 
-    def _hear(self, other: Store, living: Replica, source: Replica, store: Store) -> None:
+    def _hear(self, other: SimulatedStore, living: Replica, source: Replica, store: SimulatedStore) -> None:
         if other.replica is living and other.awake is not None:
             member = Member(source.identity, store.host, store.zone)
             living.heard(member, source.born_first, self.now, source.healthy, source.leaving)
@@ -198,7 +198,7 @@
             self.sent += 1
         self._order_version(store, self.sent, self.chance.choice("ab"))
 
-    def _order_version(self, store: Store, number: int, operator: str) -> None:
+    def _order_version(self, store: SimulatedStore, number: int, operator: str) -> None:
         version = f"{number:08x}"
         content = f"{version}/{operator}".encode()
 
@@ -212,7 +212,7 @@
         order = Order(number, int(OrderKind.REPLACE_CONFIGURATION), version, content)
         self._run(store, store.replica.submit, order, reply)
 
-    def _read(self, store: Store) -> None:
+    def _read(self, store: SimulatedStore) -> None:
         asked_after = self.ledger.acknowledged
 
         def reply(result: OrderResult) -> None:
@@ -242,7 +242,7 @@
             self.lost[store.host] = self.now + span + CATCH_UP_S
         self._strike(store, kind, span)
 
-    def _strike(self, store: Store, kind: str, span: float) -> None:
+    def _strike(self, store: SimulatedStore, kind: str, span: float) -> None:
         if kind in ("crash", "wipe"):
             self._crash(store, span, kind == "wipe")
         elif kind == "freeze":
@@ -258,7 +258,7 @@
         else:
             self._cut(store, span, both=kind == "cut")
 
-    def _disk_free(self, store: Store, record: MemoryRecord, crashes: int, span: float) -> None:
+    def _disk_free(self, store: SimulatedStore, record: MemoryRecord, crashes: int, span: float) -> None:
         """A full disk takes writes again; if nothing else happened, another copy was made in its place."""
         if record.fate is Fate.FULL:
             record.fate = Fate.WELL
@@ -269,14 +269,14 @@
         if span > REPLACED_S and record.values["identity"] in newest.copies:
             raise Broken(f"{store.host} is a copy after {span:.2f} s without a disk")
 
-    def _cut(self, store: Store, span: float, both: bool) -> None:
+    def _cut(self, store: SimulatedStore, span: float, both: bool) -> None:
         pairs = {(store.host, host) for host in self.hosts}
         if both:
             pairs |= {(host, store.host) for host in self.hosts}
         self.cuts |= pairs
         self.at(span, self.cuts.difference_update, pairs)
 
-    def _crash(self, store: Store, span: float, wiped: bool) -> None:
+    def _crash(self, store: SimulatedStore, span: float, wiped: bool) -> None:
         if store.replica is None:
             return
         store.replica = None
@@ -285,7 +285,7 @@
             store.record = MemoryRecord()
         self.at(span, self._restart, store)
 
-    def _restart(self, store: Store) -> None:
+    def _restart(self, store: SimulatedStore) -> None:
         store.record.fate = Fate.WELL
         self._note(f"{store.host}: starts")
         store.start(False)
