--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -9,7 +9,7 @@
 import sys
 from statistics import quantiles
 
-from lupinreach.mesh.model.histories import History, Plan, SimulatedStore
+from lupinreach.mesh.model.histories import History, SimulatedStore, SimulationParameters
 from lupinreach.mesh.model.ledger import Ledger
 
 END_S = 40.0
@@ -21,7 +21,7 @@
 class OneLoss(History):
     """A history with one loss and an operator who never rests."""
 
-    def __init__(self, seed: int, plan: Plan, kind: str, of_primary: bool) -> None:
+    def __init__(self, seed: int, plan: SimulationParameters, kind: str, of_primary: bool) -> None:
         super().__init__(seed, plan)
         self.kind, self.of_primary = kind, of_primary
         self.lost_at = 0.0
@@ -68,7 +68,7 @@
     """Both times of each history."""
     found = []
     for seed in range(count):
-        history = OneLoss(seed, Plan(), kind, of_primary)
+        history = OneLoss(seed, SimulationParameters(), kind, of_primary)
         history.ledger = Ledger()
         history.play()
         found.append((history.confirmed_after or END_S, history.safe_after or END_S))
--- a/lupinreach/mesh/model/command.py
+++ b/lupinreach/mesh/model/command.py
@@ -7,7 +7,7 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from lupinreach.mesh.model.histories import Plan, play_history, tell_history
+from lupinreach.mesh.model.histories import SimulationParameters, play_history, tell_history
 from lupinreach.mesh.model.mistakes import MISTAKES
 from lupinreach.mesh.model.search import Found, search
 from lupinreach.mesh.model.written import BadHistory, read_budget, write_history
@@ -78,7 +78,9 @@
         self.line(f"{found.states} states, {found.moves} moves, {found.seconds:.1f} s")
 
     def _draw(self) -> int:
-        plan = Plan(int(self.option("lost")), float(self.option("late")), float(self.option("share")))
+        plan = SimulationParameters(
+            int(self.option("lost")), float(self.option("late")), float(self.option("share"))
+        )
         first, count = int(self.option("seed")), int(self.option("histories"))
         confirmed = 0
         for seed in range(first, first + count):
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class SimulationParameters:
     """What a history is drawn from."""
 
     machines: int = 1  # that may be lost at once; there are twice as many and one
@@ -91,7 +91,7 @@
 class History:
     """One drawn history; `play` raises `Broken` where an invariant fails."""
 
-    def __init__(self, seed: int, plan: Plan, trace: list[str] | None = None) -> None:
+    def __init__(self, seed: int, plan: SimulationParameters, trace: list[str] | None = None) -> None:
         self.chance = random.Random(seed)
         self.plan = plan
         self.trace = trace
@@ -315,7 +315,7 @@
             raise Broken(f"the end holds {held}, confirmed was {self.ledger.acknowledged}")
 
 
-def play_history(seed: int, plan: Plan) -> tuple[int, str | None]:
+def play_history(seed: int, plan: SimulationParameters) -> tuple[int, str | None]:
     """Play one history: the highest version that was confirmed, and what broke, if anything."""
     history = History(seed, plan)
     try:
@@ -325,7 +325,7 @@
     return history.ledger.acknowledged, None
 
 
-def tell_history(seed: int, plan: Plan) -> list[str]:
+def tell_history(seed: int, plan: SimulationParameters) -> list[str]:
     """What happened in a history, line by line, up to what broke."""
     trace: list[str] = []
     history = History(seed, plan, trace)
--- a/tests/mesh/test_model.py
+++ b/tests/mesh/test_model.py
@@ -6,13 +6,17 @@
 
 import pytest
 
-from lupinreach.mesh.model.histories import Plan, play_history
+from lupinreach.mesh.model.histories import SimulationParameters, play_history
 from lupinreach.mesh.model.mistakes import MISTAKES, Mistake
 from lupinreach.mesh.model.search import Budget, replay, search
 from lupinreach.mesh.model.written import BadHistory, read_budget, read_history, write_history
 
 FILES = sorted((Path(__file__).parent / "histories").glob("*.txt"))
-USUAL, LATE, LATE_FIVE = Plan(), Plan(1, 5.0, 0.1), Plan(2, 5.0, 0.1)
+USUAL, LATE, LATE_FIVE = (
+    SimulationParameters(),
+    SimulationParameters(1, 5.0, 0.1),
+    SimulationParameters(2, 5.0, 0.1),
+)
 
 # A drawn history that finds each mistake which has no file; the seeds were the first that did.
 DRAWN = {
--- a/tests/mesh/test_store_histories.py
+++ b/tests/mesh/test_store_histories.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from lupinreach.mesh.model.histories import Plan, play_history
+from lupinreach.mesh.model.histories import SimulationParameters, play_history
 
 HISTORIES = 40
 # Drawn later: a store that was slow in the founding had no vote, and two voters did not bear the loss of one.
-FOUND_BROKEN = [(101836, Plan(1, 5.0, 0.1))]
+FOUND_BROKEN = [(101836, SimulationParameters(1, 5.0, 0.1))]
 
 
 @pytest.mark.parametrize("machines", [1, 2, 4])
 @pytest.mark.parametrize(("latest_s", "late_share"), [(0.4, 0.0), (5.0, 0.1)])
 def test_nothing_acknowledged_is_lost(machines: int, latest_s: float, late_share: float) -> None:
-    plan = Plan(machines, latest_s, late_share)
+    plan = SimulationParameters(machines, latest_s, late_share)
     acknowledged = 0
     for seed in range(HISTORIES):
         confirmed, broken = play_history(seed, plan)
@@ -24,5 +24,5 @@
 
 
 @pytest.mark.parametrize(("seed", "plan"), FOUND_BROKEN)
-def test_a_history_that_broke_an_earlier_text(seed: int, plan: Plan) -> None:
+def test_a_history_that_broke_an_earlier_text(seed: int, plan: SimulationParameters) -> None:
     assert play_history(seed, plan)[1] is None
