--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -10,7 +10,7 @@
 from statistics import quantiles
 
 from lupinreach.mesh.model.histories import History, SimulatedStore, SimulationParameters
-from lupinreach.mesh.model.ledger import Ledger
+from lupinreach.mesh.model.ledger import InvariantChecker
 
 END_S = 40.0
 ORDER_EVERY_S = 0.05
@@ -69,7 +69,7 @@
     found = []
     for seed in range(count):
         history = OneLoss(seed, SimulationParameters(), kind, of_primary)
-        history.ledger = Ledger()
+        history.ledger = InvariantChecker()
         history.play()
         found.append((history.confirmed_after or END_S, history.safe_after or END_S))
     return found
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -17,7 +17,7 @@
 from lupinreach.mesh.events import Event
 from lupinreach.mesh.messages import Message, Order, OrderResult, decode, encode
 from lupinreach.mesh.model.disk import Fate, MemoryRecord, ProcessDied
-from lupinreach.mesh.model.ledger import Broken, Ledger, complete_copies, held_versions
+from lupinreach.mesh.model.ledger import Broken, InvariantChecker, complete_copies, held_versions
 from lupinreach.mesh.store.document import Document, OrderKind
 from lupinreach.mesh.store.replica import Replica
 from lupinreach.mesh.store.view import Member, Tolerance, View
@@ -99,7 +99,7 @@
         self.hosts = [f"h{i}" for i in range(2 * plan.machines + 1)]
         self.stores = {host: SimulatedStore(self, host, f"z{i % ZONES}") for i, host in enumerate(self.hosts)}
         self.now = 0.0
-        self.ledger = Ledger()
+        self.ledger = InvariantChecker()
         self.sent = 0
         self.cuts: set[tuple[str, str]] = set()
         self.lossy = 0.0
--- a/lupinreach/mesh/model/ledger.py
+++ b/lupinreach/mesh/model/ledger.py
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Ledger:
+class InvariantChecker:
     """Checks every confirmation against all earlier ones. Versions are numbers here."""
 
     pushed: int = 0  # version that a primary published last
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -21,7 +21,7 @@
 from lupinreach.mesh.events import Event
 from lupinreach.mesh.messages import Message, Order, OrderResult, decode, encode
 from lupinreach.mesh.model.disk import Fate, MemoryRecord, ProcessDied
-from lupinreach.mesh.model.ledger import Broken, Ledger, complete_copies, held_versions
+from lupinreach.mesh.model.ledger import Broken, InvariantChecker, complete_copies, held_versions
 from lupinreach.mesh.store.document import Document, OrderKind
 from lupinreach.mesh.store.replica import Replica, Role
 from lupinreach.mesh.store.state import Acceptance
@@ -177,7 +177,7 @@
 
     def __init__(self, budget: Budget) -> None:
         self.left = budget
-        self.ledger = Ledger()
+        self.ledger = InvariantChecker()
         self.in_flight: list[Envelope] = []
         self.late: list[Envelope] = []  # delivered before, and to come once more
         self.stores = {host: SmallStore(self, host) for host in HOSTS}
