--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -9,9 +9,10 @@
 import sys
 from statistics import quantiles
 
-from lupinreach.mesh.model.histories import History, SimulatedStore, SimulationParameters
 from lupinreach.mesh.model.ledger import InvariantChecker
 
+from lupinreach.mesh.model.histories import History, SimulatedStore, SimulationParameters
+
 END_S = 40.0
 ORDER_EVERY_S = 0.05
 AWAY_S = 100.0
@@ -30,7 +31,7 @@
 
     def _operate(self) -> None:
         self.at(ORDER_EVERY_S, self._operate)
-        before = self.ledger.acknowledged
+        before = self.checker.acknowledged
         for store in self.stores.values():
             if store.awake is not None and store.awake.serving:
                 self.sent += 1
@@ -40,7 +41,7 @@
     def _look(self, before: int) -> None:
         if not self.lost_at:
             return
-        if self.confirmed_after is None and self.ledger.acknowledged > self.version_at_loss + 1:
+        if self.confirmed_after is None and self.checker.acknowledged > self.version_at_loss + 1:
             self.confirmed_after = self.now - self.lost_at
         if self.safe_after is None and any(self._serves_later_view(store) for store in self.stores.values()):
             self.safe_after = self.now - self.lost_at
@@ -56,7 +57,7 @@
         wanted = view.copies[0 if self.of_primary else 1]
         store = next(s for s in self.stores.values() if s.replica and s.replica.identity == wanted)
         self.lost_at = self.now
-        self.version_at_loss = self.ledger.acknowledged
+        self.version_at_loss = self.checker.acknowledged
         self.epoch_at_loss = view.epoch
         self._strike(store, self.kind, AWAY_S)
 
@@ -69,7 +70,7 @@
     found = []
     for seed in range(count):
         history = OneLoss(seed, SimulationParameters(), kind, of_primary)
-        history.ledger = InvariantChecker()
+        history.checker = InvariantChecker()
         history.play()
         found.append((history.confirmed_after or END_S, history.safe_after or END_S))
     return found
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -16,8 +16,8 @@
 
 from lupinreach.mesh.events import Event
 from lupinreach.mesh.messages import Message, Order, OrderResult, decode, encode
-from lupinreach.mesh.model.disk import Fate, MemoryRecord, ProcessDied
 from lupinreach.mesh.model.ledger import Broken, InvariantChecker, complete_copies, held_versions
+from lupinreach.mesh.model.disk import Fate, MemoryRecord, ProcessDied
 from lupinreach.mesh.store.document import Document, OrderKind
 from lupinreach.mesh.store.replica import Replica
 from lupinreach.mesh.store.view import Member, Tolerance, View
@@ -79,13 +79,13 @@
             self.history.trace.append(f"{self.history.now:7.3f} {self.host} {event.name.lower()} {told}")
         if event is Event.PRIMARY_SERVING:
             assert self.replica is not None
-            self.history.ledger.served(facts["epoch"], self.replica.identity)
+            self.history.checker.served(facts["epoch"], self.replica.identity)
         if event is Event.VIEW_DECIDED:
             assert self.replica is not None
             self.history.decided(self.replica.view)
 
     def publish(self, stamp: list[int], document: Document) -> None:
-        self.history.ledger.published(stamp, document)
+        self.history.checker.published(stamp, document)
 
 
 class History:
@@ -99,7 +99,7 @@
         self.hosts = [f"h{i}" for i in range(2 * plan.machines + 1)]
         self.stores = {host: SimulatedStore(self, host, f"z{i % ZONES}") for i, host in enumerate(self.hosts)}
         self.now = 0.0
-        self.ledger = InvariantChecker()
+        self.checker = InvariantChecker()
         self.sent = 0
         self.cuts: set[tuple[str, str]] = set()
         self.lossy = 0.0
@@ -118,7 +118,7 @@
 
     def decided(self, view: View) -> None:
         """A store learnt of a view: every copy of it holds all, or its disk was lost since."""
-        self.ledger.decided(view, complete_copies(view, [store.record for store in self.stores.values()]))
+        self.checker.decided(view, complete_copies(view, [store.record for store in self.stores.values()]))
 
     def _run(self, store: SimulatedStore, work: Any, *args: Any) -> None:
         """Let a store's process do something, in which it may die."""
@@ -203,20 +203,20 @@
         content = f"{version}/{operator}".encode()
 
         def reply(result: OrderResult) -> None:
-            self.ledger.confirmed(number, content, result)
+            self.checker.confirmed(number, content, result)
             if not result.error and store.replica is not None:
                 records = [other.record for other in self.stores.values()]
-                self.ledger.durable(number, held_versions(store.replica.view, records))
+                self.checker.durable(number, held_versions(store.replica.view, records))
 
         assert store.replica is not None
         order = Order(number, int(OrderKind.REPLACE_CONFIGURATION), version, content)
         self._run(store, store.replica.submit, order, reply)
 
     def _read(self, store: SimulatedStore) -> None:
-        asked_after = self.ledger.acknowledged
+        asked_after = self.checker.acknowledged
 
         def reply(result: OrderResult) -> None:
-            self.ledger.read(asked_after, result)
+            self.checker.read(asked_after, result)
 
         assert store.replica is not None
         self._run(store, store.replica.submit, Order(0, int(OrderKind.READ_CONFIGURATION)), reply)
@@ -311,8 +311,8 @@
             raise Broken("no store serves after the calm at the end")
         newest = max(serving, key=lambda replica: replica.view.epoch)
         held = int(newest.document.version or "0", 16)
-        if held < self.ledger.acknowledged:
-            raise Broken(f"the end holds {held}, confirmed was {self.ledger.acknowledged}")
+        if held < self.checker.acknowledged:
+            raise Broken(f"the end holds {held}, confirmed was {self.checker.acknowledged}")
 
 
 def play_history(seed: int, plan: SimulationParameters) -> tuple[int, str | None]:
@@ -321,8 +321,8 @@
     try:
         history.play()
     except Broken as broken:
-        return history.ledger.acknowledged, f"history {seed} at {history.now:.3f} s: {broken}"
-    return history.ledger.acknowledged, None
+        return history.checker.acknowledged, f"history {seed} at {history.now:.3f} s: {broken}"
+    return history.checker.acknowledged, None
 
 
 def tell_history(seed: int, plan: SimulationParameters) -> list[str]:
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -20,8 +20,8 @@
 
 from lupinreach.mesh.events import Event
 from lupinreach.mesh.messages import Message, Order, OrderResult, decode, encode
-from lupinreach.mesh.model.disk import Fate, MemoryRecord, ProcessDied
 from lupinreach.mesh.model.ledger import Broken, InvariantChecker, complete_copies, held_versions
+from lupinreach.mesh.model.disk import Fate, MemoryRecord, ProcessDied
 from lupinreach.mesh.store.document import Document, OrderKind
 from lupinreach.mesh.store.replica import Replica, Role
 from lupinreach.mesh.store.state import Acceptance
@@ -97,11 +97,11 @@
 
     def __call__(self, result: OrderResult) -> None:
         if self.version:
-            self.cluster.ledger.confirmed(self.version, self.content, result)
+            self.cluster.checker.confirmed(self.version, self.content, result)
             if not result.error:
-                self.cluster.ledger.durable(self.version, self.cluster.held(self.store))
+                self.cluster.checker.durable(self.version, self.cluster.held(self.store))
         else:
-            self.cluster.ledger.read(self.asked_after, result)
+            self.cluster.checker.read(self.asked_after, result)
 
 
 class SmallStore:
@@ -134,12 +134,12 @@
 
     def log(self, event: Event, **facts: Any) -> None:
         if event is Event.PRIMARY_SERVING and self.replica is not None:
-            self.cluster.ledger.served(facts["epoch"], self.replica.identity)
+            self.cluster.checker.served(facts["epoch"], self.replica.identity)
         if event is Event.VIEW_DECIDED and self.replica is not None:
             self.cluster.decided(self.replica.view)
 
     def publish(self, stamp: list[int], document: Document) -> None:
-        self.cluster.ledger.published(stamp, document)
+        self.cluster.checker.published(stamp, document)
 
     def key(self) -> Any:
         """All that decides what this store does next."""
@@ -177,7 +177,7 @@
 
     def __init__(self, budget: Budget) -> None:
         self.left = budget
-        self.ledger = InvariantChecker()
+        self.checker = InvariantChecker()
         self.in_flight: list[Envelope] = []
         self.late: list[Envelope] = []  # delivered before, and to come once more
         self.stores = {host: SmallStore(self, host) for host in HOSTS}
@@ -185,12 +185,12 @@
 
     def decided(self, view: View) -> None:
         """A store learnt of a view: every copy of it holds all, or its disk was lost since."""
-        self.ledger.decided(view, complete_copies(view, [store.record for store in self.stores.values()]))
+        self.checker.decided(view, complete_copies(view, [store.record for store in self.stores.values()]))
 
     def key(self) -> Any:
         """The same for states from which the same may follow."""
         stores = tuple(store.key() for store in self.stores.values())
-        ledger = self.ledger
+        ledger = self.checker
         seen = (ledger.acknowledged, tuple(sorted(ledger.contents.items())), tuple(ledger.newest_stamp))
         links = sorted(self.in_flight, key=lambda envelope: envelope[:2])
         return hash((stores, tuple(links), tuple(sorted(self.late)), seen, self.left, self.versions))
@@ -214,11 +214,11 @@
         getattr(self, method)(*args)
         for store in self.stores.values():
             replica = store.replica
-            if replica is None or not self.ledger.views or replica.view.epoch < max(self.ledger.views):
+            if replica is None or not self.checker.views or replica.view.epoch < max(self.checker.views):
                 continue
             if replica.state.holds_all and replica.identity in replica.view.copies:
                 held = int(replica.document.version or "0", 16)
-                self.ledger.complete_copy(replica.identity, held)
+                self.checker.complete_copy(replica.identity, held)
 
     def deliver(self, index: int, again: bool) -> None:
         """A message arrives; it may come once more later."""
@@ -273,7 +273,7 @@
         order = Order(self.versions, int(OrderKind.REPLACE_CONFIGURATION), version, content)
         store = self.stores[host]
         assert store.replica is not None
-        reply = Results(self, store, self.versions, content, self.ledger.acknowledged)
+        reply = Results(self, store, self.versions, content, self.checker.acknowledged)
         self.run(store, store.replica.submit, order, reply)
 
     def crash(self, host: str, wiped: bool) -> None:
