--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -33,7 +33,7 @@
         self.at(ORDER_EVERY_S, self._operate)
         before = self.checker.acknowledged
         for store in self.stores.values():
-            if store.awake is not None and store.awake.serving:
+            if store.running_replica is not None and store.running_replica.serving:
                 self.sent += 1
                 self._order_version(store, self.sent, "a")
         self._look(before)
@@ -47,7 +47,7 @@
             self.safe_after = self.now - self.lost_at
 
     def _serves_later_view(self, store: SimulatedStore) -> bool:
-        replica = store.awake
+        replica = store.running_replica
         return replica is not None and replica.serving and replica.view.epoch > self.epoch_at_loss
 
     def _trouble(self) -> None:
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -64,7 +64,7 @@
         )
 
     @property
-    def awake(self) -> Replica | None:
+    def running_replica(self) -> Replica | None:
         """The replica, if its process runs now."""
         return self.replica if self.history.now >= self.frozen_until else None
 
@@ -163,12 +163,12 @@
 
     def _tick(self, store: SimulatedStore) -> None:
         self.at(TICK_S, self._tick, store)
-        if store.awake is not None:
-            self._run(store, store.awake.tick, self.now)
+        if store.running_replica is not None:
+            self._run(store, store.running_replica.tick, self.now)
 
     def _status(self, store: SimulatedStore) -> None:
         self.at(STATUS_S, self._status, store)
-        replica = store.awake
+        replica = store.running_replica
         if replica is None:
             return
         for other in self.stores.values():
@@ -176,7 +176,7 @@
                 self.at(0.005, self._hear, other, other.replica, replica, store)
 
     def _hear(self, other: SimulatedStore, living: Replica, source: Replica, store: SimulatedStore) -> None:
-        if other.replica is living and other.awake is not None:
+        if other.replica is living and other.running_replica is not None:
             member = Member(source.identity, store.host, store.zone)
             living.heard(member, source.born_first, self.now, source.healthy, source.leaving)
             self._run(other, living.learn, source.view)
@@ -186,7 +186,9 @@
     def _operate(self) -> None:
         """An operator sends to a store that says that it serves; now and then an order twice, or a read."""
         self.at(self.chance.uniform(0.05, 0.5), self._operate)
-        serving = [s for s in self.stores.values() if s.awake is not None and s.awake.serving]
+        serving = [
+            s for s in self.stores.values() if s.running_replica is not None and s.running_replica.serving
+        ]
         if not serving:
             return
         store = self.chance.choice(serving)
