--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -34,8 +34,8 @@
         before = self.checker.acknowledged
         for store in self.stores.values():
             if store.running_replica is not None and store.running_replica.serving:
-                self.sent += 1
-                self._order_version(store, self.sent, "a")
+                self.last_version_sent += 1
+                self._order_version(store, self.last_version_sent, "a")
         self._look(before)
 
     def _look(self, before: int) -> None:
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -100,7 +100,7 @@
         self.stores = {host: SimulatedStore(self, host, f"z{i % ZONES}") for i, host in enumerate(self.hosts)}
         self.now = 0.0
         self.checker = InvariantChecker()
-        self.sent = 0
+        self.last_version_sent = 0
         self.cuts: set[tuple[str, str]] = set()
         self.lossy = 0.0
         self._crashes = 0
@@ -196,9 +196,9 @@
         if drawn < 0.15:
             self._read(store)
             return
-        if drawn > 0.25 or not self.sent:
-            self.sent += 1
-        self._order_version(store, self.sent, self.chance.choice("ab"))
+        if drawn > 0.25 or not self.last_version_sent:
+            self.last_version_sent += 1
+        self._order_version(store, self.last_version_sent, self.chance.choice("ab"))
 
     def _order_version(self, store: SimulatedStore, number: int, operator: str) -> None:
         version = f"{number:08x}"
