--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -30,7 +30,7 @@
         self.safe_after: float | None = None
 
     def _operate(self) -> None:
-        self.at(ORDER_EVERY_S, self._operate)
+        self.schedule(ORDER_EVERY_S, self._operate)
         before = self.checker.acknowledged
         for store in self.stores.values():
             if store.running_replica is not None and store.running_replica.serving:
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -108,7 +108,7 @@
         self._events: list[tuple[float, int, Any, tuple[Any, ...]]] = []
         self._order = count()
 
-    def at(self, delay: float, work: Any, *args: Any) -> None:
+    def schedule(self, delay: float, work: Any, *args: Any) -> None:
         """Do something later."""
         heapq.heappush(self._events, (self.now + delay, next(self._order), work, args))
 
@@ -139,10 +139,10 @@
         if target is None or (source.host, target.host) in self.cuts or self.chance.random() < self.lossy:
             return
         sender = source.replica.identity if source.replica is not None else ""
-        self.at(self._delay(), self._deliver, target, target.replica, sender, data)
+        self.schedule(self._delay(), self._deliver, target, target.replica, sender, data)
         if self.chance.random() < max(self.lossy, self._late_share):
             late = self.chance.uniform(USUAL_DELAY_S[0], self.plan.latest_s)
-            self.at(late, self._deliver, target, target.replica, sender, data)
+            self.schedule(late, self._deliver, target, target.replica, sender, data)
 
     @property
     def _late_share(self) -> float:
@@ -157,23 +157,23 @@
         if target.replica is not replica:
             return  # links end with the process
         if self.now < target.frozen_until:
-            self.at(target.frozen_until - self.now, self._deliver, target, replica, sender, data)
+            self.schedule(target.frozen_until - self.now, self._deliver, target, replica, sender, data)
             return
         self._run(target, replica.handle, sender, decode(msgpack.unpackb(data)))
 
     def _tick(self, store: SimulatedStore) -> None:
-        self.at(TICK_S, self._tick, store)
+        self.schedule(TICK_S, self._tick, store)
         if store.running_replica is not None:
             self._run(store, store.running_replica.tick, self.now)
 
     def _status(self, store: SimulatedStore) -> None:
-        self.at(STATUS_S, self._status, store)
+        self.schedule(STATUS_S, self._status, store)
         replica = store.running_replica
         if replica is None:
             return
         for other in self.stores.values():
             if other is not store and other.replica is not None and (store.host, other.host) not in self.cuts:
-                self.at(0.005, self._hear, other, other.replica, replica, store)
+                self.schedule(0.005, self._hear, other, other.replica, replica, store)
 
     def _hear(self, other: SimulatedStore, living: Replica, source: Replica, store: SimulatedStore) -> None:
         if other.replica is living and other.running_replica is not None:
@@ -185,7 +185,7 @@
 
     def _operate(self) -> None:
         """An operator sends to a store that says that it serves; now and then an order twice, or a read."""
-        self.at(self.chance.uniform(0.05, 0.5), self._operate)
+        self.schedule(self.chance.uniform(0.05, 0.5), self._operate)
         serving = [
             s for s in self.stores.values() if s.running_replica is not None and s.running_replica.serving
         ]
@@ -228,7 +228,7 @@
     def _trouble(self) -> None:
         """One fault, within what may be lost at once; its end is planned with it."""
         if self.now < LENGTH_S - CALM_S:
-            self.at(self.chance.uniform(0.3, 4.0), self._trouble)
+            self.schedule(self.chance.uniform(0.3, 4.0), self._trouble)
         lost = [host for host, until in self.lost.items() if until > self.now]
         if len(lost) >= self.tolerance.machines:
             if self.chance.random() < 0.1:
@@ -251,10 +251,10 @@
             store.frozen_until = self.now + span
         elif kind == "loss":
             self.lossy = self.chance.uniform(0.0, 0.2)
-            self.at(span, setattr, self, "lossy", 0.0)
+            self.schedule(span, setattr, self, "lossy", 0.0)
         elif kind == "full":
             store.record.fate = Fate.FULL
-            self.at(span, self._disk_free, store, store.record, self._crashes, span)
+            self.schedule(span, self._disk_free, store, store.record, self._crashes, span)
         elif kind == "dies":
             store.record.fate = self.chance.choice([Fate.DIES_BEFORE, Fate.DIES_AFTER])
         else:
@@ -276,7 +276,7 @@
         if both:
             pairs |= {(host, store.host) for host in self.hosts}
         self.cuts |= pairs
-        self.at(span, self.cuts.difference_update, pairs)
+        self.schedule(span, self.cuts.difference_update, pairs)
 
     def _crash(self, store: SimulatedStore, span: float, wiped: bool) -> None:
         if store.replica is None:
@@ -285,7 +285,7 @@
         self._crashes += 1
         if wiped:
             store.record = MemoryRecord()
-        self.at(span, self._restart, store)
+        self.schedule(span, self._restart, store)
 
     def _restart(self, store: SimulatedStore) -> None:
         store.record.fate = Fate.WELL
@@ -300,8 +300,8 @@
             store.start(True)
             self._tick(store)
             self._status(store)
-        self.at(5.0, self._operate)
-        self.at(8.0, self._trouble)
+        self.schedule(5.0, self._operate)
+        self.schedule(8.0, self._trouble)
         while self.now < LENGTH_S:
             self.now, _, work, args = heapq.heappop(self._events)
             work(*args)
