--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -29,8 +29,8 @@
         self.confirmed_after: float | None = None
         self.safe_after: float | None = None
 
-    def _operate(self) -> None:
-        self.schedule(ORDER_EVERY_S, self._operate)
+    def _send_operator_request(self) -> None:
+        self.schedule(ORDER_EVERY_S, self._send_operator_request)
         before = self.checker.acknowledged
         for store in self.stores.values():
             if store.running_replica is not None and store.running_replica.serving:
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -183,9 +183,9 @@
 
     # Operators.
 
-    def _operate(self) -> None:
+    def _send_operator_request(self) -> None:
         """An operator sends to a store that says that it serves; now and then an order twice, or a read."""
-        self.schedule(self.chance.uniform(0.05, 0.5), self._operate)
+        self.schedule(self.chance.uniform(0.05, 0.5), self._send_operator_request)
         serving = [
             s for s in self.stores.values() if s.running_replica is not None and s.running_replica.serving
         ]
@@ -300,7 +300,7 @@
             store.start(True)
             self._tick(store)
             self._status(store)
-        self.schedule(5.0, self._operate)
+        self.schedule(5.0, self._send_operator_request)
         self.schedule(8.0, self._trouble)
         while self.now < LENGTH_S:
             self.now, _, work, args = heapq.heappop(self._events)
