--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -35,7 +35,7 @@
         for store in self.stores.values():
             if store.running_replica is not None and store.running_replica.serving:
                 self.last_version_sent += 1
-                self._order_version(store, self.last_version_sent, "a")
+                self._submit_version(store, self.last_version_sent, "a")
         self._look(before)
 
     def _look(self, before: int) -> None:
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -198,9 +198,9 @@
             return
         if drawn > 0.25 or not self.last_version_sent:
             self.last_version_sent += 1
-        self._order_version(store, self.last_version_sent, self.chance.choice("ab"))
+        self._submit_version(store, self.last_version_sent, self.chance.choice("ab"))
 
-    def _order_version(self, store: SimulatedStore, number: int, operator: str) -> None:
+    def _submit_version(self, store: SimulatedStore, number: int, operator: str) -> None:
         version = f"{number:08x}"
         content = f"{version}/{operator}".encode()
 
