--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -50,7 +50,7 @@
         replica = store.running_replica
         return replica is not None and replica.serving and replica.view.epoch > self.epoch_at_loss
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         serving = next(s for s in self.stores.values() if s.replica is not None and s.replica.serving)
         assert serving.replica is not None
         view = serving.replica.view
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -225,10 +225,10 @@
 
     # Faults.
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         """One fault, within what may be lost at once; its end is planned with it."""
         if self.now < LENGTH_S - CALM_S:
-            self.schedule(self.chance.uniform(0.3, 4.0), self._trouble)
+            self.schedule(self.chance.uniform(0.3, 4.0), self._inject_fault)
         lost = [host for host, until in self.lost.items() if until > self.now]
         if len(lost) >= self.tolerance.machines:
             if self.chance.random() < 0.1:
@@ -301,7 +301,7 @@
             self._tick(store)
             self._status(store)
         self.schedule(5.0, self._send_operator_request)
-        self.schedule(8.0, self._trouble)
+        self.schedule(8.0, self._inject_fault)
         while self.now < LENGTH_S:
             self.now, _, work, args = heapq.heappop(self._events)
             work(*args)
