--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -59,7 +59,7 @@
         self.lost_at = self.now
         self.version_at_loss = self.checker.acknowledged
         self.epoch_at_loss = view.epoch
-        self._strike(store, self.kind, AWAY_S)
+        self._apply_fault(store, self.kind, AWAY_S)
 
     def _judge_end(self) -> None:
         pass
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -242,9 +242,9 @@
         self._note(f"{store.host}: {kind} for {span:.2f} s")
         if kind != "loss":
             self.lost[store.host] = self.now + span + CATCH_UP_S
-        self._strike(store, kind, span)
+        self._apply_fault(store, kind, span)
 
-    def _strike(self, store: SimulatedStore, kind: str, span: float) -> None:
+    def _apply_fault(self, store: SimulatedStore, kind: str, span: float) -> None:
         if kind in ("crash", "wipe"):
             self._crash(store, span, kind == "wipe")
         elif kind == "freeze":
