--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -61,7 +61,7 @@
         self.epoch_at_loss = view.epoch
         self._apply_fault(store, self.kind, AWAY_S)
 
-    def _judge_end(self) -> None:
+    def _check_final_state(self) -> None:
         pass
 
 
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -305,9 +305,9 @@
         while self.now < LENGTH_S:
             self.now, _, work, args = heapq.heappop(self._events)
             work(*args)
-        self._judge_end()
+        self._check_final_state()
 
-    def _judge_end(self) -> None:
+    def _check_final_state(self) -> None:
         serving = [s.replica for s in self.stores.values() if s.replica is not None and s.replica.serving]
         if not serving:
             raise Broken("no store serves after the calm at the end")
