--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -31,7 +31,7 @@
 
     def _send_operator_request(self) -> None:
         self.schedule(ORDER_EVERY_S, self._send_operator_request)
-        before = self.checker.acknowledged
+        before = self.checker.highest_confirmed
         for store in self.stores.values():
             if store.running_replica is not None and store.running_replica.serving:
                 self.last_version_sent += 1
@@ -41,7 +41,7 @@
     def _look(self, before: int) -> None:
         if not self.lost_at:
             return
-        if self.confirmed_after is None and self.checker.acknowledged > self.version_at_loss + 1:
+        if self.confirmed_after is None and self.checker.highest_confirmed > self.version_at_loss + 1:
             self.confirmed_after = self.now - self.lost_at
         if self.safe_after is None and any(self._serves_later_view(store) for store in self.stores.values()):
             self.safe_after = self.now - self.lost_at
@@ -57,7 +57,7 @@
         wanted = view.copies[0 if self.of_primary else 1]
         store = next(s for s in self.stores.values() if s.replica and s.replica.identity == wanted)
         self.lost_at = self.now
-        self.version_at_loss = self.checker.acknowledged
+        self.version_at_loss = self.checker.highest_confirmed
         self.epoch_at_loss = view.epoch
         self._apply_fault(store, self.kind, AWAY_S)
 
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -215,7 +215,7 @@
         self._run(store, store.replica.submit, order, reply)
 
     def _read(self, store: SimulatedStore) -> None:
-        asked_after = self.checker.acknowledged
+        asked_after = self.checker.highest_confirmed
 
         def reply(result: OrderResult) -> None:
             self.checker.read(asked_after, result)
@@ -313,8 +313,8 @@
             raise Broken("no store serves after the calm at the end")
         newest = max(serving, key=lambda replica: replica.view.epoch)
         held = int(newest.document.version or "0", 16)
-        if held < self.checker.acknowledged:
-            raise Broken(f"the end holds {held}, confirmed was {self.checker.acknowledged}")
+        if held < self.checker.highest_confirmed:
+            raise Broken(f"the end holds {held}, confirmed was {self.checker.highest_confirmed}")
 
 
 def play_history(seed: int, plan: SimulationParameters) -> tuple[int, str | None]:
@@ -323,8 +323,8 @@
     try:
         history.play()
     except Broken as broken:
-        return history.checker.acknowledged, f"history {seed} at {history.now:.3f} s: {broken}"
-    return history.checker.acknowledged, None
+        return history.checker.highest_confirmed, f"history {seed} at {history.now:.3f} s: {broken}"
+    return history.checker.highest_confirmed, None
 
 
 def tell_history(seed: int, plan: SimulationParameters) -> list[str]:
--- a/lupinreach/mesh/model/ledger.py
+++ b/lupinreach/mesh/model/ledger.py
@@ -40,7 +40,7 @@
     """Checks every confirmation against all earlier ones. Versions are numbers here."""
 
     pushed: int = 0  # version that a primary published last
-    acknowledged: int = 0  # highest version whose order was confirmed
+    highest_confirmed: int = 0  # highest version whose order was confirmed
     contents: dict[int, bytes] = field(default_factory=dict)  # confirmed or read under each version
     primaries: dict[int, str] = field(default_factory=dict)  # who served each epoch
     views: dict[int, str] = field(default_factory=dict)  # uid of the view of each epoch
@@ -60,8 +60,8 @@
 
     def complete_copy(self, identity: str, held: int) -> None:
         """A copy that counts as complete for the newest view holds a version: none that was confirmed is newer."""
-        if held < self.acknowledged:
-            raise Broken(f"the complete copy {identity} holds {held}, confirmed was {self.acknowledged}")
+        if held < self.highest_confirmed:
+            raise Broken(f"the complete copy {identity} holds {held}, confirmed was {self.highest_confirmed}")
 
     def served(self, epoch: int, identity: str) -> None:
         """A store says that it serves an epoch: one store does."""
@@ -74,7 +74,7 @@
         if stamp < self.newest_stamp:
             return  # a primary that stood still tells old news, which everybody skips by its stamp
         self.newest_stamp = stamp
-        self._holds(document.version, document.config, max(self.acknowledged, self.pushed), "published")
+        self._holds(document.version, document.config, max(self.highest_confirmed, self.pushed), "published")
         self.pushed = int(document.version or "0", 16)
 
     def durable(self, version: int, held: Mapping[str, int]) -> None:
@@ -87,7 +87,7 @@
         """The result of an order came back."""
         if result.error:
             return
-        self.acknowledged = max(self.acknowledged, version)
+        self.highest_confirmed = max(self.highest_confirmed, version)
         held = self.contents.setdefault(version, content)
         if held != content:
             raise Broken(f"version {version} was confirmed with two contents: {held!r} and {content!r}")
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -191,7 +191,7 @@
         """The same for states from which the same may follow."""
         stores = tuple(store.key() for store in self.stores.values())
         ledger = self.checker
-        seen = (ledger.acknowledged, tuple(sorted(ledger.contents.items())), tuple(ledger.newest_stamp))
+        seen = (ledger.highest_confirmed, tuple(sorted(ledger.contents.items())), tuple(ledger.newest_stamp))
         links = sorted(self.in_flight, key=lambda envelope: envelope[:2])
         return hash((stores, tuple(links), tuple(sorted(self.late)), seen, self.left, self.versions))
 
@@ -273,7 +273,7 @@
         order = Order(self.versions, int(OrderKind.REPLACE_CONFIGURATION), version, content)
         store = self.stores[host]
         assert store.replica is not None
-        reply = Results(self, store, self.versions, content, self.checker.acknowledged)
+        reply = Results(self, store, self.versions, content, self.checker.highest_confirmed)
         self.run(store, store.replica.submit, order, reply)
 
     def crash(self, host: str, wiped: bool) -> None:
