--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -71,7 +71,7 @@
     for seed in range(count):
         history = OneLoss(seed, SimulationParameters(), kind, of_primary)
         history.checker = InvariantChecker()
-        history.play()
+        history.run()
         found.append((history.confirmed_after or END_S, history.safe_after or END_S))
     return found
 
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -294,7 +294,7 @@
 
     # The whole.
 
-    def play(self) -> None:
+    def run(self) -> None:
         """From the first start to the calm at the end."""
         for store in self.stores.values():
             store.start(True)
@@ -321,7 +321,7 @@
     """Play one history: the highest version that was confirmed, and what broke, if anything."""
     history = History(seed, plan)
     try:
-        history.play()
+        history.run()
     except Broken as broken:
         return history.checker.highest_confirmed, f"history {seed} at {history.now:.3f} s: {broken}"
     return history.checker.highest_confirmed, None
@@ -332,7 +332,7 @@
     trace: list[str] = []
     history = History(seed, plan, trace)
     try:
-        history.play()
+        history.run()
     except Broken as broken:
         trace.append(f"{history.now:7.3f} BROKEN: {broken}")
     return trace
