--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -89,7 +89,7 @@
 
 
 class History:
-    """One drawn history; `play` raises `Broken` where an invariant fails."""
+    """One drawn history; `run` raises `Broken` where an invariant fails."""
 
     def __init__(self, seed: int, plan: SimulationParameters, trace: list[str] | None = None) -> None:
         self.chance = random.Random(seed)
