--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -9,7 +9,7 @@
 import sys
 from statistics import quantiles
 
-from lupinreach.mesh.model.ledger import InvariantChecker
+from lupinreach.mesh.model.invariants import InvariantChecker
 
 from lupinreach.mesh.model.histories import History, SimulatedStore, SimulationParameters
 
--- a/lupinreach/mesh/model/command.py
+++ b/lupinreach/mesh/model/command.py
@@ -8,9 +8,9 @@
 from cleo.helpers import option
 
 from lupinreach.mesh.model.histories import SimulationParameters, play_history, tell_history
+from lupinreach.mesh.model.history_format import BadHistory, read_budget, write_history
 from lupinreach.mesh.model.mistakes import MISTAKES
 from lupinreach.mesh.model.search import Found, search
-from lupinreach.mesh.model.written import BadHistory, read_budget, write_history
 
 EXIT_BROKEN = 1
 EXIT_INVALID = 2
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -20,7 +20,7 @@
 
 from lupinreach.mesh.events import Event
 from lupinreach.mesh.messages import Message, Order, OrderResult, decode, encode
-from lupinreach.mesh.model.ledger import Broken, InvariantChecker, complete_copies, held_versions
+from lupinreach.mesh.model.invariants import Broken, InvariantChecker, complete_copies, held_versions
 from lupinreach.mesh.model.disk import Fate, MemoryRecord, ProcessDied
 from lupinreach.mesh.store.document import Document, OrderKind
 from lupinreach.mesh.store.replica import Replica, Role
--- a/tests/mesh/test_model.py
+++ b/tests/mesh/test_model.py
@@ -7,9 +7,9 @@
 import pytest
 
 from lupinreach.mesh.model.histories import SimulationParameters, play_history
+from lupinreach.mesh.model.history_format import BadHistory, read_budget, read_history, write_history
 from lupinreach.mesh.model.mistakes import MISTAKES, Mistake
 from lupinreach.mesh.model.search import Budget, replay, search
-from lupinreach.mesh.model.written import BadHistory, read_budget, read_history, write_history
 
 FILES = sorted((Path(__file__).parent / "histories").glob("*.txt"))
 USUAL, LATE, LATE_FIVE = (
