--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -9,9 +9,8 @@
 import sys
 from statistics import quantiles
 
-from lupinreach.mesh.model.invariants import InvariantChecker
-
 from lupinreach.mesh.model.histories import History, SimulatedStore, SimulationParameters
+from lupinreach.mesh.model.invariants import InvariantChecker
 
 END_S = 40.0
 ORDER_EVERY_S = 0.05
--- a/lupinreach/mesh/model/command.py
+++ b/lupinreach/mesh/model/command.py
@@ -7,14 +7,14 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from lupinreach.mesh.model.histories import SimulationParameters, play_history, tell_history
-from lupinreach.mesh.model.history_format import BadHistory, read_budget, write_history
+from lupinreach.mesh.model.histories import SimulationParameters, run_history, trace_history
+from lupinreach.mesh.model.history_format import HistoryFormatError, format_history, parse_budget
 from lupinreach.mesh.model.mistakes import MISTAKES
-from lupinreach.mesh.model.search import Found, search
+from lupinreach.mesh.model.search import SearchResult, search
 
-EXIT_BROKEN = 1
+EXIT_VIOLATION = 1
 EXIT_INVALID = 2
-PROGRESS_EVERY = 100  # histories
+PROGRESS_INTERVAL_HISTORIES = 100  # histories
 
 
 class Model(Command):
@@ -43,54 +43,54 @@
 
     def handle(self) -> int:
         """Exit code 1 where an invariant broke, 2 where an option can't be read."""
-        wanted = self.option("mistake")
-        if wanted == "list":
+        mistake_name = self.option("mistake")
+        if mistake_name == "list":
             for mistake in MISTAKES:
-                self.line(f"{mistake.name:24} {mistake.told}")
+                self.line(f"{mistake.name:24} {mistake.description}")
             return 0
-        planted: AbstractContextManager[None] = nullcontext()
-        if wanted:
-            found = next((mistake for mistake in MISTAKES if mistake.name == wanted), None)
+        applied: AbstractContextManager[None] = nullcontext()
+        if mistake_name:
+            found = next((mistake for mistake in MISTAKES if mistake.name == mistake_name), None)
             if found is None:
-                self.line_error(f"mistake: {wanted!r} is unknown; `--mistake list` names all")
+                self.line_error(f"mistake: {mistake_name!r} is unknown; `--mistake list` names all")
                 return EXIT_INVALID
-            planted = found.planted()
+            applied = found.applied()
         try:
-            with planted:
-                return self._search() if self.option("search") else self._draw()
-        except BadHistory as wrong:
+            with applied:
+                return self._search() if self.option("search") else self._run_random_histories()
+        except HistoryFormatError as wrong:
             self.line_error(f"search: {wrong}")
             return EXIT_INVALID
 
     def _search(self) -> int:
-        budget = read_budget(self.option("search"))
-        found = search(budget, int(self.option("most")), self._progress)
-        self._progress(found)
+        budget = parse_budget(self.option("search"))
+        found = search(budget, int(self.option("most")), self._print_progress)
+        self._print_progress(found)
         if not found.broken:
             self.line("nothing broken" + ("" if found.complete else ", but not all states were seen"))
             return 0
         for line in found.story:
             self.line(line)
-        self.line(write_history("found by the search", budget, found.steps))
-        return EXIT_BROKEN
+        self.line(format_history("found by the search", budget, found.steps))
+        return EXIT_VIOLATION
 
-    def _progress(self, found: Found) -> None:
+    def _print_progress(self, found: SearchResult) -> None:
         self.line(f"{found.states} states, {found.moves} moves, {found.seconds:.1f} s")
 
-    def _draw(self) -> int:
+    def _run_random_histories(self) -> int:
         plan = SimulationParameters(
             int(self.option("lost")), float(self.option("late")), float(self.option("share"))
         )
         first, count = int(self.option("seed")), int(self.option("histories"))
         confirmed = 0
         for seed in range(first, first + count):
-            highest, broken = play_history(seed, plan)
+            highest, broken = run_history(seed, plan)
             confirmed += highest
             if broken is not None:
-                for line in tell_history(seed, plan):
+                for line in trace_history(seed, plan):
                     self.line(line)
-                return EXIT_BROKEN
-            if (seed - first + 1) % PROGRESS_EVERY == 0:
+                return EXIT_VIOLATION
+            if (seed - first + 1) % PROGRESS_INTERVAL_HISTORIES == 0:
                 self.line(f"{seed - first + 1} histories, {confirmed} orders confirmed")
         self.line(f"{count} histories, {confirmed} orders confirmed, nothing broken")
         return 0
--- a/lupinreach/mesh/model/disk.py
+++ b/lupinreach/mesh/model/disk.py
@@ -9,7 +9,7 @@
 from lupinreach.mesh.store.disk import DiskFailed
 
 
-class Fate(Enum):
+class DiskMode(Enum):
     """What becomes of the writes of a disk."""
 
     WELL = "well"
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.values: dict[str, Any] = {}
-        self.fate = Fate.WELL
+        self.mode = DiskMode.WELL
 
     def load(self) -> dict[str, Any]:
         """All values."""
@@ -35,10 +35,10 @@
 
     def save(self, changes: Mapping[str, Any]) -> None:
         """Keep the values; raises as the disk's fate has it."""
-        if self.fate is Fate.FULL:
+        if self.mode is DiskMode.FULL:
             raise DiskFailed("no space")
-        if self.fate is Fate.DIES_BEFORE:
+        if self.mode is DiskMode.DIES_BEFORE:
             raise ProcessDied
         self.values.update(changes)
-        if self.fate is Fate.DIES_AFTER:
+        if self.mode is DiskMode.DIES_AFTER:
             raise ProcessDied
--- a/lupinreach/mesh/model/invariants.py
+++ b/lupinreach/mesh/model/invariants.py
@@ -1,4 +1,4 @@
-"""What clients of a modelled store group have seen, and the invariants that this must keep."""
+"""Invariants of the store, checked against everything that clients of a modelled store group have observed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from lupinreach.mesh.store.view import View
 
 
-class Broken(AssertionError):
-    """An invariant does not hold; the text says which and how."""
+class InvariantViolated(AssertionError):
+    """An invariant does not hold; the message names the invariant and the conflicting values."""
 
 
-def complete_copies(view: View, records: Collection[MemoryRecord]) -> set[str]:
-    """The copies of a view that hold all, by their disks; those whose disks are lost count as such."""
+def complete_replicas(view: View, records: Collection[MemoryRecord]) -> set[str]:
+    """The replicas in a view whose disks mark them as complete for it; those whose disks are lost count too."""
     complete = set(view.copies)
     for record in records:
         if view.uid not in record.values.get("complete", {}):
@@ -24,8 +24,8 @@
     return complete
 
 
-def held_versions(view: View, records: Collection[MemoryRecord]) -> dict[str, int]:
-    """The versions on the disks of a view's copies, by identity; disks that are lost hold none."""
+def versions_on_disk(view: View, records: Collection[MemoryRecord]) -> dict[str, int]:
+    """The versions on the disks of the replicas in a view, by identity; lost disks are left out."""
     held = {}
     for record in records:
         values = record.values
@@ -37,71 +37,84 @@
 
 @dataclass
 class InvariantChecker:
-    """Checks every confirmation against all earlier ones. Versions are numbers here."""
+    """Checks each confirmation, read and published document against all earlier ones. Versions are integers here."""
 
-    pushed: int = 0  # version that a primary published last
+    last_published: int = 0  # version that a primary published last
     highest_confirmed: int = 0  # highest version whose order was confirmed
-    contents: dict[int, bytes] = field(default_factory=dict)  # confirmed or read under each version
-    primaries: dict[int, str] = field(default_factory=dict)  # who served each epoch
-    views: dict[int, str] = field(default_factory=dict)  # uid of the view of each epoch
-    newest_stamp: list[int] = field(default_factory=lambda: [0, 0])
-
-    def decided(self, view: View, complete: Collection[str]) -> None:
-        """A store learnt that a view is decided; `complete`: the copies that hold it, or whose disks are lost."""
-        uid = self.views.get(view.epoch)
+    contents: dict[int, bytes] = field(default_factory=dict)  # confirmed content by version
+    primary_by_epoch: dict[int, str] = field(
+        default_factory=dict
+    )  # identity of the store that served the epoch
+    view_uid_by_epoch: dict[int, str] = field(default_factory=dict)
+    newest_published_stamp: list[int] = field(default_factory=lambda: [0, 0])
+
+    def on_view_decided(self, view: View, complete: Collection[str]) -> None:
+        """Check that an epoch has one view, decided only once all its replicas are in `complete`.
+
+        `complete` are the replicas that hold all acknowledged data, and those whose disks are lost.
+        """
+        uid = self.view_uid_by_epoch.get(view.epoch)
         if uid is not None:
             if uid != view.uid:
-                raise Broken(f"epoch {view.epoch} has two views")
+                raise InvariantViolated(f"epoch {view.epoch} has two views")
             return
-        self.views[view.epoch] = view.uid
+        self.view_uid_by_epoch[view.epoch] = view.uid
         missing = sorted(set(view.copies) - set(complete))
         if missing:
-            raise Broken(f"view {view.epoch} is decided before {','.join(missing)} holds all")
+            raise InvariantViolated(f"view {view.epoch} is decided before {','.join(missing)} holds all")
 
-    def complete_copy(self, identity: str, held: int) -> None:
-        """A copy that counts as complete for the newest view holds a version: none that was confirmed is newer."""
+    def check_complete_replica(self, identity: str, held: int) -> None:
+        """Check that a replica marked complete for the newest view holds the highest confirmed version."""
         if held < self.highest_confirmed:
-            raise Broken(f"the complete copy {identity} holds {held}, confirmed was {self.highest_confirmed}")
+            raise InvariantViolated(
+                f"the complete copy {identity} holds {held}, confirmed was {self.highest_confirmed}"
+            )
 
-    def served(self, epoch: int, identity: str) -> None:
-        """A store says that it serves an epoch: one store does."""
-        owner = self.primaries.setdefault(epoch, identity)
+    def on_primary_serving(self, epoch: int, identity: str) -> None:
+        """Check that only one store ever reports that it serves an epoch."""
+        owner = self.primary_by_epoch.setdefault(epoch, identity)
         if owner != identity:
-            raise Broken(f"epoch {epoch} has two primaries")
-
-    def published(self, stamp: list[int], document: Document) -> None:
-        """A primary pushes a document: nothing that was confirmed is missing."""
-        if stamp < self.newest_stamp:
-            return  # a primary that stood still tells old news, which everybody skips by its stamp
-        self.newest_stamp = stamp
-        self._holds(document.version, document.config, max(self.highest_confirmed, self.pushed), "published")
-        self.pushed = int(document.version or "0", 16)
-
-    def durable(self, version: int, held: Mapping[str, int]) -> None:
-        """A version was confirmed: it is on the disk of every copy of the view."""
-        for identity, found in held.items():
-            if found < version:
-                raise Broken(f"{version} was confirmed while the copy {identity} held {found}")
-
-    def confirmed(self, version: int, content: bytes, result: OrderResult) -> None:
-        """The result of an order came back."""
+            raise InvariantViolated(f"epoch {epoch} has two primaries")
+
+    def on_published(self, stamp: list[int], document: Document) -> None:
+        """Check that a document that a primary publishes lacks nothing that was confirmed."""
+        if stamp < self.newest_published_stamp:
+            return  # a primary resuming after a freeze publishes an old state, which receivers skip by its stamp
+        self.newest_published_stamp = stamp
+        self._check_document(
+            document.version, document.config, max(self.highest_confirmed, self.last_published), "published"
+        )
+        self.last_published = int(document.version or "0", 16)
+
+    def check_durable(self, version: int, held: Mapping[str, int]) -> None:
+        """Check that a confirmed version is on the disk of every replica in the view."""
+        for identity, version_held in held.items():
+            if version_held < version:
+                raise InvariantViolated(
+                    f"{version} was confirmed while the copy {identity} held {version_held}"
+                )
+
+    def on_order_result(self, version: int, content: bytes, result: OrderResult) -> None:
+        """Record a confirmed order; one version is never confirmed with two contents."""
         if result.error:
             return
         self.highest_confirmed = max(self.highest_confirmed, version)
         held = self.contents.setdefault(version, content)
         if held != content:
-            raise Broken(f"version {version} was confirmed with two contents: {held!r} and {content!r}")
+            raise InvariantViolated(
+                f"version {version} was confirmed with two contents: {held!r} and {content!r}"
+            )
 
-    def read(self, asked_after: int, result: OrderResult) -> None:
-        """A read came back that was asked for once `asked_after` had been confirmed."""
+    def on_read_result(self, confirmed_before: int, result: OrderResult) -> None:
+        """Check a read against `confirmed_before`, the highest version confirmed when it was submitted."""
         if not result.error:
             version = result.payload.partition(b"/")[0].decode()
-            self._holds(version, result.payload, asked_after, "read")
+            self._check_document(version, result.payload, confirmed_before, "read")
 
-    def _holds(self, version: str, content: bytes, least: int, what: str) -> None:
+    def _check_document(self, version: str, content: bytes, minimum: int, operation: str) -> None:
         number = int(version or "0", 16)
-        if number < least:
-            raise Broken(f"{what} {number} after {least} was confirmed")
+        if number < minimum:
+            raise InvariantViolated(f"{operation} {number} after {minimum} was confirmed")
         held = self.contents.get(number)
         if held is not None and held != content:
-            raise Broken(f"{what} version {number} as {content!r}, confirmed as {held!r}")
+            raise InvariantViolated(f"{operation} version {number} as {content!r}, confirmed as {held!r}")
--- a/lupinreach/mesh/model/mistakes.py
+++ b/lupinreach/mesh/model/mistakes.py
@@ -24,20 +24,20 @@
     """One mistake: an attribute of a class, or an entry of a table, is replaced by what `make` gives for it."""
 
     name: str
-    told: str
+    description: str
     owner: Any
     attribute: Any
-    make: Callable[[Any], Any]
+    build_replacement: Callable[[Any], Any]
 
     @contextmanager
-    def planted(self) -> Iterator[None]:
+    def applied(self) -> Iterator[None]:
         """The store makes this mistake inside the block."""
         if isinstance(self.owner, dict):
             original = self.owner[self.attribute]
-            self.owner[self.attribute] = self.make(original)
+            self.owner[self.attribute] = self.build_replacement(original)
         else:
             original = self.owner.__dict__[self.attribute]
-            setattr(self.owner, self.attribute, self.make(original))
+            setattr(self.owner, self.attribute, self.build_replacement(original))
         try:
             yield
         finally:
@@ -101,7 +101,7 @@
     return install
 
 
-def _unsynced(original: Any) -> Any:
+def _unsynced_write(original: Any) -> Any:
     def write(self: StoreState, document: Document, incarnation: int) -> None:
         self.document = document
         self.complete = {self.view.uid: self.view.epoch}
@@ -153,11 +153,11 @@
     return promise
 
 
-def _half(original: Any) -> Any:
+def _half_majority(original: Any) -> Any:
     return property(lambda self: max(1, len(self.voters) // 2))
 
 
-def _reversed_ballots(original: Any) -> Any:
+def _ballots_ignored(original: Any) -> Any:
     def refusal(self: Acceptor, epoch: int, ballot: Any) -> Any:
         if self._state.view.epoch >= epoch:
             return original(self, epoch, ballot)
@@ -181,7 +181,7 @@
     return accept
 
 
-def _vote_before_phase(original: Any) -> Any:
+def _one_vote(original: Any) -> Any:
     def vote(self: Proposal, voter: str, message: Accepted) -> bool:
         self.accepted.add(voter)
         return self.phase is Phase.ACCEPT and len(self.accepted) >= 1
@@ -189,7 +189,7 @@
     return vote
 
 
-def _incomplete_proposes(original: Any) -> Any:
+def _any_voter_proposes(original: Any) -> Any:
     def may_propose(self: Replica) -> bool:
         if self.view.epoch == 0:
             return bool(original.fget(self))
@@ -238,7 +238,7 @@
     return with_configuration
 
 
-def _any_install(original: Any) -> Any:
+def _late_installation(original: Any) -> Any:
     def on_install(self: Replica, sender: str, message: Any) -> None:
         if message.epoch < self.view.epoch:
             return original(self, sender, message)
@@ -298,7 +298,7 @@
         "install",
         _installed_unsealed,
     ),
-    Mistake("unsynced-write", "a backup answers before its sync", StoreState, "write", _unsynced),
+    Mistake("unsynced-write", "a backup answers before its sync", StoreState, "write", _unsynced_write),
     Mistake("unsealed", "a proposer goes on taking writes of the old view", StoreState, "seal", _unsealed),
     Mistake("seal-unsynced", "the seal is lost with the process", StoreState, "seal", _seal_unsynced),
     Mistake(
@@ -316,19 +316,19 @@
         _no_wait_for_copies,
     ),
     Mistake("no-adoption", "an accepted view is not adopted", Proposal, "promise", _no_adoption),
-    Mistake("half-is-majority", "half of the voters decide", View, "majority", _half),
-    Mistake("ballots-ignored", "votes are given to lower ballots", Acceptor, "_refusal", _reversed_ballots),
+    Mistake("half-is-majority", "half of the voters decide", View, "majority", _half_majority),
+    Mistake("ballots-ignored", "votes are given to lower ballots", Acceptor, "_refusal", _ballots_ignored),
     Mistake(
         "promise-unsynced", "a promise is lost with the process", StoreState, "promise", _promise_unsynced
     ),
     Mistake("vote-unsynced", "a vote is lost with the process", StoreState, "accept", _vote_unsynced),
-    Mistake("one-vote", "one vote decides", Proposal, "vote", _vote_before_phase),
+    Mistake("one-vote", "one vote decides", Proposal, "vote", _one_vote),
     Mistake(
         "any-voter-proposes",
         "a voter that is no copy proposes",
         Replica,
         "_may_propose",
-        _incomplete_proposes,
+        _any_voter_proposes,
     ),
     Mistake(
         "serves-at-once",
@@ -363,6 +363,6 @@
         "a late installation changes a copy of the decided view",
         replica_module._HANDLERS,
         Install,
-        _any_install,
+        _late_installation,
     ),
 )
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -20,8 +20,13 @@
 
 from lupinreach.mesh.events import Event
 from lupinreach.mesh.messages import Message, Order, OrderResult, decode, encode
-from lupinreach.mesh.model.invariants import Broken, InvariantChecker, complete_copies, held_versions
-from lupinreach.mesh.model.disk import Fate, MemoryRecord, ProcessDied
+from lupinreach.mesh.model.disk import DiskMode, MemoryRecord, ProcessDied
+from lupinreach.mesh.model.invariants import (
+    InvariantChecker,
+    InvariantViolated,
+    complete_replicas,
+    versions_on_disk,
+)
 from lupinreach.mesh.store.document import Document, OrderKind
 from lupinreach.mesh.store.replica import Replica, Role
 from lupinreach.mesh.store.state import Acceptance
@@ -93,15 +98,15 @@
     store: SmallStore
     version: int
     content: bytes
-    asked_after: int
+    confirmed_before: int
 
     def __call__(self, result: OrderResult) -> None:
         if self.version:
-            self.cluster.checker.confirmed(self.version, self.content, result)
+            self.cluster.checker.on_order_result(self.version, self.content, result)
             if not result.error:
-                self.cluster.checker.durable(self.version, self.cluster.held(self.store))
+                self.cluster.checker.check_durable(self.version, self.cluster.held(self.store))
         else:
-            self.cluster.checker.read(self.asked_after, result)
+            self.cluster.checker.on_read_result(self.confirmed_before, result)
 
 
 class SmallStore:
@@ -134,23 +139,23 @@
 
     def log(self, event: Event, **facts: Any) -> None:
         if event is Event.PRIMARY_SERVING and self.replica is not None:
-            self.cluster.checker.served(facts["epoch"], self.replica.identity)
+            self.cluster.checker.on_primary_serving(facts["epoch"], self.replica.identity)
         if event is Event.VIEW_DECIDED and self.replica is not None:
-            self.cluster.decided(self.replica.view)
+            self.cluster.on_view_decided(self.replica.view)
 
     def publish(self, stamp: list[int], document: Document) -> None:
-        self.cluster.checker.published(stamp, document)
+        self.cluster.checker.on_published(stamp, document)
 
     def key(self) -> Any:
         """All that decides what this store does next."""
         values = msgpack.packb(sorted(self.record.values.items()), default=str)
         if self.replica is None:
-            return values, self.record.fate.value
+            return values, self.record.mode.value
         replica = self.replica
         proposal, current = replica._proposal, replica._primary.round
         return (
             values,
-            self.record.fate.value,
+            self.record.mode.value,
             replica.role.value,
             replica.healthy,
             replica._highest_round,
@@ -183,22 +188,28 @@
         self.stores = {host: SmallStore(self, host) for host in HOSTS}
         self.versions = 0
 
-    def decided(self, view: View) -> None:
+    def on_view_decided(self, view: View) -> None:
         """A store learnt of a view: every copy of it holds all, or its disk was lost since."""
-        self.checker.decided(view, complete_copies(view, [store.record for store in self.stores.values()]))
+        self.checker.on_view_decided(
+            view, complete_replicas(view, [store.record for store in self.stores.values()])
+        )
 
     def key(self) -> Any:
         """The same for states from which the same may follow."""
         stores = tuple(store.key() for store in self.stores.values())
         ledger = self.checker
-        seen = (ledger.highest_confirmed, tuple(sorted(ledger.contents.items())), tuple(ledger.newest_stamp))
+        seen = (
+            ledger.highest_confirmed,
+            tuple(sorted(ledger.contents.items())),
+            tuple(ledger.newest_published_stamp),
+        )
         links = sorted(self.in_flight, key=lambda envelope: envelope[:2])
         return hash((stores, tuple(links), tuple(sorted(self.late)), seen, self.left, self.versions))
 
     def held(self, store: SmallStore) -> dict[str, int]:
         """The versions on the disks of the copies of a store's view, lost ones left out."""
         assert store.replica is not None
-        return held_versions(store.replica.view, [other.record for other in self.stores.values()])
+        return versions_on_disk(store.replica.view, [other.record for other in self.stores.values()])
 
     # Moves. Each changes this state; the search copies it before.
 
@@ -214,11 +225,15 @@
         getattr(self, method)(*args)
         for store in self.stores.values():
             replica = store.replica
-            if replica is None or not self.checker.views or replica.view.epoch < max(self.checker.views):
+            if (
+                replica is None
+                or not self.checker.view_uid_by_epoch
+                or replica.view.epoch < max(self.checker.view_uid_by_epoch)
+            ):
                 continue
             if replica.state.holds_all and replica.identity in replica.view.copies:
                 held = int(replica.document.version or "0", 16)
-                self.checker.complete_copy(replica.identity, held)
+                self.checker.check_complete_replica(replica.identity, held)
 
     def deliver(self, index: int, again: bool) -> None:
         """A message arrives; it may come once more later."""
@@ -252,7 +267,7 @@
         for known in replica.members.others.values():
             other = self.stores[known.member.host]
             known.heard_at = LONG_AGO if known.member.host == dead or other.replica is None else NOW
-            known.healthy = other.record.fate is not Fate.FULL
+            known.healthy = other.record.mode is not DiskMode.FULL
             known.shunned_until = 0.0
         replica._now = 0.0
         replica._retry_at = 0.0
@@ -285,25 +300,25 @@
             store.record = MemoryRecord()
         else:
             self.left = replace(self.left, crashes=self.left.crashes - 1)
-        store.record.fate = Fate.WELL
+        store.record.mode = DiskMode.WELL
         store.start(False)
 
     def restart(self, host: str) -> None:
         """A process that died in a write starts again."""
-        self.stores[host].record.fate = Fate.WELL
+        self.stores[host].record.mode = DiskMode.WELL
         self.stores[host].start(False)
 
-    def doom(self, host: str, fate: Fate) -> None:
+    def doom(self, host: str, disk_mode: DiskMode) -> None:
         """The next write of a disk will not go well."""
-        if fate is Fate.FULL:
+        if disk_mode is DiskMode.FULL:
             self.left = replace(self.left, full_disks=self.left.full_disks - 1)
         else:
             self.left = replace(self.left, deaths=self.left.deaths - 1)
-        self.stores[host].record.fate = fate
+        self.stores[host].record.mode = disk_mode
 
     def free(self, host: str) -> None:
         """A full disk takes writes again."""
-        self.stores[host].record.fate = Fate.WELL
+        self.stores[host].record.mode = DiskMode.WELL
 
     def moves(self) -> Iterator[tuple[str, tuple[Any, ...]]]:
         """What may happen next: method and arguments."""
@@ -335,14 +350,14 @@
             yield "crash", (host, False)
         if self.left.wipes:
             yield "crash", (host, True)
-        if store.record.fate is Fate.FULL:
+        if store.record.mode is DiskMode.FULL:
             yield "free", (host,)
-        elif store.record.fate is Fate.WELL:
+        elif store.record.mode is DiskMode.WELL:
             if self.left.full_disks:
-                yield "doom", (host, Fate.FULL)
+                yield "doom", (host, DiskMode.FULL)
             if self.left.deaths:
-                yield "doom", (host, Fate.DIES_BEFORE)
-                yield "doom", (host, Fate.DIES_AFTER)
+                yield "doom", (host, DiskMode.DIES_BEFORE)
+                yield "doom", (host, DiskMode.DIES_AFTER)
 
     def tell(self, method: str, args: tuple[Any, ...]) -> str:
         """A move in words, told before it is made."""
@@ -366,7 +381,7 @@
 
 
 @dataclass
-class Found:
+class SearchResult:
     """What a search saw."""
 
     states: int = 0
@@ -393,10 +408,12 @@
     return cluster
 
 
-def search(budget: Budget, most: int, progress: Callable[[Found], None] = lambda found: None) -> Found:
+def search(
+    budget: Budget, most: int, progress: Callable[[SearchResult], None] = lambda found: None
+) -> SearchResult:
     """All states within a budget, nearest first, `most` of them at most."""
     began = time.monotonic()
-    found = Found()
+    found = SearchResult()
     first = founded(budget)
     line = deque([(pickle.dumps(first), 0)])
     parents: list[tuple[int, Step]] = [(-1, ("", ()))]
@@ -409,7 +426,7 @@
             found.moves += 1
             try:
                 state.make(method, args)
-            except Broken:
+            except InvariantViolated:
                 found.steps = [*_steps(parents, number), (method, args)]
                 found.story = replay(budget, found.steps)
                 found.seconds = time.monotonic() - began
@@ -447,6 +464,6 @@
         story.append(state.tell(method, args))
         try:
             state.make(method, args)
-        except Broken as broken:
+        except InvariantViolated as broken:
             return [*story, f"BROKEN: {broken}"]
     return story
--- a/tests/mesh/test_model.py
+++ b/tests/mesh/test_model.py
@@ -6,8 +6,13 @@
 
 import pytest
 
-from lupinreach.mesh.model.histories import SimulationParameters, play_history
-from lupinreach.mesh.model.history_format import BadHistory, read_budget, read_history, write_history
+from lupinreach.mesh.model.histories import SimulationParameters, run_history
+from lupinreach.mesh.model.history_format import (
+    HistoryFormatError,
+    format_history,
+    parse_budget,
+    parse_history,
+)
 from lupinreach.mesh.model.mistakes import MISTAKES, Mistake
 from lupinreach.mesh.model.search import Budget, replay, search
 
@@ -40,7 +45,7 @@
 }
 
 
-def mistake(name: str) -> Mistake:
+def find_mistake(name: str) -> Mistake:
     return next(one for one in MISTAKES if one.name == name)
 
 
@@ -50,15 +55,15 @@
 
 @pytest.mark.parametrize("name", sorted(DRAWN))
 def test_a_drawn_history_finds_the_mistake(name: str) -> None:
-    with mistake(name).planted():
-        assert play_history(*DRAWN[name])[1] is not None
-    assert play_history(*DRAWN[name])[1] is None
+    with find_mistake(name).applied():
+        assert run_history(*DRAWN[name])[1] is not None
+    assert run_history(*DRAWN[name])[1] is None
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
 def test_a_shortest_history_finds_the_mistake(path: Path) -> None:
-    budget, steps = read_history(path.read_text())
-    with mistake(path.stem).planted():
+    budget, steps = parse_history(path.read_text())
+    with find_mistake(path.stem).applied():
         assert replay(budget, steps)[-1].startswith("BROKEN")
 
 
@@ -79,10 +84,10 @@
 def test_a_history_is_read_as_it_was_written() -> None:
     steps = [("deliver", (3, False)), ("time_out", ("a", "")), ("order", ("a", "x"))]
     budget = Budget(orders=1, timeouts=2)
-    assert read_history(write_history("told", budget, steps)) == (budget, steps)
+    assert parse_history(format_history("told", budget, steps)) == (budget, steps)
 
 
 @pytest.mark.parametrize("words", ["orders", "orders=x", "luck=1"])
 def test_a_budget_that_cannot_be_read_is_named(words: str) -> None:
-    with pytest.raises(BadHistory, match=words):
-        read_budget(words)
+    with pytest.raises(HistoryFormatError, match=words):
+        parse_budget(words)
