--- a/lupinreach/mesh/model/command.py
+++ b/lupinreach/mesh/model/command.py
@@ -1,4 +1,7 @@
-"""`lupinreach mesh model`: drawn histories and exhaustive search of the store, with mistakes planted on demand."""
+"""`lupinreach mesh model`: model checks of the store by random histories or exhaustive search.
+
+A deliberate mistake can be applied to show that a check detects it.
+"""
 
 from __future__ import annotations
 
@@ -18,31 +21,37 @@
 
 
 class Model(Command):
+    """Runs random histories or an exhaustive search of the store, optionally with a deliberate mistake."""
+
     name = "model"
     description = (
-        "Play the store's own functions through drawn histories, or through all states of a small group."
+        "Check the store's own functions on random histories, or on all states of a small group of stores."
     )
     options = [
-        option("histories", None, "how many histories to draw", flag=False, default="200"),
-        option("seed", None, "the first seed", flag=False, default="0"),
+        option("histories", None, "number of random histories", flag=False, default="200"),
+        option("seed", None, "seed of the first history; each next one adds 1", flag=False, default="0"),
         option(
             "lost",
             None,
-            "stores that may be lost at once: 1, 2 or 4 (3, 5 or 9 stores)",
+            "number of stores that may be lost at once: 1, 2 or 4 (of 3, 5 or 9 stores)",
             flag=False,
             default="1",
         ),
         option(
-            "late", None, "by how many seconds messages are late or doubled, at most", flag=False, default="5"
+            "late", None, "longest delay of delayed or duplicated messages, seconds", flag=False, default="5"
+        ),
+        option(
+            "share", None, "fraction of messages that are delayed or duplicated", flag=False, default="0.1"
+        ),
+        option(
+            "search", None, "search all states within a budget, such as `orders=1 timeouts=2`", flag=False
         ),
-        option("share", None, "of messages that are", flag=False, default="0.1"),
-        option("search", None, "search all states within a budget, as `orders=1 timeouts=2`", flag=False),
-        option("most", None, "states that a search keeps, at most", flag=False, default="200000"),
-        option("mistake", None, "plant a mistake by name; `list` names them", flag=False),
+        option("most", None, "maximum number of states that a search keeps", flag=False, default="200000"),
+        option("mistake", None, "apply a deliberate mistake by name; `list` prints all names", flag=False),
     ]
 
     def handle(self) -> int:
-        """Exit code 1 where an invariant broke, 2 where an option can't be read."""
+        """Exit code 1 if an invariant is violated, 2 if an option is invalid."""
         mistake_name = self.option("mistake")
         if mistake_name == "list":
             for mistake in MISTAKES:
@@ -58,18 +67,18 @@
         try:
             with applied:
                 return self._search() if self.option("search") else self._run_random_histories()
-        except HistoryFormatError as wrong:
-            self.line_error(f"search: {wrong}")
+        except HistoryFormatError as error:
+            self.line_error(f"search: {error}")
             return EXIT_INVALID
 
     def _search(self) -> int:
         budget = parse_budget(self.option("search"))
         found = search(budget, int(self.option("most")), self._print_progress)
         self._print_progress(found)
-        if not found.broken:
+        if not found.violated:
             self.line("nothing broken" + ("" if found.complete else ", but not all states were seen"))
             return 0
-        for line in found.story:
+        for line in found.trace:
             self.line(line)
         self.line(format_history("found by the search", budget, found.steps))
         return EXIT_VIOLATION
@@ -78,16 +87,16 @@
         self.line(f"{found.states} states, {found.moves} moves, {found.seconds:.1f} s")
 
     def _run_random_histories(self) -> int:
-        plan = SimulationParameters(
+        parameters = SimulationParameters(
             int(self.option("lost")), float(self.option("late")), float(self.option("share"))
         )
         first, count = int(self.option("seed")), int(self.option("histories"))
         confirmed = 0
         for seed in range(first, first + count):
-            highest, broken = run_history(seed, plan)
+            highest, violation = run_history(seed, parameters)
             confirmed += highest
-            if broken is not None:
-                for line in trace_history(seed, plan):
+            if violation is not None:
+                for line in trace_history(seed, parameters):
                     self.line(line)
                 return EXIT_VIOLATION
             if (seed - first + 1) % PROGRESS_INTERVAL_HISTORIES == 0:
--- a/lupinreach/mesh/model/disk.py
+++ b/lupinreach/mesh/model/disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory for models: what was saved stays unless the disk is lost; a write may be refused or cut."""
+"""An in-memory disk for models: saved values survive a crash; a write may be refused or interrupted."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class DiskMode(Enum):
-    """What becomes of the writes of a disk."""
+    """How a disk treats writes."""
 
     WELL = "well"
-    FULL = "full"  # refused
-    DIES_BEFORE = "dies before"  # the process dies at the next one, which is lost
-    DIES_AFTER = "dies after"  # the process dies once the next one is done
+    FULL = "full"  # writes are refused
+    DIES_BEFORE = "dies before"  # the process dies in the next write, which is lost
+    DIES_AFTER = "dies after"  # the process dies after the next write is stored
 
 
 class ProcessDied(Exception):
@@ -23,18 +23,18 @@
 
 
 class MemoryRecord:
-    """As `SqliteRecord`, without a file."""
+    """In-memory counterpart of `SqliteRecord`."""
 
     def __init__(self) -> None:
         self.values: dict[str, Any] = {}
         self.mode = DiskMode.WELL
 
     def load(self) -> dict[str, Any]:
-        """All values."""
+        """Return a copy of all values."""
         return dict(self.values)
 
     def save(self, changes: Mapping[str, Any]) -> None:
-        """Keep the values; raises as the disk's fate has it."""
+        """Store the values; raises `DiskFailed` or `ProcessDied` as the disk's mode demands."""
         if self.mode is DiskMode.FULL:
             raise DiskFailed("no space")
         if self.mode is DiskMode.DIES_BEFORE:
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -336,8 +336,8 @@
     history = History(seed, parameters)
     try:
         history.run()
-    except InvariantViolated as broken:
-        return history.checker.highest_confirmed, f"history {seed} at {history.now:.3f} s: {broken}"
+    except InvariantViolated as violation:
+        return history.checker.highest_confirmed, f"history {seed} at {history.now:.3f} s: {violation}"
     return history.checker.highest_confirmed, None
 
 
@@ -347,6 +347,6 @@
     history = History(seed, parameters, trace)
     try:
         history.run()
-    except InvariantViolated as broken:
-        trace.append(f"{history.now:7.3f} BROKEN: {broken}")
+    except InvariantViolated as violation:
+        trace.append(f"{history.now:7.3f} BROKEN: {violation}")
     return trace
--- a/lupinreach/mesh/model/history_format.py
+++ b/lupinreach/mesh/model/history_format.py
@@ -1,4 +1,4 @@
-"""Histories of the search as small text files: a budget, then one move a line."""
+"""Text format for histories of the search: a line with the budget, then one move per line."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class HistoryFormatError(ValueError):
-    """A line of a history file, or a word of a budget, that can't be read; the text names it."""
+    """A word of a budget cannot be parsed; the message names it."""
 
 
 def parse_budget(words: str) -> Budget:
-    """`orders=1 timeouts=2` as a budget; `BadHistory` names a word that is none."""
+    """Parse a budget such as `orders=1 timeouts=2`; raises `HistoryFormatError`."""
     counts_by_name: dict[str, int] = {}
     for word in words.replace(",", " ").split():
         name, _, count = word.partition("=")
@@ -29,7 +29,7 @@
 
 
 def format_history(title: str, budget: Budget, steps: list[Step]) -> str:
-    """The text of a history."""
+    """Format a history, with the title as a comment."""
     counts = [f"{name}={getattr(budget, name)}" for name in Budget.__dataclass_fields__]
     lines = [
         f"# {title}",
@@ -48,7 +48,7 @@
 
 
 def parse_history(text: str) -> tuple[Budget, list[Step]]:
-    """The inverse of `write_history`."""
+    """Parse a history; the inverse of `format_history`."""
     budget, steps = Budget(), []
     for line in text.splitlines():
         words = line.split("#")[0].split()
--- a/lupinreach/mesh/model/mistakes.py
+++ b/lupinreach/mesh/model/mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes that can be planted in the store, one at a time, to show that the models would find them."""
+"""Deliberate mistakes in the store, applied one at a time, to show that the models detect them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    """One mistake: an attribute of a class, or an entry of a table, is replaced by what `make` gives for it."""
+    """One mistake: replaces an attribute of a class or module, or a dictionary entry.
+
+    `build_replacement` receives the original and returns what stands in its place.
+    """
 
     name: str
     description: str
@@ -31,7 +34,7 @@
 
     @contextmanager
     def applied(self) -> Iterator[None]:
-        """The store makes this mistake inside the block."""
+        """Apply the mistake for the duration of the block."""
         if isinstance(self.owner, dict):
             original = self.owner[self.attribute]
             self.owner[self.attribute] = self.build_replacement(original)
@@ -257,26 +260,32 @@
 MISTAKES = (
     Mistake(
         "late-write",
-        "a whole write is taken whatever its sequence",
+        "a write of a whole document is accepted whatever its sequence",
         replica_module,
         "take_write",
         _late_write,
     ),
     Mistake(
         "change-unchecked",
-        "a change is applied to whatever is held",
+        "a change is applied to a document of any sequence",
         replica_module,
         "take_write",
         _unchecked_change,
     ),
     Mistake(
         "own-disk-ignored",
-        "a primary whose own disk refuses acknowledges",
+        "a primary acknowledges although its own disk refused the write",
         Primary,
         "begin_round",
         _own_disk_ignored,
     ),
-    Mistake("disk-unheeded", "a copy whose disk refuses stays one", Members, "has_failed", _disk_unheeded),
+    Mistake(
+        "disk-unheeded",
+        "a replica whose disk refuses writes stays one",
+        Members,
+        "has_failed",
+        _disk_unheeded,
+    ),
     Mistake(
         "numbers-alone",
         "orders are compared by number, not by content",
@@ -286,31 +295,39 @@
     ),
     Mistake(
         "written-by-round",
-        "an answer to an earlier life's write counts",
+        "an answer to a write of an earlier incarnation counts",
         Primary,
         "written",
         _written_by_round,
     ),
     Mistake(
         "installed-unsealed",
-        "a copy of a proposed view goes on with the old one",
+        "a replica in a proposed view still accepts writes of the old view",
         StoreState,
         "install",
         _installed_unsealed,
     ),
-    Mistake("unsynced-write", "a backup answers before its sync", StoreState, "write", _unsynced_write),
-    Mistake("unsealed", "a proposer goes on taking writes of the old view", StoreState, "seal", _unsealed),
-    Mistake("seal-unsynced", "the seal is lost with the process", StoreState, "seal", _seal_unsynced),
+    Mistake(
+        "unsynced-write", "a backup answers before its write is synced", StoreState, "write", _unsynced_write
+    ),
+    Mistake("unsealed", "a proposer still accepts writes of the old view", StoreState, "seal", _unsealed),
+    Mistake(
+        "seal-unsynced",
+        "the seal is not on disk and lost with the process",
+        StoreState,
+        "seal",
+        _seal_unsynced,
+    ),
     Mistake(
         "marks-dropped",
-        "a view that is learnt late drops the mark of a later one",
+        "learning a view late drops the completeness mark of a later one",
         StoreState,
         "learn",
         _marks_dropped,
     ),
     Mistake(
         "no-wait-for-copies",
-        "a proposer does not wait for its copies",
+        "a proposer does not wait for the replicas in its view",
         Proposal,
         "installed",
         _no_wait_for_copies,
@@ -319,13 +336,23 @@
     Mistake("half-is-majority", "half of the voters decide", View, "majority", _half_majority),
     Mistake("ballots-ignored", "votes are given to lower ballots", Acceptor, "_refusal", _ballots_ignored),
     Mistake(
-        "promise-unsynced", "a promise is lost with the process", StoreState, "promise", _promise_unsynced
+        "promise-unsynced",
+        "a promise is not on disk and lost with the process",
+        StoreState,
+        "promise",
+        _promise_unsynced,
+    ),
+    Mistake(
+        "vote-unsynced",
+        "a vote is not on disk and lost with the process",
+        StoreState,
+        "accept",
+        _vote_unsynced,
     ),
-    Mistake("vote-unsynced", "a vote is lost with the process", StoreState, "accept", _vote_unsynced),
     Mistake("one-vote", "one vote decides", Proposal, "vote", _one_vote),
     Mistake(
         "any-voter-proposes",
-        "a voter that is no copy proposes",
+        "a voter that is not a replica in the view proposes",
         Replica,
         "_may_propose",
         _any_voter_proposes,
@@ -339,14 +366,14 @@
     ),
     Mistake(
         "first-answer-counts",
-        "a write is done once one backup has it",
+        "a write counts as complete once one backup has it",
         Primary,
         "written",
         _first_answer_counts,
     ),
     Mistake(
         "mark-without-document",
-        "a copy is marked complete without the document",
+        "a replica is marked complete without the document",
         StoreState,
         "install",
         _mark_without_document,
@@ -360,7 +387,7 @@
     ),
     Mistake(
         "late-installation",
-        "a late installation changes a copy of the decided view",
+        "a late installation changes a replica in the decided view",
         replica_module._HANDLERS,
         Install,
         _late_installation,
--- a/tests/mesh/test_model.py
+++ b/tests/mesh/test_model.py
@@ -1,4 +1,4 @@
-"""The models find every mistake that is planted, and nothing in the text as it is."""
+"""The model checks detect every deliberate mistake, and find no violation in the store without one."""
 
 from __future__ import annotations
 
@@ -16,52 +16,56 @@
 from lupinreach.mesh.model.mistakes import MISTAKES, Mistake
 from lupinreach.mesh.model.search import Budget, replay, search
 
-FILES = sorted((Path(__file__).parent / "histories").glob("*.txt"))
-USUAL, LATE, LATE_FIVE = (
+HISTORY_FILES = sorted((Path(__file__).parent / "histories").glob("*.txt"))
+NORMAL, DELAYED, DELAYED_FIVE_STORES = (
     SimulationParameters(),
     SimulationParameters(1, 5.0, 0.1),
     SimulationParameters(2, 5.0, 0.1),
 )
 
-# A drawn history that finds each mistake which has no file; the seeds were the first that did.
-DRAWN = {
-    "late-write": (0, LATE),
-    "change-unchecked": (2, LATE),
-    "own-disk-ignored": (1, USUAL),
-    "disk-unheeded": (1, USUAL),
-    "numbers-alone": (0, USUAL),
-    "installed-unsealed": (0, LATE_FIVE),
-    "unsynced-write": (0, USUAL),
-    "unsealed": (0, LATE_FIVE),
-    "seal-unsynced": (1, LATE),
-    "marks-dropped": (16, LATE),
-    "no-wait-for-copies": (0, LATE_FIVE),
-    "no-adoption": (39, LATE),
-    "half-is-majority": (18, LATE_FIVE),
-    "ballots-ignored": (0, LATE),
-    "any-voter-proposes": (0, LATE),
-    "first-answer-counts": (0, LATE_FIVE),
-    "mark-without-document": (6, LATE_FIVE),
+# Seed and parameters of a random history that detects the mistake, for each one that has no history file. The
+# seed was the first that did.
+DETECTING_SEEDS = {
+    "late-write": (0, DELAYED),
+    "change-unchecked": (2, DELAYED),
+    "own-disk-ignored": (1, NORMAL),
+    "disk-unheeded": (1, NORMAL),
+    "numbers-alone": (0, NORMAL),
+    "installed-unsealed": (0, DELAYED_FIVE_STORES),
+    "unsynced-write": (0, NORMAL),
+    "unsealed": (0, DELAYED_FIVE_STORES),
+    "seal-unsynced": (1, DELAYED),
+    "marks-dropped": (16, DELAYED),
+    "no-wait-for-copies": (0, DELAYED_FIVE_STORES),
+    "no-adoption": (39, DELAYED),
+    "half-is-majority": (18, DELAYED_FIVE_STORES),
+    "ballots-ignored": (0, DELAYED),
+    "any-voter-proposes": (0, DELAYED),
+    "first-answer-counts": (0, DELAYED_FIVE_STORES),
+    "mark-without-document": (6, DELAYED_FIVE_STORES),
 }
 
 
 def find_mistake(name: str) -> Mistake:
-    return next(one for one in MISTAKES if one.name == name)
+    return next(mistake for mistake in MISTAKES if mistake.name == name)
 
 
 def test_every_mistake_has_a_history() -> None:
-    assert {one.name for one in MISTAKES} == {*DRAWN, *(path.stem for path in FILES)}
+    assert {mistake.name for mistake in MISTAKES} == {
+        *DETECTING_SEEDS,
+        *(path.stem for path in HISTORY_FILES),
+    }
 
 
-@pytest.mark.parametrize("name", sorted(DRAWN))
-def test_a_drawn_history_finds_the_mistake(name: str) -> None:
+@pytest.mark.parametrize("name", sorted(DETECTING_SEEDS))
+def test_random_history_detects_mistake(name: str) -> None:
     with find_mistake(name).applied():
-        assert run_history(*DRAWN[name])[1] is not None
-    assert run_history(*DRAWN[name])[1] is None
+        assert run_history(*DETECTING_SEEDS[name])[1] is not None
+    assert run_history(*DETECTING_SEEDS[name])[1] is None
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_a_shortest_history_finds_the_mistake(path: Path) -> None:
+@pytest.mark.parametrize("path", HISTORY_FILES, ids=lambda path: path.stem)
+def test_shortest_history_detects_mistake(path: Path) -> None:
     budget, steps = parse_history(path.read_text())
     with find_mistake(path.stem).applied():
         assert replay(budget, steps)[-1].startswith("BROKEN")
@@ -75,19 +79,19 @@
         (Budget(timeouts=1, doubles=1), 2_500),
     ],
 )
-def test_nothing_breaks_in_any_state_of_a_small_group(budget: Budget, states: int) -> None:
+def test_no_state_of_a_small_group_violates_an_invariant(budget: Budget, states: int) -> None:
     found = search(budget, 20_000)
-    assert found.complete and not found.broken
+    assert found.complete and not found.violated
     assert found.states > states
 
 
-def test_a_history_is_read_as_it_was_written() -> None:
+def test_formatted_history_parses_back() -> None:
     steps = [("deliver", (3, False)), ("time_out", ("a", "")), ("order", ("a", "x"))]
     budget = Budget(orders=1, timeouts=2)
-    assert parse_history(format_history("told", budget, steps)) == (budget, steps)
+    assert parse_history(format_history("title", budget, steps)) == (budget, steps)
 
 
 @pytest.mark.parametrize("words", ["orders", "orders=x", "luck=1"])
-def test_a_budget_that_cannot_be_read_is_named(words: str) -> None:
+def test_invalid_budget_word_is_named(words: str) -> None:
     with pytest.raises(HistoryFormatError, match=words):
         parse_budget(words)
--- a/tests/mesh/test_store_histories.py
+++ b/tests/mesh/test_store_histories.py
@@ -1,4 +1,4 @@
-"""Drawn histories of the store: crashes, lost and full disks, freezes, cuts, messages lost, doubled and late."""
+"""Random fault histories of the store; see `lupinreach.mesh.model.histories` for the faults."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 from lupinreach.mesh.model.histories import SimulationParameters, run_history
 
-HISTORIES = 40
-# Drawn later: a store that was slow in the founding had no vote, and two voters did not bear the loss of one.
-FOUND_BROKEN = [(101836, SimulationParameters(1, 5.0, 0.1))]
+HISTORIES_PER_CASE = 40
+# Seed 101836: a store that was slow while the first view was formed got no vote, and the two voters that were
+# left could not tolerate the loss of one.
+REGRESSIONS = [(101836, SimulationParameters(1, 5.0, 0.1))]
 
 
 @pytest.mark.parametrize("tolerated_losses", [1, 2, 4])
 @pytest.mark.parametrize(("max_delay_s", "delayed_fraction"), [(0.4, 0.0), (5.0, 0.1)])
-def test_nothing_acknowledged_is_lost(
+def test_no_confirmed_order_is_lost(
     tolerated_losses: int, max_delay_s: float, delayed_fraction: float
 ) -> None:
-    plan = SimulationParameters(tolerated_losses, max_delay_s, delayed_fraction)
-    acknowledged = 0
-    for seed in range(HISTORIES):
-        confirmed, broken = run_history(seed, plan)
-        assert broken is None
-        acknowledged += confirmed
-    assert acknowledged > HISTORIES * 20
-
-
-@pytest.mark.parametrize(("seed", "plan"), FOUND_BROKEN)
-def test_a_history_that_broke_an_earlier_text(seed: int, plan: SimulationParameters) -> None:
-    assert run_history(seed, plan)[1] is None
+    parameters = SimulationParameters(tolerated_losses, max_delay_s, delayed_fraction)
+    total_confirmed = 0
+    for seed in range(HISTORIES_PER_CASE):
+        confirmed, violation = run_history(seed, parameters)
+        assert violation is None
+        total_confirmed += confirmed
+    assert total_confirmed > HISTORIES_PER_CASE * 20
+
+
+@pytest.mark.parametrize(("seed", "parameters"), REGRESSIONS)
+def test_history_that_once_violated_an_invariant(seed: int, parameters: SimulationParameters) -> None:
+    assert run_history(seed, parameters)[1] is None
