--- a/lupinreach/mesh/messages/__init__.py
+++ b/lupinreach/mesh/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages between the processes of the mesh, one module for each pair of ends. Numbers are never reused."""
+"""Typed messages between the processes of the mesh, one module per kind of link. Numbers are never reused."""
 
 from lupinreach.mesh.messages.encoding import Message, UnknownMessage, decode, encode
 from lupinreach.mesh.messages.links import Describe, Description, Ping, Pong
--- a/lupinreach/mesh/messages/encoding.py
+++ b/lupinreach/mesh/messages/encoding.py
@@ -1,4 +1,4 @@
-"""Typed messages between the processes of the mesh: their base, and their msgpack encoding.
+"""Base class of the messages between the processes of the mesh, and their msgpack encoding.
 
 On the wire a message is a msgpack array: its number, then its fields in order. A receiver ignores surplus
 trailing fields and fills absent ones with defaults, so that two adjacent versions understand each other.
@@ -14,11 +14,11 @@
 
 
 class UnknownMessage(Exception):
-    """The number belongs to no message of this version; the receiver skips it."""
+    """No message of this version has this number; the receiver skips the message."""
 
 
 class Message:
-    """Base of all messages. Subclasses are dataclasses with a `NUMBER` of their own."""
+    """Base class of all messages. Subclasses are dataclasses, each with a unique `NUMBER`."""
 
     NUMBER: ClassVar[int] = 0
 
@@ -30,7 +30,7 @@
 
 
 def register(cls: type[Any]) -> type[Any]:
-    """Class decorator: make a message known to `decode`."""
+    """Class decorator that registers a message for `encode` and `decode`."""
     if cls.NUMBER in _TYPES:
         raise ValueError(f"message number {cls.NUMBER} is used twice")
     names = tuple(f.name for f in fields(cls))
@@ -40,7 +40,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message as bytes, without framing (msgpack values delimit themselves)."""
+    """Encode a message, without framing, as msgpack values delimit themselves."""
     cls = type(message)
     values = [cls.NUMBER]
     values.extend([getattr(message, name) for name in _FIELDS[cls]])
@@ -49,7 +49,7 @@
 
 
 def decode(values: Any) -> Any:
-    """The message that an array of values stands for; UnknownMessage where this version has none."""
+    """Build the message from an unpacked array; raises `UnknownMessage` for a number without a message."""
     if not isinstance(values, list):
         raise TypeError("a message is an array")
     found = _TYPES.get(values[0]) if values else None
--- a/lupinreach/mesh/messages/links.py
+++ b/lupinreach/mesh/messages/links.py
@@ -1,4 +1,4 @@
-"""Messages of any link."""
+"""Messages used on links of every kind."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 @register
 @dataclass(slots=True)
 class Ping(Message):
-    """Asks the other side for a `Pong`; sent when a link has been silent."""
+    """Asks the peer for a `Pong`; sent on a link that has been silent."""
 
     NUMBER: ClassVar[int] = 1
     nonce: int = 0
@@ -20,6 +20,8 @@
 @register
 @dataclass(slots=True)
 class Pong(Message):
+    """Answer to `Ping` with the same nonce."""
+
     NUMBER: ClassVar[int] = 2
     nonce: int = 0
 
@@ -27,7 +29,7 @@
 @register
 @dataclass(slots=True)
 class Describe(Message):
-    """Asks a process what it holds, for operators."""
+    """Asks a process for its state, on behalf of an operator; answered by `Description`."""
 
     NUMBER: ClassVar[int] = 3
 
@@ -35,7 +37,7 @@
 @register
 @dataclass(slots=True)
 class Description(Message):
-    """What the process holds; the names of the facts are for people and may change."""
+    """State of a process. The keys are meant for people and may change between versions."""
 
     NUMBER: ClassVar[int] = 4
     facts: dict[str, Any] = field(default_factory=dict)
--- a/lupinreach/mesh/messages/orders.py
+++ b/lupinreach/mesh/messages/orders.py
@@ -11,17 +11,17 @@
 @register
 @dataclass(slots=True)
 class Subscribe(Message):
-    """A registry's first message to a store; the primary pushes `News` to it from then on."""
+    """A registry's first message to a store; from then on the primary pushes `StateUpdate` messages to it."""
 
     NUMBER: ClassVar[int] = 70
     config_version: str = ""
-    acknowledges: bool = False  # it answers each `News` by `NewsAcknowledged`
+    acknowledges: bool = False  # the registry answers each `StateUpdate` by `StateUpdateAcknowledged`
 
 
 @register
 @dataclass(slots=True)
 class Order(Message):
-    """An operator's order for the primary."""
+    """An operator's order to the primary store."""
 
     NUMBER: ClassVar[int] = 71
     number: int = 0
@@ -34,8 +34,10 @@
 @register
 @dataclass(slots=True)
 class OrderResult(Message):
+    """Result of the order with the same number."""
+
     NUMBER: ClassVar[int] = 72
     number: int = 0
-    error: int = 0  # an ErrorKind, 0 where it was done
-    payload: bytes = b""  # of a read: the configuration
-    held: str = ""  # of a conflict: the version that is held with another content
+    error: int = 0  # an ErrorKind; 0 if the order succeeded
+    payload: bytes = b""  # the configuration, for a read
+    held: str = ""  # for a conflict, the stored version, which has another content
--- a/lupinreach/mesh/messages/peers.py
+++ b/lupinreach/mesh/messages/peers.py
@@ -11,62 +11,62 @@
 @register
 @dataclass(slots=True)
 class PeerHello(Message):
-    """First message of the dialling proxy."""
+    """First message of the proxy that opened the link."""
 
     NUMBER: ClassVar[int] = 10
-    address: str = ""  # of its own inbound listener
+    address: str = ""  # of the sender's inbound listener
     config_version: str = ""
-    sent_at: float = 0.0  # by the sender's steady clock, seconds
+    sent_at: float = 0.0  # the sender's monotonic clock, seconds
 
 
 @register
 @dataclass(slots=True)
 class BackendStatus(Message):
-    """What the gate beside a backend says of it; sent at once and at each change."""
+    """State of a backend as reported by the gate beside it; sent on connect and after each change."""
 
     NUMBER: ClassVar[int] = 11
     service: str = ""
-    instance_id: str = ""  # empty: no backend is known
-    available: bool = False  # takes requests: ready, not evacuated, gate not stopping
+    instance_id: str = ""  # empty if no backend is known
+    available: bool = False  # accepts requests: ready, not evacuated, gate not stopping
     capacity: int = 1
     cold_ms: int = 0
     running: int = 0
     waiting: int = 0
     config_version: str = ""
-    takes_offers: bool = False  # of bodies that are sent when asked for
+    takes_offers: bool = False  # accepts requests whose body is sent only once `BodyCredit` asks for it
 
 
 @register
 @dataclass(slots=True)
 class Request(Message):
-    """One request handed to the gate beside the backend that is to run it."""
+    """One request, sent to the gate beside the backend that is to run it."""
 
     NUMBER: ClassVar[int] = 12
-    number: int = 0  # unique: the sender's incarnation and a count
+    number: int = 0  # unique: made of the sender's incarnation and a counter
     service: str = ""
     instance_id: str = ""
     config_version: str = ""
-    remaining_ms: int = 0  # until client's deadline or route's timeout
+    remaining_ms: int = 0  # until the client's deadline or the route's timeout
     repeatable: bool = False
-    again: bool = False  # not the first time that this request is sent to a backend
-    wait_ms: int = 0  # longest time in the gate's queue
-    rank: int = 0  # order in the queue, lowest first
+    again: bool = False  # an earlier attempt of this request was sent to a backend
+    wait_ms: int = 0  # longest wait in the gate's queue
+    rank: int = 0  # time until the request is due, ms; orders the gate's queue, lowest first
     method: bytes = b""
     target: bytes = b""
     host: bytes = b""
-    headers: bytes = b""  # whole header lines
+    headers: bytes = b""  # complete header lines
     body: bytes = b""
-    sent_at: float = 0.0  # by the sender's steady clock, seconds
-    body_size: int = 0  # of a body that is sent once `BodyCredit` asks for it; 0: `body` is all
-    priority: int = 0  # of its route, 0 is highest
-    aim_ms: int = 0  # of its route; 0: not told
-    is_call: bool = False  # made by a run at the backend beside the sender
+    sent_at: float = 0.0  # the sender's monotonic clock, seconds
+    body_size: int = 0  # size of a body that is sent once `BodyCredit` asks for it; 0 if `body` is complete
+    priority: int = 0  # of the route, 0 is highest
+    aim_ms: int = 0  # target latency of the route; 0 if not given
+    is_call: bool = False  # made by a request that runs at the backend beside the sender
 
 
 @register
 @dataclass(slots=True)
 class Answer(Message):
-    """A backend's whole answer."""
+    """A backend's complete response."""
 
     NUMBER: ClassVar[int] = 13
     number: int = 0
@@ -75,18 +75,18 @@
     body: bytes = b""
     running: int = 0
     waiting: int = 0
-    served_ms: float = 0.0  # from the write to the backend until its answer was whole
+    served_ms: float = 0.0  # from the write to the backend until its response was complete
 
 
 @register
 @dataclass(slots=True)
 class RequestRejected(Message):
-    """The gate did not pass the request on: it has not run and will not."""
+    """The gate rejected the request, or the backend declined it: it has not run and will not."""
 
     NUMBER: ClassVar[int] = 14
     number: int = 0
     reason: int = 0  # a NotTakenReason
-    retry_ms: int = 0  # when there may be room
+    retry_ms: int = 0  # after which there may be free capacity
     running: int = 0
     waiting: int = 0
 
@@ -94,7 +94,7 @@
 @register
 @dataclass(slots=True)
 class Failed(Message):
-    """The backend gave no usable answer; `ran` says if it may have run the request."""
+    """The backend gave no usable response; `ran` tells whether it may have run the request."""
 
     NUMBER: ClassVar[int] = 15
     number: int = 0
@@ -107,7 +107,7 @@
 @register
 @dataclass(slots=True)
 class Cancel(Message):
-    """The client has gone; the gate drops the request and ends its backend connection."""
+    """The client disconnected: the gate drops the request and closes its backend connection."""
 
     NUMBER: ClassVar[int] = 16
     number: int = 0
@@ -127,6 +127,8 @@
 @register
 @dataclass(slots=True)
 class Shuffled(Message):
+    """Answer to `Shuffle` with a sample of the answering proxy's view."""
+
     NUMBER: ClassVar[int] = 18
     entries: list[list[Any]] = field(default_factory=list)
     config_version: str = ""
@@ -136,7 +138,7 @@
 @register
 @dataclass(slots=True)
 class StateUpdatePull(Message):
-    """Asks a neighbour for its configuration news, whose version is above one's own, or a registry for the whole."""
+    """Asks a neighbour with a newer configuration for a `StateUpdate`, or a registry for a complete one."""
 
     NUMBER: ClassVar[int] = 19
 
@@ -144,7 +146,7 @@
 @register
 @dataclass(slots=True)
 class BodyCredit(Message):
-    """The sender of an offered body may send its bytes up to an offset."""
+    """Flow control of an offered body: its sender may send the bytes up to an offset."""
 
     NUMBER: ClassVar[int] = 20
     number: int = 0
--- a/lupinreach/mesh/messages/registry.py
+++ b/lupinreach/mesh/messages/registry.py
@@ -14,17 +14,17 @@
     """First message of a proxy on its link to a registry."""
 
     NUMBER: ClassVar[int] = 30
-    address: str = ""  # of its inbound listener
+    address: str = ""  # of the proxy's inbound listener
     life: int = 0  # start of the process, Unix ms
     config_version: str = ""
     config_stamp: list[int] = field(default_factory=list)
-    takes_updates: bool = False  # differences of the configuration, beside whole ones
+    takes_updates: bool = False  # accepts configuration differences as well as complete configurations
 
 
 @register
 @dataclass(slots=True)
 class AgentEntry(Message):
-    """What is known of one proxy and the backend beside it; the newest (life, sequence) holds."""
+    """What is known of one proxy and the backend beside it; the entry with the highest (life, sequence) is valid."""
 
     NUMBER: ClassVar[int] = 31
     address: str = ""
@@ -40,22 +40,23 @@
 @register
 @dataclass(slots=True)
 class StateUpdate(Message):
-    """Configuration and evacuations as committed by the store, in one numbered change."""
+    """Configuration and evacuations as committed by the store, under one stamp."""
 
     NUMBER: ClassVar[int] = 32
     stamp: list[int] = field(default_factory=list)  # epoch, sequence
     config_version: str = ""
-    # To registries as sent by the operator; to proxies packed, whole or an update; None: as the receiver holds it.
+    # Registries get it as the operator sent it; proxies get it packed, complete or as a difference. None if the
+    # receiver holds it already.
     config: bytes | None = None
     evacuations: dict[str, bool] = field(default_factory=dict)
-    fresh: bool = True  # the sender is in contact with a primary; else it may be an old state
-    base: str = ""  # `config` is an update from this version; empty: it is whole
+    fresh: bool = True  # the sender is in contact with a primary store; otherwise the state may be old
+    base: str = ""  # `config` is a difference from this version; empty if it is complete
 
 
 @register
 @dataclass(slots=True)
 class StateUpdateAcknowledged(Message):
-    """A receiver has dealt with the oldest `News` that was out to it, and holds this state now."""
+    """The receiver has processed the oldest `StateUpdate` in flight to it and now holds this state."""
 
     NUMBER: ClassVar[int] = 33
     stamp: list[int] = field(default_factory=list)
@@ -65,11 +66,11 @@
 @register
 @dataclass(slots=True)
 class RegistryStatus(Message):
-    """Heartbeat of a registry on its links."""
+    """Heartbeat that a registry sends on its links."""
 
     NUMBER: ClassVar[int] = 34
-    fresh: bool = False  # it hears a primary store
-    registries: list[list[str]] = field(default_factory=list)  # [address for links, zone] of all registries
+    fresh: bool = False  # the registry is in contact with a primary store
+    registries: list[list[str]] = field(default_factory=list)  # [link address, zone] of all registries
 
 
 @register
@@ -84,7 +85,7 @@
 @register
 @dataclass(slots=True)
 class AliveAgents(Message):
-    """Which proxies are connected to the sending registry, as [address, life]."""
+    """The proxies connected to the sending registry, as [address, life]."""
 
     NUMBER: ClassVar[int] = 36
     agents: list[list[Any]] = field(default_factory=list)
@@ -93,18 +94,18 @@
 @register
 @dataclass(slots=True)
 class ForwardedHeartbeat(Message):
-    """A backend's heartbeat or sign-off that reached a registry, for the proxy beside that backend."""
+    """A backend's heartbeat or deregistration that a registry received, for the proxy beside that backend."""
 
     NUMBER: ClassVar[int] = 37
     number: int = 0
     instance_id: str = ""
-    body: bytes | None = None  # of the heartbeat, as it came; None: it signs off
+    body: bytes | None = None  # the heartbeat as received; None for a deregistration
 
 
 @register
 @dataclass(slots=True)
 class HeartbeatAccepted(Message):
-    """The proxy has put a forwarded beat in force."""
+    """The proxy has applied a forwarded heartbeat or deregistration."""
 
     NUMBER: ClassVar[int] = 38
     number: int = 0
