--- a/lupinreach/mesh/model/__init__.py
+++ b/lupinreach/mesh/model/__init__.py
@@ -1,1 +1,1 @@
-"""Model checking of the store: the functions that run, under drawn histories and exhaustive search."""
+"""Model checking of the store: random histories and exhaustive search run the code that runs in production."""
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -30,7 +30,7 @@
 
 TICK_INTERVAL_S, STATUS_INTERVAL_S = 0.1, 0.2
 HISTORY_LENGTH_S = 60.0
-FINAL_QUIET_S = 15.0
+FINAL_QUIET_S = 15.0  # the last part of a history, without new faults and delayed messages
 ZONE_COUNT = 3
 RECOVERY_TIME_S = 5.0  # a machine still counts as lost for this long after its fault has ended
 MAX_REPLACEMENT_TIME_S = 2.5  # within which the view replaces a replica whose disk refuses writes
@@ -111,8 +111,8 @@
         self.now = 0.0
         self.checker = InvariantChecker()
         self.last_version_sent = 0
-        self.cuts: set[tuple[str, str]] = set()
-        self.lossy = 0.0
+        self.cuts: set[tuple[str, str]] = set()  # (source host, target host)
+        self.lossy = 0.0  # probability that a message is lost, and at least that of a duplicate
         self._crashes = 0
         self.counted_lost_until: dict[str, float] = {}  # end time by host
         self._events: list[tuple[float, int, Any, tuple[Any, ...]]] = []
@@ -132,7 +132,7 @@
             view, complete_replicas(view, [store.record for store in self.stores.values()])
         )
 
-    def _run(self, store: SimulatedStore, action: Any, *args: Any) -> None:
+    def _run_step(self, store: SimulatedStore, action: Any, *args: Any) -> None:
         """Run a step of a store's process, which may die in a write."""
         try:
             action(*args)
@@ -171,15 +171,15 @@
         if self.now < target.frozen_until:
             self.schedule(target.frozen_until - self.now, self._deliver, target, replica, sender, data)
             return
-        self._run(target, replica.handle, sender, decode(msgpack.unpackb(data)))
+        self._run_step(target, replica.handle, sender, decode(msgpack.unpackb(data)))
 
     def _tick(self, store: SimulatedStore) -> None:
         self.schedule(TICK_INTERVAL_S, self._tick, store)
         if store.running_replica is not None:
-            self._run(store, store.running_replica.tick, self.now)
+            self._run_step(store, store.running_replica.tick, self.now)
 
-    def _status(self, store: SimulatedStore) -> None:
-        self.schedule(STATUS_INTERVAL_S, self._status, store)
+    def _send_status(self, store: SimulatedStore) -> None:
+        self.schedule(STATUS_INTERVAL_S, self._send_status, store)
         replica = store.running_replica
         if replica is None:
             return
@@ -193,7 +193,7 @@
         if other.replica is receiver and other.running_replica is not None:
             member = Member(source.identity, store.host, store.zone)
             receiver.heard(member, source.born_first, self.now, source.healthy, source.leaving)
-            self._run(other, receiver.learn, source.view)
+            self._run_step(other, receiver.learn, source.view)
 
     # Operator requests.
 
@@ -226,7 +226,7 @@
 
         assert store.replica is not None
         order = Order(number, int(OrderKind.REPLACE_CONFIGURATION), version, content)
-        self._run(store, store.replica.submit, order, reply)
+        self._run_step(store, store.replica.submit, order, reply)
 
     def _read(self, store: SimulatedStore) -> None:
         confirmed_before = self.checker.highest_confirmed
@@ -235,12 +235,15 @@
             self.checker.on_read_result(confirmed_before, result)
 
         assert store.replica is not None
-        self._run(store, store.replica.submit, Order(0, int(OrderKind.READ_CONFIGURATION)), reply)
+        self._run_step(store, store.replica.submit, Order(0, int(OrderKind.READ_CONFIGURATION)), reply)
 
     # Faults.
 
     def _inject_fault(self) -> None:
-        """Inject one random fault and schedule its end, within the number of machines that may be lost at once."""
+        """Inject one random fault and schedule its end, within the number of machines that may be lost at once.
+
+        When that number is reached, all processes are sometimes killed at once, which loses no disk.
+        """
         if self.now < HISTORY_LENGTH_S - FINAL_QUIET_S:
             self.schedule(self.chance.uniform(0.3, 4.0), self._inject_fault)
         lost = [host for host, until in self.counted_lost_until.items() if until > self.now]
@@ -313,7 +316,7 @@
         for store in self.stores.values():
             store.start(True)
             self._tick(store)
-            self._status(store)
+            self._send_status(store)
         self.schedule(5.0, self._send_operator_request)
         self.schedule(8.0, self._inject_fault)
         while self.now < HISTORY_LENGTH_S:
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -63,9 +63,7 @@
     """Maximum number of events of each kind in a history; ordinary deliveries are not limited."""
 
     orders: int = 0
-    timeouts: int = (
-        0  # expirations of all timers of a store, each with a choice of which store it considers dead
-    )
+    timeouts: int = 0  # expirations of all timers of a store, which may consider another store dead
     crashes: int = 0  # restarts on the same disk
     deaths: int = 0  # of a process in the middle of a write
     wipes: int = 0  # restarts on an empty disk
@@ -200,11 +198,11 @@
     def key(self) -> Any:
         """A key that is equal for states from which the same moves and results can follow."""
         stores = tuple(store.key() for store in self.stores.values())
-        ledger = self.checker
+        checker = self.checker
         observed = (
-            ledger.highest_confirmed,
-            tuple(sorted(ledger.contents.items())),
-            tuple(ledger.newest_published_stamp),
+            checker.highest_confirmed,
+            tuple(sorted(checker.contents.items())),
+            tuple(checker.newest_published_stamp),
         )
         links = sorted(self.in_flight, key=lambda envelope: envelope[:2])
         return hash(
