--- a/lupinreach/mesh/messages/registry.py
+++ b/lupinreach/mesh/messages/registry.py
@@ -24,7 +24,7 @@
 @register
 @dataclass(slots=True)
 class AgentEntry(Message):
-    """What is known of one proxy and the backend beside it; the entry with the highest (life, sequence) is valid."""
+    """What is known of one proxy and the backend beside it; the highest (life, sequence) is valid."""
 
     NUMBER: ClassVar[int] = 31
     address: str = ""
@@ -45,8 +45,8 @@
     NUMBER: ClassVar[int] = 32
     stamp: list[int] = field(default_factory=list)  # epoch, sequence
     config_version: str = ""
-    # Registries get it as the operator sent it; proxies get it packed, complete or as a difference. None if the
-    # receiver holds it already.
+    # Registries get it as the operator sent it; proxies get it packed, complete or as a difference. None if
+    # the receiver holds it already.
     config: bytes | None = None
     evacuations: dict[str, bool] = field(default_factory=dict)
     fresh: bool = True  # the sender is in contact with a primary store; otherwise the state may be old
--- a/lupinreach/mesh/messages/stores.py
+++ b/lupinreach/mesh/messages/stores.py
@@ -50,7 +50,7 @@
 @register
 @dataclass(slots=True)
 class Promise(Message):
-    """Answer to `Prepare`: the voter joins no lower ballot; carries the view that it accepted last, if any."""
+    """Answer to `Prepare`: the voter joins no lower ballot; carries the view it accepted last, if any."""
 
     NUMBER: ClassVar[int] = 53
     epoch: int = 0
@@ -83,7 +83,7 @@
 @register
 @dataclass(slots=True)
 class Outdated(Message):
-    """Refusal of a vote, an installation or a write: a higher ballot was joined, or a view is decided already."""
+    """Refusal of a vote, installation or write: a higher ballot was joined, or a view is decided."""
 
     NUMBER: ClassVar[int] = 56
     epoch: int = 0
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -1,8 +1,8 @@
 """Randomized fault injection for a store group in simulated time.
 
 Faults are crashes, lost and full disks, frozen processes, network partitions, and messages that are lost,
-duplicated or delayed by seconds. The number of machines lost at once never exceeds the tolerance. A history is
-fully determined by its seed and parameters.
+duplicated or delayed by seconds. The number of machines lost at once never exceeds the tolerance. A history
+is fully determined by its seed and parameters.
 """
 
 from __future__ import annotations
@@ -198,7 +198,7 @@
     # Operator requests.
 
     def _send_operator_request(self) -> None:
-        """Send an order to a store that reports that it serves; sometimes a read or a repeated version instead."""
+        """Send an order to a serving store; sometimes a read or an already sent version instead."""
         self.schedule(self.chance.uniform(0.05, 0.5), self._send_operator_request)
         serving = [
             s for s in self.stores.values() if s.running_replica is not None and s.running_replica.serving
@@ -240,7 +240,7 @@
     # Faults.
 
     def _inject_fault(self) -> None:
-        """Inject one random fault and schedule its end, within the number of machines that may be lost at once.
+        """Inject one random fault and schedule its end, within the number of tolerated losses.
 
         When that number is reached, all processes are sometimes killed at once, which loses no disk.
         """
--- a/lupinreach/mesh/model/invariants.py
+++ b/lupinreach/mesh/model/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of the store, checked against everything that clients of a modelled store group have observed."""
+"""Invariants of the store, checked against what clients of a modelled store group have observed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def complete_replicas(view: View, records: Collection[MemoryRecord]) -> set[str]:
-    """The replicas in a view whose disks mark them as complete for it; those whose disks are lost count too."""
+    """The replicas in a view whose disks mark them as complete; those whose disks are lost count too."""
     complete = set(view.copies)
     for record in records:
         if view.uid not in record.values.get("complete", {}):
@@ -37,7 +37,7 @@
 
 @dataclass
 class InvariantChecker:
-    """Checks each confirmation, read and published document against all earlier ones. Versions are integers here."""
+    """Checks each confirmation, read and published document against earlier ones. Versions are integers."""
 
     last_published: int = 0  # version that a primary published last
     highest_confirmed: int = 0  # highest version whose order was confirmed
@@ -79,7 +79,7 @@
     def on_published(self, stamp: list[int], document: Document) -> None:
         """Check that a document that a primary publishes lacks nothing that was confirmed."""
         if stamp < self.newest_published_stamp:
-            return  # a primary resuming after a freeze publishes an old state, which receivers skip by its stamp
+            return  # a primary that was frozen publishes an old state, which receivers skip by its stamp
         self.newest_published_stamp = stamp
         self._check_document(
             document.version, document.config, max(self.highest_confirmed, self.last_published), "published"
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -1,10 +1,10 @@
-"""Exhaustive search through all states that a small store group can reach, within a budget for each kind of event.
+"""Exhaustive search of all states that a small store group can reach within a budget for each kind of event.
 
 Time does not pass: any timer may expire, any process may die, and a store may consider any other one dead.
 Messages from one store to another keep their order, as on a link, and may never arrive. Within the budget of
-duplicates a message may also be delayed, or delivered and delivered again, at any later moment, as over a second
-link. States are equal if everything that determines what can follow is equal. The search is breadth first, so
-the first history found that violates an invariant is a shortest one.
+duplicates a message may also be delayed, or delivered and delivered again, at any later moment, as over a
+second link. States are equal if everything that determines what can follow is equal. The search is breadth
+first, so the first history found that violates an invariant is a shortest one.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 
 class DeterministicIds:
-    """Replaces the random generator of a replica: identities and uids are counted up, random waits are shortest."""
+    """Replaces a replica's random generator: identities and uids are counted up, waits are the shortest."""
 
     def __init__(self, host: str) -> None:
         self._host = host
