--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -11,7 +11,7 @@
 
 from lupinreach.balance import Balancer, Call
 from lupinreach.config import BadConfig, believed, read_settings
-from lupinreach.model import Ask, Ending, Listing, Load, News, State
+from lupinreach.model import Ask, Ending, Listing, Load, State, UpdateKind
 
 ENDINGS = {
     "delivered": Ending.FULFILLED,
@@ -172,7 +172,7 @@
 
     def directory_update(self, now: float, e: dict[str, Any], hosts: list[dict[str, Any]]) -> None:
         try:
-            news = News(e.get("how", 0))
+            news = UpdateKind(e.get("how", 0))
             entries = [
                 Listing(
                     self._index(h["backend"]),
@@ -276,7 +276,7 @@
         self._lists[page] = hosts
 
     def _hosts(self, e: dict[str, Any]) -> list[dict[str, Any]]:
-        if e.get("how", 0) == News.FAILED.value:
+        if e.get("how", 0) == UpdateKind.FAILED.value:
             return []
         page = e.get("page", 0)
         if page not in self._lists:
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Backend, Balancer, Call
-from lupinreach.model import Ask, Kind, Listing, News, Port, Settings, State
+from lupinreach.model import Ask, Kind, Listing, Port, Settings, State, UpdateKind
 
 RARE = 10_000
 ASLEEP = 1000.0  # ms without any word of the world, after which an agent takes itself for one that slept
@@ -77,7 +77,7 @@
 class IgnoresDrains(Balancer):
     """Takes a draining backend for a ready one."""
 
-    def listed(self, now: float, news: News, entries: list[Listing]) -> None:
+    def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         ready = [replace(e, state=State.READY) if e.state is State.DRAINING else e for e in entries]
         super().listed(now, news, ready)
 
@@ -98,7 +98,7 @@
         self._last = now
         return super().take(now, ask)
 
-    def listed(self, now: float, news: News, entries: list[Listing]) -> None:
+    def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         if self._slept:
             entries = [replace(e, state=State.READY) if e.state is State.DRAINING else e for e in entries]
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -50,7 +50,7 @@
     DRAINING = 2
 
 
-class News(Enum):
+class UpdateKind(Enum):
     """What a piece of directory news holds."""
 
     CHANGES = 0
--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -11,7 +11,7 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.config import Address, AgentConfig, BadConfig, read_agent
-from lupinreach.model import Listing, News, Port, Settings
+from lupinreach.model import Listing, Port, Settings, UpdateKind
 from lupinreach.net import protocol
 from lupinreach.net.clock import Clock
 from lupinreach.net.counters import Counters
@@ -90,7 +90,7 @@
         # Where agents of a fleet know of each other: who takes datagrams, and lists before the module does.
         self.hears: Callable[[int, bytes], None] | None = None
         self.tells: Callable[[], dict[str, object]] | None = None  # and what operators see of it
-        self.sees: Callable[[News, list[Listing], bool], list[Listing]] | None = None
+        self.sees: Callable[[UpdateKind, list[Listing], bool], list[Listing]] | None = None
         self.serving = Serving(
             settings,
             self.clock,
@@ -227,9 +227,9 @@
 
     # News for the module that belongs to no API call.
 
-    def _listed(self, news: News, entries: list[Listing], older: bool) -> None:
+    def _listed(self, news: UpdateKind, entries: list[Listing], older: bool) -> None:
         try:
-            if self.sees is not None and news is not News.FAILED:
+            if self.sees is not None and news is not UpdateKind.FAILED:
                 entries = self.sees(news, entries, older)
             self.balancer.listed(self.clock.now(), news, entries)
         except Exception as fault:
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -11,7 +11,7 @@
 import orjson
 
 from lupinreach.config import NEEDED, Address, AgentConfig, BadConfig, Section
-from lupinreach.model import Listing, News, State
+from lupinreach.model import Listing, State, UpdateKind
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import Channel
 from lupinreach.net.clock import Clock
@@ -48,7 +48,7 @@
         tasks: Tasks,
         sockets: Sockets,
         pool: Pool,
-        listed: Callable[[News, list[Listing], bool], None],
+        listed: Callable[[UpdateKind, list[Listing], bool], None],
     ) -> None:
         self._seed = config.seed
         self._clock = clock
@@ -98,7 +98,7 @@
     def start(self, known: dict[str, Any]) -> None:
         """Begin with the list as this agent last had it."""
         if known:
-            self._take_in(known, "known", News.CACHED)
+            self._take_in(known, "known", UpdateKind.CACHED)
         if self._by_itself:
             self.ask(True)
 
@@ -161,7 +161,7 @@
             await asyncio.sleep(protocol.BEAT / 1000)
             self.ask(True)
         else:
-            self._listed(News.FAILED, [], False)
+            self._listed(UpdateKind.FAILED, [], False)
 
     async def _list(self, address: Address, within: float) -> http.Slice | bytes:
         """The text of the whole list, in so many s."""
@@ -226,19 +226,19 @@
             raise BadConfig("list: no JSON") from None
         self._take_in(raw, "list")
 
-    def _take_in(self, raw: Any, what: str, news: News | None = None) -> None:
+    def _take_in(self, raw: Any, what: str, news: UpdateKind | None = None) -> None:
         """One list or set of changes: read whole before any of it counts."""
         top = Section(raw, what)
         version = top.whole(protocol.VERSION)
         if news is None:
-            news = News.FULL if top.flag(protocol.WHOLE) else News.CHANGES
-        if news is News.CHANGES and self._version is not None and version < self._version:
+            news = UpdateKind.FULL if top.flag(protocol.WHOLE) else UpdateKind.CHANGES
+        if news is UpdateKind.CHANGES and self._version is not None and version < self._version:
             raise BadConfig(f"{top.at(protocol.VERSION)}: {version} comes after {self._version}")
         read = [self._entry(e) for e in top.sections(protocol.ENTRIES, NEEDED)]
-        older = news is not News.CACHED and self.older is not None and self.older(version)
-        if older and news is News.FULL:
+        older = news is not UpdateKind.CACHED and self.older is not None and self.older(version)
+        if older and news is UpdateKind.FULL:
             news = (
-                News.CHANGES
+                UpdateKind.CHANGES
             )  # guards against backends that are given up since an old list doesn't name them yet
         now, pool = self._clock.now(), self._pool
         for uid, address, listing in read:
@@ -255,7 +255,7 @@
                 pool.forget(entry.place)
             self._by_index[entry.place.backend] = entry.place
             entry.gone_at = now if listing.state is State.GONE else None
-        if news is not News.CHANGES:
+        if news is not UpdateKind.CHANGES:
             named = {uid for uid, _, _ in read}
             for uid, entry in self._entries.items():
                 if uid not in named and entry.gone_at is None:
@@ -265,7 +265,7 @@
         self._counters.directory[f"news: {news.name.lower()}"] += 1
         listings = [replace(listing, backend=self._entries[uid].place.backend) for uid, _, listing in read]
         self._listed(news, listings, older)
-        if news is not News.CACHED:
+        if news is not UpdateKind.CACHED:
             self.heard.set()
         for uid, entry in list(self._entries.items()):
             if entry.gone_at is not None and now > entry.gone_at + self._keep:
--- a/lupinreach/ops/returning.py
+++ b/lupinreach/ops/returning.py
@@ -21,7 +21,7 @@
 from lupinreach.fleet.membership import NOBODY, Members, Selfhood
 from lupinreach.fleet.recovery import ASKED, RESET_AFTER, Asking, Drains, Facts, Floor, Return, Stage, Stays
 from lupinreach.fleet.wire import Drain, Message
-from lupinreach.model import Listing, News, State
+from lupinreach.model import Listing, State, UpdateKind
 from lupinreach.net.agent import Agent
 from lupinreach.store import trust
 from lupinreach.store.records import Found
@@ -130,13 +130,13 @@
         self._registry = self._registry or not older
         return older
 
-    def see(self, news: News, entries: list[Listing], older: bool) -> list[Listing]:
+    def see(self, news: UpdateKind, entries: list[Listing], older: bool) -> list[Listing]:
         """A list as the module is to have it: what drains doesn't become ready by an older one."""
-        if news is News.CACHED:
+        if news is UpdateKind.CACHED:
             self.floor.raised(self._agent.directory.version)
-        spoken = news is not News.CACHED and not older
+        spoken = news is not UpdateKind.CACHED and not older
         named = {e.backend for e in entries}
-        if news is News.FULL:
+        if news is UpdateKind.FULL:
             for gone in [e for e in self._raw.values() if e.backend not in named]:
                 del self._raw[gone.backend]
                 self._lifted(gone)
@@ -155,7 +155,7 @@
         if spoken:
             self._store.put("floor", self.floor.revision)
         before, self._held = self._held, self._to_hold()
-        if news is News.CACHED and self._withheld:
+        if news is UpdateKind.CACHED and self._withheld:
             return []
         self._withheld = False
         # What others' word may hold back is a share of the ready ones: with their number it changes for those not named.
@@ -184,7 +184,7 @@
         if self._withheld:
             self._withheld = False
             self._agent.balancer.listed(
-                self._agent.clock.now(), News.CACHED, self._as_held(self._raw.values())
+                self._agent.clock.now(), UpdateKind.CACHED, self._as_held(self._raw.values())
             )
             self._agent.standing.listed = self._agent.standing.listed or bool(self._raw)
             return
@@ -197,7 +197,7 @@
             self._agent.counters.others["fleet: held by others' word"] += sum(
                 e.state is State.DRAINING for e in changed
             )
-            self._agent.balancer.listed(self._agent.clock.now(), News.CHANGES, changed)
+            self._agent.balancer.listed(self._agent.clock.now(), UpdateKind.CHANGES, changed)
 
     # Datagrams.
 
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -5,7 +5,7 @@
 from math import ceil, inf
 
 from lupinreach.known import Backend
-from lupinreach.model import Learnt, Listing, Met, News, State
+from lupinreach.model import Learnt, Listing, Met, State, UpdateKind
 from lupinreach.policy.calls import FULL_AT
 from lupinreach.policy.cold import BEYOND, FIRST_BOUND
 from lupinreach.policy.learning import KEEP, NEWEST
@@ -49,9 +49,9 @@
         # What was too slow gets a trial, due at once, and no turn before it.
         b.held = [now if (f or 0.0) > t.slo else 0.0 for f, t in zip(b.figure, self._targets, strict=True)]
 
-    def listed(self, now: float, news: News, entries: list[Listing]) -> None:
+    def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         """The directory has spoken."""
-        if news is News.FAILED:
+        if news is UpdateKind.FAILED:
             # Guards against a directory that turns away a crowd, works through it all the same, and meets it
             # again in step: each agent comes back at its own time, within a span in which the directory gets
             # through what was ahead of this call and as much again.
@@ -61,7 +61,7 @@
             self._port.wake(now + span * (1 + self._chance()) / 2, "ask")
             self._ask_wait = 2 * span
             return
-        if news is not News.CACHED:
+        if news is not UpdateKind.CACHED:
             self._ask_wait = self._ask_first
         for e in entries:
             b = self._backends.get(e.backend)
@@ -85,14 +85,14 @@
             b.listed = max(b.listed, weight) if self._tells else weight
             b.load = b.listed / weight - 1
             b.state, b.boot_time = e.state, max(b.boot_time, e.boot_time)
-        if news is not News.CHANGES:
+        if news is not UpdateKind.CHANGES:
             named = {e.backend for e in entries}
             for b in self._backends.values():
                 if b.index not in named:
                     b.state = State.GONE
         for b in [b for b in self._backends.values() if b.state is State.GONE and not b.flight]:
             del self._backends[b.index]
-        if news is not News.CACHED:
+        if news is not UpdateKind.CACHED:
             self._recalled.clear()
             if self._dark:
                 self._dark = False
@@ -125,7 +125,7 @@
             self._doubt(now, self._ring, True)
         self.pump(now)
 
-    def _weigh(self, now: float, news: News) -> None:
+    def _weigh(self, now: float, news: UpdateKind) -> None:
         """What the list says of the fleet: how much it holds, how old that is, and the share to admit.
 
         Guards against hundreds of agents with a shot or two a second, each of which sees the fleet fill up
@@ -136,7 +136,7 @@
             len(loads) // 4 : -(len(loads) // 4) or None
         ]  # a few that hang say nothing of the fleet
         before, self._load = self._load, sum(middle) / len(middle)
-        if news is News.CHANGES and self._listed_at:
+        if news is UpdateKind.CHANGES and self._listed_at:
             gap = now - self._listed_at
             self._gap += NEWEST * (gap - self._gap) if self._gap else gap
         self._listed_at = now
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -21,11 +21,11 @@
     Kind,
     Limits,
     Listing,
-    News,
     Product,
     Rules,
     Settings,
     State,
+    UpdateKind,
 )
 from lupinreach.net.agent import Agent
 from lupinreach.net.clock import Clock
@@ -112,7 +112,7 @@
         self.agent.start(self.now)
         self.calls: dict[Any, Any] = {}
         ready = [Listing(i, READY, zone=i % 2, cell=i % 3) for i in range(backends)]
-        self.list(News.CACHED, entries or ready)
+        self.list(UpdateKind.CACHED, entries or ready)
 
     def list(self, news, entries):
         self.agent.listed(self.now, news, entries)
@@ -169,7 +169,7 @@
             got[seed] = free - begun
             continue
         bench.now = at + most
-        bench.list(News.FAILED, [])
+        bench.list(UpdateKind.FAILED, [])
         again, mark = bench.port.wakes.pop()
         bench.agent.woke(again, mark)
         queue.append((again, seed))
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -12,7 +12,7 @@
 from upgrading import PATIENT, ROOT, WAITS, platform
 
 from lupinreach.config import BadConfig
-from lupinreach.model import Learnt, Listing, Met, News
+from lupinreach.model import Learnt, Listing, Met, UpdateKind
 from lupinreach.ops.carry import MOST_BACKENDS, Carry, Unfit, judged, plain
 from lupinreach.store import records
 from lupinreach.store.store import Store
@@ -25,7 +25,8 @@
     bench = Bench(given, entries=[Listing(i, READY, size=4.0, name=70 + i) for i in range(4)])
     bench.move(100.0)
     bench.list(
-        News.CHANGES, [Listing(i, READY, size=4.0 / (1 + load), name=70 + i) for i, load in enumerate(loads)]
+        UpdateKind.CHANGES,
+        [Listing(i, READY, size=4.0 / (1 + load), name=70 + i) for i, load in enumerate(loads)],
     )
     for n in range(80):
         bench.take(n)
@@ -38,7 +39,7 @@
 def fresh(entries, given=LIVE, learnt=None):
     bench = Bench(given, entries=[Listing(90, READY, name=1)])
     taken = learnt is None or bench.agent.recall(learnt)
-    bench.list(News.FULL, entries)
+    bench.list(UpdateKind.FULL, entries)
     return bench, taken
 
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -6,7 +6,7 @@
 from helpers import DRAINING, READY, Bench, crowd, settings
 
 from lupinreach.balance import FULL_SHARE, HOLD, LATE_AT, PATIENCE, TRIALS
-from lupinreach.model import Customer, Ending, Group, Kind, Listing, Load, News, State
+from lupinreach.model import Customer, Ending, Group, Kind, Listing, Load, State, UpdateKind
 
 SLO = 400.0
 
@@ -149,7 +149,7 @@
 
 def test_missing_from_a_full_list_is_gone():
     bench = Bench(settings())
-    bench.list(News.FULL, [Listing(i, READY) for i in (0, 1)])
+    bench.list(UpdateKind.FULL, [Listing(i, READY) for i in (0, 1)])
     assert {bench.serve(n, 20.0) for n in range(10)} == {0, 1}
 
 
@@ -159,7 +159,7 @@
     for backend in (2, 3):
         misses(bench, backend)
     assert held(bench, 2) and held(bench, 3)
-    bench.list(News.FULL, [Listing(i, READY) for i in (2, 3)])
+    bench.list(UpdateKind.FULL, [Listing(i, READY) for i in (2, 3)])
     assert sum(1 for b in bench.agent._ring if not b.held[0]) == 1
 
 
@@ -177,7 +177,7 @@
     bench = Bench(settings())
     waits = []
     for _ in range(5):
-        bench.list(News.FAILED, [])
+        bench.list(UpdateKind.FAILED, [])
         at, mark = bench.port.wakes.pop()
         assert mark == "ask"
         waits.append(at - bench.now)
@@ -188,7 +188,7 @@
     for seed in range(40):
         bench = Bench(settings(), seed=seed)
         for waits in (firsts, *[[]] * 3, lasts):
-            bench.list(News.FAILED, [])
+            bench.list(UpdateKind.FAILED, [])
             at, mark = bench.port.wakes.pop()
             waits.append(at - bench.now)
             bench.now = at
@@ -210,7 +210,7 @@
         Listing(i, READY, boot_time=999_000.0) for i in (2, 3, 4)
     ]
     bench = Bench(settings(cold=60_000.0, start=0.5), entries=entries)
-    bench.list(News.FULL, entries)  # of the registry itself: what it calls warm is
+    bench.list(UpdateKind.FULL, entries)  # of the registry itself: what it calls warm is
     cold = 0
     for n in range(200):
         bench.take(n)
@@ -224,7 +224,7 @@
 def test_a_cold_backend_gets_a_part_of_what_a_warm_one_gets():
     bench = Bench(settings(cold=60_000.0))
     bench.move(1.0)
-    bench.list(News.CHANGES, [Listing(9, READY, bench.now)])
+    bench.list(UpdateKind.CHANGES, [Listing(9, READY, bench.now)])
     turns = Counter(bench.serve(n, 20.0) for n in range(300))
     warm = (300 - turns[9]) / 4
     assert 0 < turns[9] <= 0.45 * warm
@@ -235,7 +235,7 @@
     bench = Bench(settings(cold=20_000.0))
     for n in range(300):
         bench.serve(n, 20.0)
-    bench.list(News.FULL, [Listing(i, READY, bench.now) for i in range(4)])
+    bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now) for i in range(4)])
     bench.move(4000.0)
     served = 0
     for n in range(300):
@@ -251,7 +251,7 @@
     bench = Bench(settings(cold=60_000.0))
     for n in range(40):
         bench.serve(n, 20.0)
-    bench.list(News.CHANGES, [Listing(2, READY, bench.now)])
+    bench.list(UpdateKind.CHANGES, [Listing(2, READY, bench.now)])
     turns = Counter(bench.serve(("b", n), 20.0) for n in range(40))
     assert turns[2] <= 4
 
@@ -291,7 +291,7 @@
 def test_the_bound_grows_with_the_fleet():
     # Found in an incident: the fleet grew fourfold and half of all API calls were still turned away.
     bench = Bench(settings())
-    bench.list(News.CHANGES, [Listing(i, READY) for i in range(4, 40)])
+    bench.list(UpdateKind.CHANGES, [Listing(i, READY) for i in range(4, 40)])
     for n in range(60):
         bench.take(n)
     assert len(bench.port.sent) >= 40
@@ -329,7 +329,7 @@
     bench = Bench(settings())
     for n in range(200):
         bench.serve(n, 30.0)
-    bench.list(News.FULL, [Listing(0, READY)])
+    bench.list(UpdateKind.FULL, [Listing(0, READY)])
     assert not bench.agent._live and not bench.agent._line
     assert [b.state for b in bench.agent._backends.values()] == [State.READY]
 
@@ -355,7 +355,7 @@
 def test_a_list_of_changes_mixes_no_raw_sizes_with_scaled_ones():
     # Suspected on reading: the first list was scaled to its mean, a change then set its own entry unscaled.
     bench = Bench(settings(), entries=[Listing(i, READY, size=4.0) for i in range(4)])
-    bench.list(News.CHANGES, [Listing(2, READY, size=4.0)])
+    bench.list(UpdateKind.CHANGES, [Listing(2, READY, size=4.0)])
     assert {b.size for b in bench.agent._ring} == {1.0}
 
 
@@ -368,7 +368,7 @@
         bench.move(500.0)
     assert 2 <= len(used) <= 4
     left = [Listing(i, READY) for i in range(30) if i not in used]
-    bench.list(News.FULL, left)
+    bench.list(UpdateKind.FULL, left)
     assert bench.serve("after", 30.0) not in used
 
 
@@ -480,7 +480,8 @@
         bench.move(1.0)
     assert bench.port.answers == [("rate-limited", "early")] and len(set(bench.sent_to("early"))) == 3
     bench.list(
-        News.CHANGES, [Listing(i, State.GONE) for i in range(3)] + [Listing(3, READY), Listing(4, READY)]
+        UpdateKind.CHANGES,
+        [Listing(i, State.GONE) for i in range(3)] + [Listing(3, READY), Listing(4, READY)],
     )
     assert {bench.serve(n, 50.0) for n in range(6)} == {3, 4}
 
@@ -493,7 +494,7 @@
         for n in range(60):
             bench.serve(("before", n), 45.0)
         begun = bench.now
-        bench.list(News.CHANGES, [Listing(12, READY, boot_time=begun)])
+        bench.list(UpdateKind.CHANGES, [Listing(12, READY, boot_time=begun)])
         for n in range(200):
             at = bench.now - begun
             if bench.serve(n, 40.0) == 12:
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -7,7 +7,7 @@
 from helpers import READY, Bench, settings
 
 from lupinreach.config import BadConfig, read_settings
-from lupinreach.model import Listing, News
+from lupinreach.model import Listing, UpdateKind
 
 GAP = 200.0  # ms between two lists
 
@@ -23,7 +23,7 @@
 def tell(bench, loads, times=1):
     for _ in range(times):
         bench.move(GAP)
-        bench.list(News.CHANGES, listings(loads))
+        bench.list(UpdateKind.CHANGES, listings(loads))
 
 
 def test_a_live_weight_is_a_size_at_its_highest_and_a_load_below():
@@ -133,7 +133,7 @@
 def test_a_weight_out_of_all_reason_is_not_taken(size):
     bench = live()
     tell(bench, [1.0] * 4)
-    bench.list(News.CHANGES, [Listing(0, READY, size=size)])
+    bench.list(UpdateKind.CHANGES, [Listing(0, READY, size=size)])
     tell(bench, [1.0] * 4)
     assert {b.size for b in bench.agent._ring} == {1.0}
     assert {round(b.load, 6) for b in bench.agent._ring} == {1.0}
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import READY, Bench, crowd, settings
 
-from lupinreach.model import Ending, Group, Kind, Listing, News
+from lupinreach.model import Ending, Group, Kind, Listing, UpdateKind
 from lupinreach.policy.cold import FIRST_BOUND, MOST_EARNS, RARE, WIDEN
 from lupinreach.trial import play, spec
 
@@ -14,7 +14,7 @@
 
 
 def all_cold(bench, backends=4):
-    bench.list(News.FULL, [Listing(i, READY, bench.now) for i in range(backends)])
+    bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now) for i in range(backends)])
 
 
 def answers(bench, seconds, a_second, took):
@@ -77,7 +77,7 @@
 
 def test_one_that_refused_is_cold_from_its_next_answer_until_the_list_knows_better():
     bench = Bench(settings(cold=COLD))
-    bench.list(News.FULL, [Listing(i, READY) for i in range(4)])
+    bench.list(UpdateKind.FULL, [Listing(i, READY) for i in range(4)])
     b = bench.agent._backends[2]
     bench.agent._refused(bench.now, b)
     assert bench.agent._is_cold(bench.now, b) and bench.agent._capacity(bench.now, b) == 0.2
@@ -93,9 +93,9 @@
     assert not b.down and bench.now - 100 < answered < bench.now
     assert bench.agent._capacity(answered + COLD / 2, b) == pytest.approx(0.6)
     b.figure[0] = 77.0
-    bench.list(News.CHANGES, [Listing(2, READY, answered - 3000.0)])
+    bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered - 3000.0)])
     assert b.since == answered - 3000.0 and b.figure[0] == 77.0  # met since then already
-    bench.list(News.CHANGES, [Listing(2, READY, answered + 9000.0)])
+    bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered + 9000.0)])
     assert b.figure[0] is None
 
 
@@ -132,7 +132,7 @@
         entries=[Listing(i, READY, boot_time=999_500.0 if i < 4 else 0.0) for i in range(7)],
     )
     assert all(bench.agent._is_cold(bench.now, b) for b in bench.agent._ring)
-    bench.list(News.CHANGES, [Listing(5, READY, 999_700.0)])
+    bench.list(UpdateKind.CHANGES, [Listing(5, READY, 999_700.0)])
     assert {b.index for b in bench.agent._ring if not bench.agent._is_cold(bench.now, b)} == {4, 6}
     few = Bench(
         settings(cold=COLD),
@@ -149,7 +149,7 @@
     assert len(refused) >= 2 and all(b.down for b in bench.agent._ring)
     # Nor the registry's word, which knows of no death for seconds (seed 2004 of drawn losses: 78 shots in one second, by
     # agents that had a list of the registry's by then, to a backend that had started meanwhile).
-    bench.list(News.CHANGES, [])
+    bench.list(UpdateKind.CHANGES, [])
     assert all(b.down for b in bench.agent._ring)
     met = Bench(settings(cold=COLD), backends=8)
     for n in range(8):
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -23,7 +23,7 @@
 from lupinreach.fleet.membership import NOBODY
 from lupinreach.fleet.recovery import Floor
 from lupinreach.fleet.wire import BEAT, TELL, Drain, Message
-from lupinreach.model import Listing, News, State
+from lupinreach.model import Listing, State, UpdateKind
 from lupinreach.ops import outlives
 from lupinreach.ops.returning import Returning
 from lupinreach.store import records
@@ -237,7 +237,7 @@
     ready, draining = Listing(0, State.READY, 9.0, name=70), Listing(1, State.DRAINING, 9.0, name=71)
     assert part.own.life.number == 4
     assert agent.directory.older(40)
-    assert [e.state for e in part.see(News.CHANGES, [ready, draining], True)] == [
+    assert [e.state for e in part.see(UpdateKind.CHANGES, [ready, draining], True)] == [
         State.DRAINING,
         State.DRAINING,
     ]
@@ -252,13 +252,16 @@
         and answer.revision == 50
     )
     assert not agent.directory.older(51)
-    assert [e.state for e in part.see(News.FULL, [ready], False)] == [State.READY]
+    assert [e.state for e in part.see(UpdateKind.FULL, [ready], False)] == [State.READY]
     assert part.drains.all() == [] and not [k for k in part._store.state if k.startswith("drain/70")]
 
 
 def test_peers_word_of_a_drain_reaches_the_module_as_a_change():
     agent, part = one(state={"life": 4})
-    assert part.see(News.CACHED, [Listing(i, State.READY, 9.0, name=70 + i) for i in range(8)], False) == []
+    assert (
+        part.see(UpdateKind.CACHED, [Listing(i, State.READY, 9.0, name=70 + i) for i in range(8)], False)
+        == []
+    )
 
     async def work():
         running = asyncio.create_task(part.run())
@@ -280,7 +283,7 @@
     assert [
         (news, [e.backend for e in entries if e.state is State.DRAINING], len(entries))
         for news, entries in agent.listed
-    ] == [(News.CACHED, [1], 8)]
+    ] == [(UpdateKind.CACHED, [1], 8)]
     # Lifted after three times the time to ask within, if the registry's own word is as new as the fleet's by then.
     agent.directory.age = 5.0
     part._step()
@@ -297,11 +300,11 @@
 
 def test_what_one_peer_s_word_holds_back_shrinks_with_the_ready_backends_and_the_module_hears_of_it():
     agent, part = one()
-    part.see(News.FULL, [Listing(i, State.READY, 9.0, name=70 + i) for i in range(8)], False)
+    part.see(UpdateKind.FULL, [Listing(i, State.READY, 9.0, name=70 + i) for i in range(8)], False)
     part.drains.claimed(3, [Drain(70, 9), Drain(71, 9)])
     part._hold()
     gone = [Listing(i, State.GONE, 9.0, name=70 + i) for i in range(4, 8)]
-    assert [(e.backend, e.state) for e in part.see(News.CHANGES, gone, False)[4:]] == [(1, State.READY)]
+    assert [(e.backend, e.state) for e in part.see(UpdateKind.CHANGES, gone, False)[4:]] == [(1, State.READY)]
     assert agent.listed[0][1][0].state is State.DRAINING and part._held == {0}
 
 
@@ -310,7 +313,10 @@
     # Found on drawn losses 130 (another's disk) and 1874 (an older copy): an old list, and 0.3 s of shots to a backend that drained.
     agent, part = one(state, config=FleetConfig(50.0, 10.0))
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
-    assert part.see(News.CACHED, [Listing(i, State.READY, 9.0, name=70 + i) for i in range(2)], False) == []
+    assert (
+        part.see(UpdateKind.CACHED, [Listing(i, State.READY, 9.0, name=70 + i) for i in range(2)], False)
+        == []
+    )
 
     async def work():
         running = asyncio.create_task(part.run())
@@ -319,7 +325,9 @@
         running.cancel()
 
     asyncio.run(asyncio.wait_for(work(), 10))
-    assert [(news, [e.backend for e in entries]) for news, entries in agent.listed] == [(News.CACHED, [0, 1])]
+    assert [(news, [e.backend for e in entries]) for news, entries in agent.listed] == [
+        (UpdateKind.CACHED, [0, 1])
+    ]
     assert agent.standing.listed
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from helpers import DRAINING, GONE, READY, Bench, PlainCall, PlainShot, settings
 
 from lupinreach.balance import Balancer, Call
-from lupinreach.model import Ending, Group, Kind, Listing, News, State
+from lupinreach.model import Ending, Group, Kind, Listing, State, UpdateKind
 
 KINDS = (
     (Kind.IDEMPOTENT, Group.ALL),
@@ -152,7 +152,7 @@
         for b, old in self.listings.items():
             weight = 4.0 / (1 + load * self.rng.random() * 2)
             self.listings[b] = Listing(b, old.state, old.boot_time, weight, old.zone, old.cell, b)
-        self.bench.list(News.CHANGES, list(self.listings.values()))
+        self.bench.list(UpdateKind.CHANGES, list(self.listings.values()))
 
     def relist(self):
         b = self.rng.randrange(8)
@@ -162,12 +162,12 @@
         self.listings[b] = Listing(b, state, boot, 1.0, old.zone, old.cell)
         how = self.rng.random()
         if how < 0.6:
-            self.bench.list(News.CHANGES, [self.listings[b]])
+            self.bench.list(UpdateKind.CHANGES, [self.listings[b]])
         elif how < 0.8:  # a gap: the full list, in which the gone are missing
-            self.bench.list(News.FULL, [x for x in self.listings.values() if x.state is not State.GONE])
+            self.bench.list(UpdateKind.FULL, [x for x in self.listings.values() if x.state is not State.GONE])
         else:
             self.listings[b] = old
-            self.bench.list(News.FAILED, [])
+            self.bench.list(UpdateKind.FAILED, [])
 
 
 @pytest.mark.parametrize("copies", [True, False])
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -19,7 +19,7 @@
 from lupinreach.fleet.life import Life
 from lupinreach.fleet.warmth import Stood, Warmth, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
-from lupinreach.model import Listing, News, Shared
+from lupinreach.model import Listing, Shared, UpdateKind
 from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
 from lupinreach.trial.models.search import search
 
@@ -80,7 +80,7 @@
 
 def test_what_others_say_of_a_backend_not_met_yet_makes_it_as_warm_as_it_is_and_no_lists_word_is_overruled():
     bench = Bench(settings(cold=20_000.0))
-    bench.list(News.CACHED, [Listing(i, READY, 0.0) for i in range(4)])
+    bench.list(UpdateKind.CACHED, [Listing(i, READY, 0.0) for i in range(4)])
     for b in bench.agent._ring:
         bench.agent._refused(bench.now, b)
     bench.move(10_000)
@@ -94,7 +94,7 @@
         bench.now, Shared({}, stood={here.name: bench.now - 5_000})
     )  # nobody gets younger by it
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6)
-    bench.list(News.FULL, [Listing(i, READY, bench.now - 1000) for i in range(4)])
+    bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now - 1000) for i in range(4)])
     bench.agent.shared(bench.now, Shared({}, stood={here.name: bench.now - 15_000}))
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.24) and here not in bench.agent.young(
         bench.now
