--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -11,7 +11,7 @@
 
 from lupinreach.balance import Balancer, Call
 from lupinreach.config import BadConfig, believed, read_settings
-from lupinreach.model import Ask, Ending, Listing, Load, State, UpdateKind
+from lupinreach.model import Ending, IncomingCall, Listing, Load, State, UpdateKind
 
 ENDINGS = {
     "delivered": Ending.FULFILLED,
@@ -108,7 +108,7 @@
         token = e["tid"]
         call = self._balancer.take(
             now,
-            Ask(
+            IncomingCall(
                 token=token,
                 product=e.get("cls", 0),
                 until=e["valid_until"],
--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -15,7 +15,7 @@
 from zlib import crc32
 
 from lupinreach.known import Backend, Shot
-from lupinreach.model import Ask, Ending, Kind, Load, Met, Port, Settings, Shared, State
+from lupinreach.model import Ending, IncomingCall, Kind, Load, Met, Port, Settings, Shared, State
 from lupinreach.policy.calls import EASE, FULL_AT, Call, Offer, Target
 from lupinreach.policy.cold import FIRST_BOUND, ColdCredit
 from lupinreach.policy.learning import FULL_SHARE, LEAST_ROOM, MISS, TYPICAL, Learning
@@ -130,7 +130,7 @@
         self._asked_at = now
         self._port.directory(True)
 
-    def take(self, now: float, ask: Ask) -> Call:
+    def take(self, now: float, ask: IncomingCall) -> Call:
         """Take an API call; it gets exactly one final answer."""
         offer = self.offers[ask.product]
         work = 1.0
@@ -356,7 +356,7 @@
 
     def ahead(self, now: float, product: int) -> int | None:
         """The backend that a request too long to be kept goes ahead to; its last byte makes it a shot."""
-        call = Call(self, now, Ask(None, product, inf), 1.0, 1.0)
+        call = Call(self, now, IncomingCall(None, product, inf), 1.0, 1.0)
         t = call.target.index
         self._earn(now)
         b = self._turn(now, call, [b for b in self._ring if not b.held[t]] or self._ring)
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Backend, Balancer, Call
-from lupinreach.model import Ask, Kind, Listing, Port, Settings, State, UpdateKind
+from lupinreach.model import IncomingCall, Kind, Listing, Port, Settings, State, UpdateKind
 
 RARE = 10_000
 ASLEEP = 1000.0  # ms without any word of the world, after which an agent takes itself for one that slept
@@ -41,7 +41,7 @@
 class Resends(Balancer):
     """Resends a non-idempotent API call after a reset."""
 
-    def take(self, now: float, ask: Ask) -> Call:
+    def take(self, now: float, ask: IncomingCall) -> Call:
         call = super().take(now, ask)
         if call.offer.kind is Kind.NON_IDEMPOTENT:
             call.__class__ = Reckless
@@ -51,7 +51,7 @@
 class RareResends(Balancer):
     """The same, for one API call in ten thousand, and further shots without a budget."""
 
-    def take(self, now: float, ask: Ask) -> Call:
+    def take(self, now: float, ask: IncomingCall) -> Call:
         call = super().take(now, ask)
         self._rare = getattr(self, "_rare", crc32(str(self._seed).encode()) % RARE) + 1
         if self._rare % RARE == 0:
@@ -65,7 +65,7 @@
 class RepeatsLate(Balancer):
     """Repeats a deduplicated API call past the mark's memory."""
 
-    def take(self, now: float, ask: Ask) -> Call:
+    def take(self, now: float, ask: IncomingCall) -> Call:
         call = super().take(now, ask)
         call.__class__ = Forgetful
         return call
@@ -93,7 +93,7 @@
 class WakesBelieving(Balancer):
     """Goes on by what it believed when it was put to sleep: what has begun to drain meanwhile stays ready for it."""
 
-    def take(self, now: float, ask: Ask) -> Call:
+    def take(self, now: float, ask: IncomingCall) -> Call:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         self._last = now
         return super().take(now, ask)
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class IncomingCall:
     """One API call as it arrives."""
 
     token: Hashable  # the front's own name for it; comes back through the port
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from lupinreach.known import Backend, Shot
-from lupinreach.model import NEVER_RAN, Ask, Ending, Group, Kind, Load, Product, State
+from lupinreach.model import NEVER_RAN, Ending, Group, IncomingCall, Kind, Load, Product, State
 
 if TYPE_CHECKING:
     from lupinreach.balance import Balancer
@@ -69,7 +69,7 @@
         "only",
     )
 
-    def __init__(self, to: Balancer, now: float, ask: Ask, work: float, room: float) -> None:
+    def __init__(self, to: Balancer, now: float, ask: IncomingCall, work: float, room: float) -> None:
         self._to = to
         self.token = ask.token
         self.offer = to.offers[ask.product]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,9 +15,9 @@
 from lupinreach.config import read_agent
 from lupinreach.model import (
     NEVER_RAN,
-    Ask,
     Ending,
     Group,
+    IncomingCall,
     Kind,
     Limits,
     Listing,
@@ -129,7 +129,7 @@
         self.now = until
 
     def take(self, token, product=0, left=2000.0, **more):
-        call = self.agent.take(self.now, Ask(token, product, self.now + left, **more))
+        call = self.agent.take(self.now, IncomingCall(token, product, self.now + left, **more))
         self.calls[token] = call
         return call
 
