--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -15,7 +15,7 @@
 from zlib import crc32
 
 from lupinreach.known import Backend, Shot
-from lupinreach.model import Ending, IncomingCall, Kind, Load, Met, Port, Settings, Shared, State
+from lupinreach.model import BackendSnapshot, Ending, IncomingCall, Kind, Load, Port, Settings, Shared, State
 from lupinreach.policy.calls import EASE, FULL_AT, Call, Offer, Target
 from lupinreach.policy.cold import FIRST_BOUND, ColdCredit
 from lupinreach.policy.learning import FULL_SHARE, LEAST_ROOM, MISS, TYPICAL, Learning
@@ -115,7 +115,9 @@
         self._bare = False  # hardly one of the ready ones is warm
         self._lanes = FIRST_BOUND  # shots in flight that each of mean size may then hold, of all agents
         self._looks_at = inf  # when the next look is due
-        self._recalled: dict[int, Met] = {}  # by name; each leaves as it is listed, all as a list comes
+        self._recalled: dict[
+            int, BackendSnapshot
+        ] = {}  # by name; each leaves as it is listed, all as a list comes
         # For the operators, beside the front's own counters; grows with nothing.
         self.counts = {"cold shots": 0, "bound full": 0, "empty list": 0, "no turn": 0, "late or used up": 0}
 
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -170,7 +170,7 @@
 
 
 @dataclass(frozen=True)
-class Met:
+class BackendSnapshot:
     """What an agent has learnt of one backend process and another agent may start with."""
 
     name: int  # as in `Listing`
@@ -181,13 +181,13 @@
 
 
 @dataclass(frozen=True)
-class Learnt:
+class PolicySnapshot:
     """What an agent may hand on to the one that takes its place. It says nothing of states, nor of what is out."""
 
     slos: tuple[float, ...]  # ms, 0 = none given; figures for others mean nothing here
     live_weights: bool  # sizes read in the one way mean nothing in the other
     usual: tuple[tuple[float, float, float, float], ...]  # per SLO: typical, recent, ease and base, in ms
-    backends: tuple[Met, ...]
+    backends: tuple[BackendSnapshot, ...]
 
 
 @dataclass(frozen=True)
--- a/lupinreach/ops/carry.py
+++ b/lupinreach/ops/carry.py
@@ -10,7 +10,7 @@
 from math import isfinite
 from typing import Any
 
-from lupinreach.model import Learnt, Met
+from lupinreach.model import BackendSnapshot, PolicySnapshot
 from lupinreach.net.agent import Agent
 from lupinreach.store import trust
 from lupinreach.store.records import Found
@@ -27,7 +27,7 @@
     """The file can't be used; the text says why."""
 
 
-def plain(learnt: Learnt, at: float) -> dict[str, Any]:
+def plain(learnt: PolicySnapshot, at: float) -> dict[str, Any]:
     """The value; of more backends than it may name, the rest is left out."""
     return {
         "form": FORM,
@@ -41,7 +41,7 @@
     }
 
 
-def judged(raw: Any) -> tuple[float, Learnt]:
+def judged(raw: Any) -> tuple[float, PolicySnapshot]:
     """When the value was put, and what it holds: read whole before any of it counts."""
     try:
         if raw["form"] != FORM:
@@ -58,14 +58,16 @@
         raise Unfit("parts that don't fit together")
     if len(met) > MOST_BACKENDS:
         raise Unfit("too many backends")
-    return at, Learnt(slos, live, usual, met)  # type: ignore[arg-type]  # fours, as just checked
+    return at, PolicySnapshot(slos, live, usual, met)  # type: ignore[arg-type]  # fours, as just checked
 
 
-def _met(name: Any, boot_time: Any, listed: Any, figures: Any, ill: Any, slos: int) -> Met:
+def _met(name: Any, boot_time: Any, listed: Any, figures: Any, ill: Any, slos: int) -> BackendSnapshot:
     if type(name) is not int or len(figures) != slos:
         raise Unfit("a backend that doesn't fit")
     known = tuple(None if f is None else _figure(f) for f in figures)
-    return Met(name, _figure(boot_time, most=float("inf")), _figure(listed), known, _figure(ill, most=1.0))
+    return BackendSnapshot(
+        name, _figure(boot_time, most=float("inf")), _figure(listed), known, _figure(ill, most=1.0)
+    )
 
 
 def _figure(value: Any, most: float = MOST_FIGURE) -> float:
@@ -101,7 +103,7 @@
             return
         log.event("carried", backends=len(learnt.backends), age_ms=round(age))
 
-    def _read(self, found: Found) -> tuple[Learnt, float]:
+    def _read(self, found: Found) -> tuple[PolicySnapshot, float]:
         raw = trust.believed(found.state).get(LEARNT)
         if raw is None:
             raise Unfit(found.why or "nothing learnt")
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -5,7 +5,7 @@
 from math import ceil, inf
 
 from lupinreach.known import Backend
-from lupinreach.model import Learnt, Listing, Met, State, UpdateKind
+from lupinreach.model import BackendSnapshot, Listing, PolicySnapshot, State, UpdateKind
 from lupinreach.policy.calls import FULL_AT
 from lupinreach.policy.cold import BEYOND, FIRST_BOUND
 from lupinreach.policy.learning import KEEP, NEWEST
@@ -22,16 +22,16 @@
 
     # What another process may go on with.
 
-    def learnt(self) -> Learnt:
+    def learnt(self) -> PolicySnapshot:
         """What stays true for whoever asks next. Loads, bounds, credit, states and shots out don't."""
-        return Learnt(
+        return PolicySnapshot(
             self._slos,
             self._tells,
             tuple((t.typical, t.recent, t.ease, t.base) for t in self._targets),
-            tuple(Met(b.name, b.boot_time, b.listed, tuple(b.figure), b.ill) for b in self._ring),
+            tuple(BackendSnapshot(b.name, b.boot_time, b.listed, tuple(b.figure), b.ill) for b in self._ring),
         )
 
-    def recall(self, learnt: Learnt) -> bool:
+    def recall(self, learnt: PolicySnapshot) -> bool:
         """Begin with that, before the first list; false, with nothing taken, if it means something else."""
         if learnt.slos != self._slos or learnt.live_weights is not self._tells:
             return False
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -12,7 +12,7 @@
 from upgrading import PATIENT, ROOT, WAITS, platform
 
 from lupinreach.config import BadConfig
-from lupinreach.model import Learnt, Listing, Met, UpdateKind
+from lupinreach.model import BackendSnapshot, Listing, PolicySnapshot, UpdateKind
 from lupinreach.ops.carry import MOST_BACKENDS, Carry, Unfit, judged, plain
 from lupinreach.store import records
 from lupinreach.store.store import Store
@@ -78,8 +78,8 @@
 
 
 def test_an_ejected_backend_stays_ejected_until_a_trial_that_is_due_at_once():
-    ejected = Met(72, 0.0, 4.0, (800.0,), 0.0)
-    learnt = Learnt((400.0,), True, ((40.0, 40.0, 40.0, 40.0),), (ejected,))
+    ejected = BackendSnapshot(72, 0.0, 4.0, (800.0,), 0.0)
+    learnt = PolicySnapshot((400.0,), True, ((40.0, 40.0, 40.0, 40.0),), (ejected,))
     new, taken = fresh([Listing(i, READY, size=4.0, name=70 + i) for i in range(4)], learnt=learnt)
     assert taken
     b = next(b for b in new.agent._ring if b.name == 72)
@@ -121,11 +121,11 @@
 def test_the_file_reads_back_and_is_bounded():
     learnt = warmed().agent.learnt()
     assert again(learnt, 1234.5) == (1234.5, learnt)
-    many = Learnt(
+    many = PolicySnapshot(
         (400.0,),
         True,
         ((1.0, 1.0, 1.0, 1.0),),
-        tuple(Met(i, 0.0, 1.0, (None,), 0.0) for i in range(2 * MOST_BACKENDS)),
+        tuple(BackendSnapshot(i, 0.0, 1.0, (None,), 0.0) for i in range(2 * MOST_BACKENDS)),
     )
     assert len(again(many, 1.0)[1].backends) == MOST_BACKENDS
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -12,7 +12,7 @@
 from lupinreach.balance import Balancer
 from lupinreach.bed.ways.disk import CARRIED, Folder, MemoryDisk
 from lupinreach.bed.world.chance import stream
-from lupinreach.model import Learnt, Met
+from lupinreach.model import BackendSnapshot, PolicySnapshot
 from lupinreach.ops.carry import Carry, judged
 from lupinreach.store import records
 from lupinreach.store.files import Disk, replace
@@ -21,11 +21,11 @@
 
 POWER = {"kind": "power", "at": 6, "agents": 1, "backends": 0.8, "registry": 0.5}
 DISK = {"agents": {"count": 4, "carry_s": 60}}
-LEARNT = Learnt(
+LEARNT = PolicySnapshot(
     (400.0,),
     False,
     ((30.0, 40.0, 20.0, 25.0),),
-    (Met(7, 5.0, 1.0, (50.0,), 0.1), Met(8, 0.0, 1.0, (None,), 0.0)),
+    (BackendSnapshot(7, 5.0, 1.0, (50.0,), 0.1), BackendSnapshot(8, 0.0, 1.0, (None,), 0.0)),
 )
 
 
