--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -15,7 +15,17 @@
 from zlib import crc32
 
 from lupinreach.known import Backend, Shot
-from lupinreach.model import BackendSnapshot, Ending, IncomingCall, Kind, Load, Port, Settings, Shared, State
+from lupinreach.model import (
+    BackendSnapshot,
+    Ending,
+    IncomingCall,
+    Kind,
+    Load,
+    Port,
+    Settings,
+    SharedEstimates,
+    State,
+)
 from lupinreach.policy.calls import EASE, FULL_AT, Call, Offer, Target
 from lupinreach.policy.cold import FIRST_BOUND, ColdCredit
 from lupinreach.policy.learning import FULL_SHARE, LEAST_ROOM, MISS, TYPICAL, Learning
@@ -183,7 +193,7 @@
         """The backends that this agent uses, as far as it uses only some; None: any may be next."""
         return None if self._warm_keys else {b.index for b in self._ring[: self._most()]}
 
-    def shared(self, now: float, told: Shared) -> None:
+    def shared(self, now: float, told: SharedEstimates) -> None:
         """What others' word makes of own figures: turns move, trials come sooner, nothing is ejected."""
         self._told_over, self._trial_rate = told.over, told.trials
         for b in self._ring:
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True)
-class Shared:
+class SharedEstimates:
     """What agents of one fleet make of what they share, in place of one's own guesses; each figure is bounded where it is made."""
 
     dearer: Mapping[int, float]  # by backend's name: what a turn costs more by others' word; absent: 1
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -20,7 +20,7 @@
 from lupinreach.fleet.membership import Members
 from lupinreach.fleet.warmth import Warmth
 from lupinreach.fleet.wire import Message
-from lupinreach.model import Shared
+from lupinreach.model import SharedEstimates
 from lupinreach.net.agent import Agent
 
 JITTER = 0.2  # of the time between two words
@@ -147,7 +147,7 @@
         )
         balancer.shared(
             now,
-            Shared(
+            SharedEstimates(
                 dearer,
                 due,
                 self._over(now),
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -19,7 +19,7 @@
 from lupinreach.fleet.life import Life
 from lupinreach.fleet.warmth import Stood, Warmth, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
-from lupinreach.model import Listing, Shared, UpdateKind
+from lupinreach.model import Listing, SharedEstimates, UpdateKind
 from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
 from lupinreach.trial.models.search import search
 
@@ -88,14 +88,14 @@
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.2) and here in bench.agent.young(
         bench.now
     )
-    bench.agent.shared(bench.now, Shared({}, stood={here.name: bench.now - 10_000}))
+    bench.agent.shared(bench.now, SharedEstimates({}, stood={here.name: bench.now - 10_000}))
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6) and not here.down
     bench.agent.shared(
-        bench.now, Shared({}, stood={here.name: bench.now - 5_000})
+        bench.now, SharedEstimates({}, stood={here.name: bench.now - 5_000})
     )  # nobody gets younger by it
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6)
     bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now - 1000) for i in range(4)])
-    bench.agent.shared(bench.now, Shared({}, stood={here.name: bench.now - 15_000}))
+    bench.agent.shared(bench.now, SharedEstimates({}, stood={here.name: bench.now - 15_000}))
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.24) and here not in bench.agent.young(
         bench.now
     )
@@ -278,11 +278,11 @@
         bench.serve(("warm", n))
     before = [list(b.held) for b, _ in bench.agent.evidence()]
     name = next(b.name for b, _ in bench.agent.evidence())
-    bench.agent.shared(bench.now, Shared({name: 4.0}))
+    bench.agent.shared(bench.now, SharedEstimates({name: 4.0}))
     assert [list(b.held) for b, _ in bench.agent.evidence()] == before == [[0.0]] * 4
     b = next(b for b, _ in bench.agent.evidence())
     b.held = [bench.now + 1e6]
-    bench.agent.shared(bench.now, Shared({}, frozenset((b.name,))))
+    bench.agent.shared(bench.now, SharedEstimates({}, frozenset((b.name,))))
     assert b.held == [bench.now] and all(o.dearer == 1 for o, _ in bench.agent.evidence())
 
 
@@ -291,7 +291,7 @@
     for n in range(20):
         bench.serve(("warm", n))
     dear = bench.agent.evidence()[0][0]
-    bench.agent.shared(bench.now, Shared({dear.name: 4.0}))
+    bench.agent.shared(bench.now, SharedEstimates({dear.name: 4.0}))
     # The names of a bench without names are alike: told apart here.
     for n, (b, _) in enumerate(bench.agent.evidence()):
         b.dearer = 4.0 if n == 0 else 1.0
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -8,7 +8,7 @@
 from lupinreach.config import BadConfig
 from lupinreach.fleet.evidence import Evidence
 from lupinreach.fleet.grants import Budget
-from lupinreach.model import Shared
+from lupinreach.model import SharedEstimates
 from lupinreach.ops.sharing import Sharing
 from lupinreach.trial import bounds, play, spec
 
@@ -103,4 +103,4 @@
 def test_what_shares_needs_a_fleet():
     with pytest.raises(BadConfig, match=r"agents\.share_ms: needs agents\.fleet"):
         spec.read(SMALL | {"agents": {"share_ms": 300}})
-    assert Shared({}).over is None
+    assert SharedEstimates({}).over is None
