--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -11,17 +11,17 @@
 
 from lupinreach.balance import Balancer, Call
 from lupinreach.config import BadConfig, believed, read_settings
-from lupinreach.model import Ending, IncomingCall, Listing, Load, State, UpdateKind
+from lupinreach.model import AttemptEnd, IncomingCall, Listing, Load, State, UpdateKind
 
 ENDINGS = {
-    "delivered": Ending.FULFILLED,
-    "app_error": Ending.ERRORED,
-    "shed": Ending.TURNED_AWAY,
-    "expired": Ending.TIMED_OUT,
-    "dial_failed": Ending.UNREACHABLE,
-    "dropped": Ending.RESET,
-    "revoked": Ending.CANCELLED,
-    "unused": Ending.UNSENT,
+    "delivered": AttemptEnd.FULFILLED,
+    "app_error": AttemptEnd.ERRORED,
+    "shed": AttemptEnd.REJECTED,
+    "expired": AttemptEnd.TIMED_OUT,
+    "dial_failed": AttemptEnd.UNREACHABLE,
+    "dropped": AttemptEnd.RESET,
+    "revoked": AttemptEnd.CANCELLED,
+    "unused": AttemptEnd.UNSENT,
 }
 HINTED, REPEATED, WRITES = 1, 2, 4
 MOST_LISTS = 16
--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -16,8 +16,8 @@
 
 from lupinreach.known import Backend, Shot
 from lupinreach.model import (
+    AttemptEnd,
     BackendSnapshot,
-    Ending,
     IncomingCall,
     Kind,
     Load,
@@ -219,7 +219,7 @@
             if b.state is not State.GONE
         )
 
-    def probed(self, now: float, backend: int, ending: Ending, latency: float, load: Load | None) -> None:
+    def probed(self, now: float, backend: int, ending: AttemptEnd, latency: float, load: Load | None) -> None:
         """The outcome of a probe; this version sends none."""
 
     def heard(self, now: float, sender: int, message: bytes) -> None:
@@ -489,7 +489,7 @@
                     if b.silent_since <= shot.sent and now - shot.sent > SILENT * usual:
                         # Nothing at all came back since, nor ever takes as long: one such shot says enough.
                         b.figure = [MISS * t.slo for t in self._targets]
-                    self._sample(now, call, shot, Ending.TIMED_OUT, now - shot.sent)
+                    self._sample(now, call, shot, AttemptEnd.TIMED_OUT, now - shot.sent)
             if not call.done and call.out == 1:
                 self._second(now, call)
         self._expire(now)
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -12,7 +12,7 @@
 
 from lupinreach.balance import Backend, Balancer, Call
 from lupinreach.bed.peers.backend import Backend as Model
-from lupinreach.model import Ending, Load, Port, Settings
+from lupinreach.model import AttemptEnd, Load, Port, Settings
 
 Decide = Callable[[Settings, int, Port], Balancer]
 
@@ -32,7 +32,7 @@
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
         raise NotImplementedError
 
-    def _sample(self, now: float, call: Call, shot: object, ending: Ending, latency: float) -> None:  # type: ignore[override]
+    def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         """Learns nothing."""
 
     def _second(self, now: float, call: Call) -> None:
@@ -89,9 +89,9 @@
         pool = [b for b in among if not b.held[i]]
         return min(pool or among, key=lambda b: b.turn)
 
-    def _sample(self, now: float, call: Call, shot: object, ending: Ending, latency: float) -> None:  # type: ignore[override]
+    def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         b, target = shot.backend, call.target  # type: ignore[attr-defined]
-        i, failed = target.index, ending is not Ending.FULFILLED
+        i, failed = target.index, ending is not AttemptEnd.FULFILLED
         sample = 2 * target.slo if failed else latency
         if b.held[i]:
             if shot.trial:  # type: ignore[attr-defined]
@@ -114,7 +114,7 @@
         now: float,
         call: Call,
         shot: object,
-        ending: Ending,
+        ending: AttemptEnd,
         latency: float,  # type: ignore[override]
         load: Load | None,
     ) -> None:
@@ -128,7 +128,7 @@
         i = call.target.index
         return min(among, key=lambda b: (b.figure[i] if b.figure[i] is not None else -inf, b.turn))
 
-    def _sample(self, now: float, call: Call, shot: object, ending: Ending, latency: float) -> None:  # type: ignore[override]
+    def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         b, i = shot.backend, call.target.index  # type: ignore[attr-defined]
         if b.figure[i] is None:  # as told once: what changes later is not seen until it is refreshed
             b.figure[i] = latency
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -24,12 +24,12 @@
     CELL = "cell"
 
 
-class Ending(Enum):
+class AttemptEnd(Enum):
     """How a shot ended."""
 
     FULFILLED = "fulfilled"
     ERRORED = "errored"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     REFUSED = "refused"  # unreachable, and known to be so for want of a process that listens
@@ -39,7 +39,7 @@
 
 
 # Endings that prove that the backend never ran the shot.
-NEVER_RAN = frozenset({Ending.TURNED_AWAY, Ending.UNREACHABLE, Ending.REFUSED, Ending.UNSENT})
+NEVER_RAN = frozenset({AttemptEnd.REJECTED, AttemptEnd.UNREACHABLE, AttemptEnd.REFUSED, AttemptEnd.UNSENT})
 
 
 class State(Enum):
--- a/lupinreach/net/ends.py
+++ b/lupinreach/net/ends.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from lupinreach.model import Ending
+from lupinreach.model import AttemptEnd
 
 
 class End(Enum):
@@ -38,27 +38,27 @@
 
 # Only what was never written whole is known not to have run: a break after that is a reset.
 ENDINGS = {
-    End.SERVED: Ending.FULFILLED,
-    End.TURNED_AWAY: Ending.TURNED_AWAY,
-    End.FAULT: Ending.ERRORED,
-    End.NO_ROOM: Ending.UNREACHABLE,
-    End.REFUSED: Ending.REFUSED,
-    End.NEVER_UP: Ending.UNREACHABLE,
-    End.BROKE_SENDING: Ending.UNREACHABLE,
-    End.LATE_SENDING: Ending.UNREACHABLE,
-    End.CALLED_OFF_SENDING: Ending.UNSENT,
-    End.BROKE: Ending.RESET,
-    End.CUT_SHORT: Ending.RESET,
+    End.SERVED: AttemptEnd.FULFILLED,
+    End.TURNED_AWAY: AttemptEnd.REJECTED,
+    End.FAULT: AttemptEnd.ERRORED,
+    End.NO_ROOM: AttemptEnd.UNREACHABLE,
+    End.REFUSED: AttemptEnd.REFUSED,
+    End.NEVER_UP: AttemptEnd.UNREACHABLE,
+    End.BROKE_SENDING: AttemptEnd.UNREACHABLE,
+    End.LATE_SENDING: AttemptEnd.UNREACHABLE,
+    End.CALLED_OFF_SENDING: AttemptEnd.UNSENT,
+    End.BROKE: AttemptEnd.RESET,
+    End.CUT_SHORT: AttemptEnd.RESET,
     # A spoilt answer says that something is wrong, as a 500 does, and not that too much is out.
-    End.MALFORMED: Ending.ERRORED,
-    End.TOO_LARGE: Ending.ERRORED,
-    End.STOOD_STILL: Ending.ERRORED,
-    End.SILENT: Ending.TIMED_OUT,
-    End.CALLED_OFF: Ending.CANCELLED,
-    End.LEFT: Ending.RESET,
-    End.IDLE: Ending.RESET,
-    End.MADE_ROOM: Ending.RESET,
-    End.STOPPED: Ending.RESET,
+    End.MALFORMED: AttemptEnd.ERRORED,
+    End.TOO_LARGE: AttemptEnd.ERRORED,
+    End.STOOD_STILL: AttemptEnd.ERRORED,
+    End.SILENT: AttemptEnd.TIMED_OUT,
+    End.CALLED_OFF: AttemptEnd.CANCELLED,
+    End.LEFT: AttemptEnd.RESET,
+    End.IDLE: AttemptEnd.RESET,
+    End.MADE_ROOM: AttemptEnd.RESET,
+    End.STOPPED: AttemptEnd.RESET,
 }
 
 
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from lupinreach.known import Backend, Shot
-from lupinreach.model import NEVER_RAN, Ending, Group, IncomingCall, Kind, Load, Product, State
+from lupinreach.model import NEVER_RAN, AttemptEnd, Group, IncomingCall, Kind, Load, Product, State
 
 if TYPE_CHECKING:
     from lupinreach.balance import Balancer
@@ -138,7 +138,7 @@
         self.streaming = True
         if latency is not None and shot.out and not shot.passing:
             shot.ran = shot.passing = True
-            to.landed(now, self, shot, Ending.FULFILLED, latency, load)
+            to.landed(now, self, shot, AttemptEnd.FULFILLED, latency, load)
             to.call_off(self, shot)
         shot.overdue = True
         to.pump(now)
@@ -151,7 +151,7 @@
         self,
         now: float,
         number: int,
-        ending: Ending,
+        ending: AttemptEnd,
         latency: float,
         complete: bool,
         load: Load | None = None,
@@ -166,7 +166,7 @@
         to = self._to
         if not shot.passing:
             to.landed(now, self, shot, ending, latency, load)
-        elif ending is not Ending.FULFILLED and ending is not Ending.CANCELLED:
+        elif ending is not AttemptEnd.FULFILLED and ending is not AttemptEnd.CANCELLED:
             # What broke under way may be any backend's; it ejects like a break, and narrows no bound.
             to.broke(now, self, shot)
         if complete:
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -5,12 +5,14 @@
 from math import sqrt
 
 from lupinreach.known import Backend, Shot
-from lupinreach.model import Ending, Load
+from lupinreach.model import AttemptEnd, Load
 from lupinreach.policy.calls import Call, Target
 
-CUT_OFF = frozenset({Ending.UNREACHABLE, Ending.REFUSED})
-NO_SIGN = frozenset({Ending.UNSENT, Ending.CANCELLED, Ending.TIMED_OUT, Ending.UNREACHABLE})  # of life
-SPOILT = frozenset({Ending.ERRORED, Ending.RESET})  # something is wrong, but not that too much is out
+CUT_OFF = frozenset({AttemptEnd.UNREACHABLE, AttemptEnd.REFUSED})
+NO_SIGN = frozenset(
+    {AttemptEnd.UNSENT, AttemptEnd.CANCELLED, AttemptEnd.TIMED_OUT, AttemptEnd.UNREACHABLE}
+)  # of life
+SPOILT = frozenset({AttemptEnd.ERRORED, AttemptEnd.RESET})  # something is wrong, but not that too much is out
 NEWEST = 0.15  # weight of the newest latency sample
 MISS = 2.0  # a failed shot counts as a sample of this many SLOs; no sample counts for more
 DEFAULT_SLO = 2.0  # with no SLO given: this many times the median smoothed latency
@@ -32,17 +34,17 @@
     # Learning from what came back.
 
     def landed(
-        self, now: float, call: Call, shot: Shot, ending: Ending, latency: float, load: Load | None
+        self, now: float, call: Call, shot: Shot, ending: AttemptEnd, latency: float, load: Load | None
     ) -> None:
         """Book the end of a shot."""
         b = shot.backend
         b.flight -= 1
         self._flight -= not shot.lost
         target = call.target
-        failed = ending is not Ending.FULFILLED
+        failed = ending is not AttemptEnd.FULFILLED
         if shot.trial:
             b.trial = None
-        if ending is Ending.REFUSED:
+        if ending is AttemptEnd.REFUSED:
             # Its credit is spent: guards against agents that have all saved it up by the time it is back.
             self._refused(now, b)
         elif ending not in NO_SIGN:
@@ -51,7 +53,11 @@
                 b.down, b.since = False, shot.sent
                 self._restarted(b, b.credit)
             b.stood = b.stood or shot.sent
-        if ending in (Ending.UNSENT, Ending.CANCELLED) or (shot.overdue and failed) or shot.called_off:
+        if (
+            ending in (AttemptEnd.UNSENT, AttemptEnd.CANCELLED)
+            or (shot.overdue and failed)
+            or shot.called_off
+        ):
             if shot.trial and b.held[target.index]:
                 b.held[target.index] = now + (self._hold if shot.overdue else 0.0)
             return
@@ -84,14 +90,14 @@
     def broke(self, now: float, call: Call, shot: Shot) -> None:
         """A shot broke whose answer had begun and was booked."""
         shot.backend.ill += TYPICAL * (1 - shot.backend.ill)
-        self._sample(now, call, shot, Ending.RESET, 0.0)
+        self._sample(now, call, shot, AttemptEnd.RESET, 0.0)
 
-    def _sample(self, now: float, call: Call, shot: Shot, ending: Ending, latency: float) -> None:
+    def _sample(self, now: float, call: Call, shot: Shot, ending: AttemptEnd, latency: float) -> None:
         """One sample for the backend's figure of every SLO, scaled to what each SLO's API calls usually take.
 
         Guards against agents with little traffic that would learn of a slow backend once for each product.
         """
-        b, own, failed = shot.backend, call.target, ending is not Ending.FULFILLED
+        b, own, failed = shot.backend, call.target, ending is not AttemptEnd.FULFILLED
         b.met_at = now
         # Guards against a wave of cold backends, slow by their age, that would narrow what the warm ones get.
         # But with hardly a warm one left it is the cold that tell, each by what it would have taken warm.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
 from lupinreach.config import read_agent
 from lupinreach.model import (
     NEVER_RAN,
-    Ending,
+    AttemptEnd,
     Group,
     IncomingCall,
     Kind,
@@ -136,11 +136,11 @@
     def sent_to(self, token) -> list[int]:
         return [b for t, b, _ in self.port.sent if t == token]
 
-    def answer(self, token, latency=100.0, ending=Ending.FULFILLED, number=None) -> None:
+    def answer(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, number=None) -> None:
         number = len(self.sent_to(token)) - 1 if number is None else number
-        self.calls[token].ended(self.now, number, ending, latency, ending is Ending.FULFILLED)
+        self.calls[token].ended(self.now, number, ending, latency, ending is AttemptEnd.FULFILLED)
 
-    def serve(self, token, latency=100.0, ending=Ending.FULFILLED, product=0) -> int:
+    def serve(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, product=0) -> int:
         """One API call from arrival to its end; returns the backend of its first shot."""
         self.take(token, product)
         backend = self.sent_to(token)[0]
@@ -181,7 +181,7 @@
 class PlainShot:
     backend: int
     at: float
-    ending: Ending | None = None
+    ending: AttemptEnd | None = None
 
     @property
     def may_have_run(self) -> bool:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -14,7 +14,7 @@
 
 from lupinreach import logs
 from lupinreach.config import LOADS
-from lupinreach.model import NEVER_RAN, Ending, Load
+from lupinreach.model import NEVER_RAN, AttemptEnd, Load
 from lupinreach.net import listener, protocol
 from lupinreach.net.ends import ENDINGS, End
 from lupinreach.net.pool import Place, Pool
@@ -619,11 +619,11 @@
             await asyncio.wait([task])
             ends = [s.end for s in (refused, late, unwritten, written, unbegun)]
             assert [ENDINGS[e] for e in ends] == [
-                Ending.REFUSED,
-                Ending.UNREACHABLE,
-                Ending.UNREACHABLE,
-                Ending.TIMED_OUT,
-                Ending.UNSENT,
+                AttemptEnd.REFUSED,
+                AttemptEnd.UNREACHABLE,
+                AttemptEnd.UNREACHABLE,
+                AttemptEnd.TIMED_OUT,
+                AttemptEnd.UNSENT,
             ]
 
     run(work())
@@ -972,8 +972,8 @@
             assert (index, got) == (0, ending) and (report.in_flight if report else None) == load
             assert backend.requests[0].startswith(b"GET /stats HTTP/1.1\r\n")
 
-    run(work(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\ninflight=7,queue=2", Ending.FULFILLED, 7.0))
-    run(work(failed(503), Ending.ERRORED, None))
+    run(work(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\ninflight=7,queue=2", AttemptEnd.FULFILLED, 7.0))
+    run(work(failed(503), AttemptEnd.ERRORED, None))
 
 
 def test_datagrams_go_to_all_and_come_from_peers_only(monkeypatch):
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -6,7 +6,7 @@
 from helpers import DRAINING, READY, Bench, crowd, settings
 
 from lupinreach.balance import FULL_SHARE, HOLD, LATE_AT, PATIENCE, TRIALS
-from lupinreach.model import Customer, Ending, Group, Kind, Listing, Load, State, UpdateKind
+from lupinreach.model import AttemptEnd, Customer, Group, Kind, Listing, Load, State, UpdateKind
 
 SLO = 400.0
 
@@ -18,7 +18,7 @@
         call = bench.take((backend, n))
         at = bench.sent_to((backend, n))[0]
         bench.move(40)
-        call.ended(bench.now, 0, Ending.FULFILLED, 2 * SLO if at == backend else 60.0, True)
+        call.ended(bench.now, 0, AttemptEnd.FULFILLED, 2 * SLO if at == backend else 60.0, True)
         assert call.closed
         had += at == backend
     return had
@@ -100,7 +100,7 @@
         call = bench.take(n, left=3 * SLO)
         bench.move(60 if n < 8 else 1.2 * SLO)
         if call.out:
-            call.ended(bench.now, 0, Ending.FULFILLED, 60.0 if n < 8 else 1.2 * SLO, True)
+            call.ended(bench.now, 0, AttemptEnd.FULFILLED, 60.0 if n < 8 else 1.2 * SLO, True)
     held_now = [b for b in bench.agent._ring if b.held[0]]
     assert len(held_now) <= 2
 
@@ -169,7 +169,7 @@
         bench.take(n)
         bench.move(50)
         while bench.calls[n].out:
-            bench.answer(n, 2.0, Ending.UNREACHABLE)
+            bench.answer(n, 2.0, AttemptEnd.UNREACHABLE)
     assert bench.agent._fullness < FULL_SHARE
 
 
@@ -242,7 +242,7 @@
         call = bench.take(("cold", n))
         bench.move(20.0)
         if call.out:
-            call.ended(bench.now, 0, Ending.FULFILLED, 20.0, True)
+            call.ended(bench.now, 0, AttemptEnd.FULFILLED, 20.0, True)
             served += 1
     assert 60 < served < 300
 
@@ -268,7 +268,7 @@
         bench.move(10)
         while bench.sent_to(token)[-1] == 1 and bench.calls[token].out:
             hits += 1
-            bench.answer(token, 5.0, Ending.TURNED_AWAY)
+            bench.answer(token, 5.0, AttemptEnd.REJECTED)
         bench.move(30)
         if bench.calls[token].out:
             bench.answer(token, 40.0)
@@ -314,7 +314,7 @@
         bench.take(n)
         bench.move(60)
         while bench.calls[n].out:
-            bench.answer(n, 60.0, Ending.ERRORED)
+            bench.answer(n, 60.0, AttemptEnd.ERRORED)
     assert len(bench.port.sent) < 330
 
 
@@ -345,7 +345,7 @@
             call = bench.take(n, key=77)
             at = bench.sent_to(n)[0]
             bench.move(30.0)
-            call.ended(bench.now, 0, Ending.FULFILLED, 30.0, True)
+            call.ended(bench.now, 0, AttemptEnd.FULFILLED, 30.0, True)
             names[entries[at].name] += 1
         assert set(names.values()) == {20}
         homes.append(set(names))
@@ -386,7 +386,7 @@
         turns[at] += n >= 20
         bench.move(30.0)
         report = Load(in_flight=40.0 if at == 1 and n >= 20 else 2.0 + at / 4)
-        call.ended(bench.now, 0, Ending.FULFILLED, 30.0, True, report)
+        call.ended(bench.now, 0, AttemptEnd.FULFILLED, 30.0, True, report)
     assert turns[1] < 8 and max(turns[b] for b in (0, 2, 3)) - min(turns[b] for b in (0, 2, 3)) <= 1
 
 
@@ -397,7 +397,7 @@
         call = bench.take(n)
         bench.move(30.0)
         call.ended(
-            bench.now, 0, Ending.FULFILLED, 30.0, True, Load(in_flight=(0.0, 1.0, 0.0, 3.0, 1.0)[n % 5])
+            bench.now, 0, AttemptEnd.FULFILLED, 30.0, True, Load(in_flight=(0.0, 1.0, 0.0, 3.0, 1.0)[n % 5])
         )
         assert all(not b.rest_until for b in bench.agent._ring)
 
@@ -407,7 +407,7 @@
     bench = Bench(settings(kinds=((Kind.NON_IDEMPOTENT, Group.ALL),)))
     before = bench.agent._bound
     for n in range(40):
-        bench.serve(n, 20.0, Ending.RESET if n % 2 else Ending.FULFILLED)
+        bench.serve(n, 20.0, AttemptEnd.RESET if n % 2 else AttemptEnd.FULFILLED)
     assert bench.agent._fullness == 0.0 and bench.agent._bound >= before
 
 
@@ -419,7 +419,9 @@
             bench.take(n)
             backend = bench.sent_to(n)[0]
             bench.move(20.0)
-            bench.answer(n, 20.0, Ending.RESET if rng.random() < shares[backend] else Ending.FULFILLED)
+            bench.answer(
+                n, 20.0, AttemptEnd.RESET if rng.random() < shares[backend] else AttemptEnd.FULFILLED
+            )
         return Counter(int(line.split()[1]) for line in bench.port.logged if "ejected" in line)
 
     assert not ejected([0.1] * 8)
@@ -444,7 +446,7 @@
     agent = bench.agent
     first, second = bench.take("a"), bench.take("b")
     agent._bound = agent._least = 1.0  # full with the second
-    bench.answer("a", 50.0, Ending.TURNED_AWAY)
+    bench.answer("a", 50.0, AttemptEnd.REJECTED)
     assert agent._line == [first]
     bench.move(100.0)
     assert first.closed and list(agent._live) == [second]
@@ -476,7 +478,7 @@
     bench = Bench(settings(((Kind.NON_IDEMPOTENT, Group.ALL),), shots=3), backends=3)
     bench.take("early")
     while bench.calls["early"].out:
-        bench.answer("early", 1.0, Ending.UNREACHABLE)
+        bench.answer("early", 1.0, AttemptEnd.UNREACHABLE)
         bench.move(1.0)
     assert bench.port.answers == [("rate-limited", "early")] and len(set(bench.sent_to("early"))) == 3
     bench.list(
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import READY, Bench, crowd, settings
 
-from lupinreach.model import Ending, Group, Kind, Listing, UpdateKind
+from lupinreach.model import AttemptEnd, Group, Kind, Listing, UpdateKind
 from lupinreach.policy.cold import FIRST_BOUND, MOST_EARNS, RARE, WIDEN
 from lupinreach.trial import play, spec
 
@@ -99,7 +99,7 @@
     assert b.figure[0] is None
 
 
-@pytest.mark.parametrize("ending", [Ending.UNREACHABLE, Ending.TIMED_OUT, Ending.RESET])
+@pytest.mark.parametrize("ending", [AttemptEnd.UNREACHABLE, AttemptEnd.TIMED_OUT, AttemptEnd.RESET])
 def test_one_that_is_cut_off_or_breaks_is_not_taken_for_a_fresh_process(ending):
     # What can't be reached may be behind a cut: taken for cold, a healed zone would be starved for the cold time.
     bench = Bench(settings(cold=COLD))
@@ -119,7 +119,7 @@
         bench.take(token)
         bench.move(5.0)
         for b in bench.sent_to(token)[-1:]:
-            bench.answer(token, 1.0, Ending.REFUSED)
+            bench.answer(token, 1.0, AttemptEnd.REFUSED)
             refused.add(b)
     return refused
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from helpers import DRAINING, GONE, READY, Bench, PlainCall, PlainShot, settings
 
 from lupinreach.balance import Balancer, Call
-from lupinreach.model import Ending, Group, Kind, Listing, State, UpdateKind
+from lupinreach.model import AttemptEnd, Group, Kind, Listing, State, UpdateKind
 
 KINDS = (
     (Kind.IDEMPOTENT, Group.ALL),
@@ -15,7 +15,7 @@
     (Kind.DEDUPLICATED, Group.ZONE),
     (Kind.DEDUPLICATED, Group.CELL),
 )
-FAILURES = [e for e in Ending if e not in (Ending.FULFILLED, Ending.CANCELLED)]
+FAILURES = [e for e in AttemptEnd if e not in (AttemptEnd.FULFILLED, AttemptEnd.CANCELLED)]
 
 
 class History:
@@ -78,11 +78,11 @@
         call, shot = self.plain[token], self.plain[token].shots[number]
         if shot.ending is not None:
             return
-        if self.bench.now >= call.until and ending is Ending.FULFILLED:
-            ending = Ending.TIMED_OUT
+        if self.bench.now >= call.until and ending is AttemptEnd.FULFILLED:
+            ending = AttemptEnd.TIMED_OUT
         shot.ending = ending
-        complete = bool(call.final) or ending is Ending.FULFILLED
-        if ending is Ending.FULFILLED and not call.final:
+        complete = bool(call.final) or ending is AttemptEnd.FULFILLED
+        if ending is AttemptEnd.FULFILLED and not call.final:
             call.final.append("fulfilled")
         self.bench.calls[token].ended(self.bench.now, number, ending, self.bench.now - shot.at, complete)
 
@@ -120,7 +120,7 @@
             if out:
                 token, number = rng.choice(out)
                 good = rng.random() < self.good
-                self.end(token, number, Ending.FULFILLED if good else rng.choice(FAILURES))
+                self.end(token, number, AttemptEnd.FULFILLED if good else rng.choice(FAILURES))
         elif what < 0.80:
             self.reweigh() if self.live and rng.random() < 0.7 else self.relist()
         elif what < 0.82:
@@ -138,11 +138,11 @@
             bench.move(min(5.0, until - bench.now))
             self.called_off, off = [], self.called_off
             for token, number in off:
-                self.end(token, number, Ending.CANCELLED)
+                self.end(token, number, AttemptEnd.CANCELLED)
             for token, call in list(self.plain.items()):
                 for number, shot in enumerate(call.shots):
                     if shot.ending is None and bench.now >= call.until:
-                        self.end(token, number, Ending.TIMED_OUT)
+                        self.end(token, number, AttemptEnd.TIMED_OUT)
                 if bench.now > call.until + self.given.rules.answer_slack and not call.final:
                     self.wrong.append(f"no final answer in time (API call {token})")
                     call.final.append("lost")
