--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -18,8 +18,8 @@
 from lupinreach.model import (
     AttemptEnd,
     BackendSnapshot,
+    Idempotency,
     IncomingCall,
-    Kind,
     Load,
     Port,
     Settings,
@@ -331,7 +331,7 @@
         if tried and any(b not in tried for b in usable):
             usable = [b for b in usable if b not in tried]
         pool = [b for b in usable if not b.held[t]]
-        if self._trials >= 1 and call.offer.kind is not Kind.NON_IDEMPOTENT and not call.shots:
+        if self._trials >= 1 and call.offer.kind is not Idempotency.NON_IDEMPOTENT and not call.shots:
             for b in usable:
                 if b.held[t] and now >= b.held[t] and b.trial is None and self._has_credit(now, b, call):
                     return b
@@ -508,7 +508,7 @@
     def _second(self, now: float, call: Call) -> None:
         """Send a copy beside a late shot, or call the shot off to send another."""
         last = call.shots[-1]
-        if last.called_off or call.streaming or call.offer.kind is Kind.NON_IDEMPOTENT:
+        if last.called_off or call.streaming or call.offer.kind is Idempotency.NON_IDEMPOTENT:
             return
         if now < last.sent + LATE_AT * call.target.slo:
             return
@@ -518,7 +518,7 @@
             b = self._choose(now, call) if call.may_send(now) else None
             if b is not None and b is not last.backend and self.spend():
                 self._send(now, call, b)
-        elif self._may_cancel and call.offer.kind is Kind.IDEMPOTENT and self.spend():
+        elif self._may_cancel and call.offer.kind is Idempotency.IDEMPOTENT and self.spend():
             last.called_off = True
             self._port.cancel(call.token, last.number)
 
--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -8,7 +8,7 @@
 from lupinreach.bed.commands.experiment import Result, run_many
 from lupinreach.bed.world.chance import Stream, stream
 from lupinreach.bed.world.spec import TROUBLES, BackendKind, Trouble, World
-from lupinreach.model import Kind
+from lupinreach.model import Idempotency
 
 MOST_TROUBLES = 3  # drawn beside those of the world
 LOADS = 0.6, 1.6  # x the world's arrivals
@@ -56,7 +56,7 @@
             )
         )
     products = tuple(
-        p if p.kind is Kind.IDEMPOTENT else replace(p, share=RISKY * p.share) for p in world.products
+        p if p.kind is Idempotency.IDEMPOTENT else replace(p, share=RISKY * p.share) for p in world.products
     )
     return replace(
         world,
--- a/lupinreach/bed/judging/check.py
+++ b/lupinreach/bed/judging/check.py
@@ -11,7 +11,7 @@
 from lupinreach.bed.peers.backend import SLACK
 from lupinreach.bed.world.ledger import Record
 from lupinreach.bed.world.spec import ProductSpec, World
-from lupinreach.model import Group, Kind
+from lupinreach.model import DedupScope, Idempotency
 
 LATE = 50.0  # ms that each limit is longer: messages take their time
 HELD_AT = 0.9  # of a client's wait: a refusal that comes later, though nothing
@@ -313,13 +313,13 @@
     def _judge_effects(self, name: str, one: Tried) -> None:
         effects = sorted(t for s in one.shots for t in s.ran)
         kind = one.product.kind
-        if kind is Kind.IDEMPOTENT:
+        if kind is Idempotency.IDEMPOTENT:
             return
         if len(effects) > 1:
             ran = [s for s in one.shots if s.ran]
             apart = max(s.sent for s in ran) - min(s.sent for s in ran)
             what = "effect twice"
-            if kind is Kind.DEDUPLICATED:
+            if kind is Idempotency.DEDUPLICATED:
                 # Sent in time and to the group: one that hung before a cut for longer is nobody's breach.
                 what = (
                     "effect twice past the memory"
@@ -332,14 +332,14 @@
                 self._breach(
                     "effects", what, effects[1], f"{name} ({one.product.name}), {apart:.0f} ms apart"
                 )
-        shared = kind is Kind.DEDUPLICATED and one.product.group is Group.ALL
+        shared = kind is Idempotency.DEDUPLICATED and one.product.group is DedupScope.ALL
         if effects and one.got is not None and one.got[1] in (429, 503) and not shared:
             self._breach("effects", "rate-limited what ran", one.got[0], f"{name} ({one.product.name})")
 
     def _group(self, one: Tried, shot: Shot) -> int:
         """What shares the memory of marks with the backend of this shot."""
         zone, cell = self._groups[shot.backend]
-        return {Group.ALL: 0, Group.ZONE: zone, Group.CELL: cell}[one.product.group]
+        return {DedupScope.ALL: 0, DedupScope.ZONE: zone, DedupScope.CELL: cell}[one.product.group]
 
 
 def verdict(breaches: list[Breach]) -> dict[str, str]:
--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -14,7 +14,7 @@
 from lupinreach.bed.world.spec import World
 from lupinreach.bed.world.traffic import Arrival
 from lupinreach.config import Address
-from lupinreach.model import Kind
+from lupinreach.model import Idempotency
 from lupinreach.net.ends import Ended
 from lupinreach.net.http import Head
 
@@ -109,7 +109,7 @@
             lines.append(b"Req-Retry: 1")
         path = b"/api" if arrival.key < 0 else b"/api/%x" % arrival.key
         work = b"%.3f" % arrival.work
-        if product.kind is Kind.IDEMPOTENT:
+        if product.kind is Idempotency.IDEMPOTENT:
             return b"GET %s?work=%s HTTP/1.1\r\n%s\r\n\r\n" % (path, work, b"\r\n".join(lines))
         lines.append(b"Content-Length: %d" % len(work))
         return b"POST %s HTTP/1.1\r\n%s\r\n\r\n%s" % (path, b"\r\n".join(lines), work)
@@ -152,7 +152,7 @@
 
     def _again(self, one: Try, harmless: bool, wait: float) -> None:
         kind = self.world.products[one.arrival.product].kind
-        if one.number < self.world.clients.retries and (harmless or kind is Kind.IDEMPOTENT):
+        if one.number < self.world.clients.retries and (harmless or kind is Idempotency.IDEMPOTENT):
             after = max(wait, self.world.clients.wait)
             self.ground.loop.call_later(
                 after / 1000, self.ask, one.call, one.arrival, one.number + 1, one.began
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -18,7 +18,7 @@
 from lupinreach.bed.world.ground import Ground
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.spec import RegistrySpec, World
-from lupinreach.model import Kind
+from lupinreach.model import Idempotency
 from lupinreach.net import protocol
 from lupinreach.net.ends import Ended
 from lupinreach.net.http import Head
@@ -85,7 +85,7 @@
         now, backend = self.ground.now(), self.backend
         self.step()
         spec = self.world.products[product]
-        mark = name if spec.kind is Kind.DEDUPLICATED else None
+        mark = name if spec.kind is Idempotency.DEDUPLICATED else None
         job = Job(name, product, work, key, mark, spec.memory, line)
         self.ground.ledger.note(books.CAME, now, backend.number, backend.life, name, round(work, 3))
         way = backend.come(now, job, float(self.chance.random()))
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Backend, Balancer, Call
-from lupinreach.model import IncomingCall, Kind, Listing, Port, Settings, State, UpdateKind
+from lupinreach.model import Idempotency, IncomingCall, Listing, Port, Settings, State, UpdateKind
 
 RARE = 10_000
 ASLEEP = 1000.0  # ms without any word of the world, after which an agent takes itself for one that slept
@@ -33,7 +33,7 @@
     __slots__ = ()
 
     def may_send(self, now: float) -> bool:
-        if self.offer.kind is not Kind.DEDUPLICATED:
+        if self.offer.kind is not Idempotency.DEDUPLICATED:
             return Call.may_send(self, now)
         return not self.done and now < self.until and len(self.shots) < self._to.max_shots and not self.out
 
@@ -43,7 +43,7 @@
 
     def take(self, now: float, ask: IncomingCall) -> Call:
         call = super().take(now, ask)
-        if call.offer.kind is Kind.NON_IDEMPOTENT:
+        if call.offer.kind is Idempotency.NON_IDEMPOTENT:
             call.__class__ = Reckless
         return call
 
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -19,7 +19,7 @@
 from lupinreach.bed.world.spec import Trouble, World, plain
 from lupinreach.bed.world.traffic import arrivals
 from lupinreach.config import ASK, BEAT, Address
-from lupinreach.model import Group, Kind
+from lupinreach.model import DedupScope, Idempotency
 
 READY_WITHIN = 5.0  # s for an agent to listen
 SETTLES = 1.5  # x longest client timeout: after the last arrival, until all is answered
@@ -44,7 +44,7 @@
 def draw(world: World, seed: int) -> Fleet:
     """The backends of a run; their true speeds and times come from the seed."""
     chance, rules = stream(seed, "fleet"), world.rules
-    groups = {p.group for p in world.products if p.kind is Kind.DEDUPLICATED}
+    groups = {p.group for p in world.products if p.kind is Idempotency.DEDUPLICATED}
     memories: dict[Any, Marks] = {}
     fleet = Fleet([], [])
     for kind in world.backends:
@@ -53,7 +53,9 @@
             zones = kind.zones or tuple(range(len(world.zones)))
             zone = zones[i % len(zones)]
             cell = number // world.backend.cell_size
-            shared = "all" if Group.ALL in groups else zone if Group.ZONE in groups else ("cell", cell)
+            shared = (
+                "all" if DedupScope.ALL in groups else zone if DedupScope.ZONE in groups else ("cell", cell)
+            )
             speed, idle, report = (float(chance.random()) for _ in range(3))
             fleet.backends.append(
                 Backend(
--- a/lupinreach/bed/world/spec.py
+++ b/lupinreach/bed/world/spec.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from lupinreach.config import BadConfig, Section
-from lupinreach.model import Group, Kind
+from lupinreach.model import DedupScope, Idempotency
 
-KINDS = {k.value: k for k in Kind}
-GROUPS = {g.value: g for g in Group}
+KINDS = {k.value: k for k in Idempotency}
+GROUPS = {g.value: g for g in DedupScope}
 SHAPES = {s: s for s in ("poisson", "bursts", "day")}
 HINTS = {h: h for h in ("none", "rough", "good")}
 MODES = {m: m for m in ("virtual", "loopback")}
@@ -152,8 +152,8 @@
 @dataclass(frozen=True)
 class ProductSpec:
     name: str
-    kind: Kind
-    group: Group
+    kind: Idempotency
+    group: DedupScope
     slo: float
     timeout: float
     value: float
@@ -306,7 +306,11 @@
 
     def settings(self, agent: int) -> dict[str, Any]:
         """What one agent is told, in the form that its configuration has."""
-        words = {Kind.IDEMPOTENT: "repeatable", Kind.DEDUPLICATED: "by_key", Kind.NON_IDEMPOTENT: "once"}
+        words = {
+            Idempotency.IDEMPOTENT: "repeatable",
+            Idempotency.DEDUPLICATED: "by_key",
+            Idempotency.NON_IDEMPOTENT: "once",
+        }
         rules, limits = self.rules, self.limits
         return {
             "categories": [
@@ -446,7 +450,7 @@
         raise BadConfig("agents.fleet: needs agents.store and limits.peers")
     if world.share and not world.in_touch:
         raise BadConfig("agents.share_ms: needs agents.fleet")
-    if world.ran and not (world.store and any(p.kind is Kind.NON_IDEMPOTENT for p in products)):
+    if world.ran and not (world.store and any(p.kind is Idempotency.NON_IDEMPOTENT for p in products)):
         raise BadConfig("agents.ran: needs agents.store and a non-idempotent product")
     if world.traffic.calls_per_s * world.length / 1000 > MOST_CALLS:
         raise BadConfig(f"traffic.calls_per_s: more than {MOST_CALLS} API calls in all")
@@ -651,7 +655,7 @@
             else list(v)
             if isinstance(v, tuple)
             else v.value
-            if isinstance(v, (Kind, Group))
+            if isinstance(v, (Idempotency, DedupScope))
             else v
             for k, v in found.items()
             if v is not None
--- a/lupinreach/config.py
+++ b/lupinreach/config.py
@@ -12,10 +12,14 @@
 from math import inf, isfinite
 from typing import Any
 
-from lupinreach.model import Customer, Group, Kind, Limits, Product, Rules, Settings
+from lupinreach.model import Customer, DedupScope, Idempotency, Limits, Product, Rules, Settings
 
-KINDS = {"repeatable": Kind.IDEMPOTENT, "by_key": Kind.DEDUPLICATED, "once": Kind.NON_IDEMPOTENT}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+KINDS = {
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.DEDUPLICATED,
+    "once": Idempotency.NON_IDEMPOTENT,
+}
+GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 LOADS = {
     "outstanding": "in_flight",
     "backlog": "waiting",
@@ -259,7 +263,7 @@
     """If ids of what may have run are synced before it does."""
     if not top.mapping("store") or not top.section("store").flag("ran"):
         return False
-    if not any(p.kind is Kind.NON_IDEMPOTENT for p in settings.products):
+    if not any(p.kind is Idempotency.NON_IDEMPOTENT for p in settings.products):
         raise BadConfig("store.ran: no category of settings is non-idempotent")
     return True
 
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 
-class Kind(Enum):
+class Idempotency(Enum):
     """What a product allows once a shot may have run."""
 
     IDEMPOTENT = "idempotent"
@@ -16,7 +16,7 @@
     NON_IDEMPOTENT = "non-idempotent"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which backends drop each other's repeats of a deduplicated API call."""
 
     ALL = "all"
@@ -65,8 +65,8 @@
     slo: float  # ms; 0 = none given
     timeout: float  # ms, for all tries of a client together
     billed_value: float
-    kind: Kind
-    group: Group = Group.ALL
+    kind: Idempotency
+    group: DedupScope = DedupScope.ALL
     memory: float = 0.0  # ms for which a repeat of a deduplicated API call is dropped
     late_value: float = 0.0  # part of the billed value that an answer past the SLO still earns
     slo_stretch: float = 0.0  # the SLO grows by this many times the work
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Call
-from lupinreach.model import IncomingCall, Kind, Load
+from lupinreach.model import Idempotency, IncomingCall, Load
 from lupinreach.net import http, protocol
 from lupinreach.net.counters import Counters
 from lupinreach.net.ends import ENDINGS, End
@@ -129,7 +129,7 @@
             self.ask = replace(self.ask, only=upload.place.backend)
         self._product = serving.settings.products[self.ask.product].name
         self._overdue = (self.ask.until + until) / 2
-        runs_once = serving.settings.products[self.ask.product].kind is Kind.NON_IDEMPOTENT
+        runs_once = serving.settings.products[self.ask.product].kind is Idempotency.NON_IDEMPOTENT
         self._remember = serving.remember if runs_once else None
         self._id = request.headers[protocol.ID]
         if not serving.ids.begin(self._id):
@@ -326,7 +326,7 @@
     if kind not in serving.products:
         raise BadRequest("Req-Kind is missing or unknown")
     index, product = serving.products[kind]
-    if request.method == b"GET" and (len(request.body) or product.kind is Kind.NON_IDEMPOTENT):
+    if request.method == b"GET" and (len(request.body) or product.kind is Idempotency.NON_IDEMPOTENT):
         raise BadRequest("GET is for what may run again, and has no body")
     waits = min(product.timeout, _number(request, protocol.DEADLINE) * 1000)
     if waits <= 0:
--- a/lupinreach/ops/ran.py
+++ b/lupinreach/ops/ran.py
@@ -15,7 +15,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lupinreach.model import Kind
+from lupinreach.model import Idempotency
 from lupinreach.net.agent import Agent
 from lupinreach.net.ids import Remembered
 from lupinreach.store import trust
@@ -36,7 +36,7 @@
         agent.serving.ids.recall(key.removeprefix(PREFIX).encode("latin-1") for key in kept)
         self._fresh: list[str] = kept  # keys put since the last turn
         self._older: list[str] = []  # and before it
-        waits = [p.timeout for p in agent.config.settings.products if p.kind is Kind.NON_IDEMPOTENT]
+        waits = [p.timeout for p in agent.config.settings.products if p.kind is Idempotency.NON_IDEMPOTENT]
         self._patience = PATIENCE * min(waits, default=0.0) / 1000
         self._hangs: asyncio.Task[bool] | None = None  # a sync that took longer
         self.kept: Callable[[], None] = lambda: None  # hears of each id that is put
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -5,7 +5,16 @@
 from typing import TYPE_CHECKING
 
 from lupinreach.known import Backend, Shot
-from lupinreach.model import NEVER_RAN, AttemptEnd, Group, IncomingCall, Kind, Load, Product, State
+from lupinreach.model import (
+    NEVER_RAN,
+    AttemptEnd,
+    DedupScope,
+    Idempotency,
+    IncomingCall,
+    Load,
+    Product,
+    State,
+)
 
 if TYPE_CHECKING:
     from lupinreach.balance import Balancer
@@ -100,9 +109,9 @@
             return False
         if (self.out and not to.copies) or (self.only is not None and self.shots):
             return False
-        if self.offer.kind is Kind.NON_IDEMPOTENT:
+        if self.offer.kind is Idempotency.NON_IDEMPOTENT:
             return not any(s.ran for s in self.shots)
-        if self.offer.kind is Kind.DEDUPLICATED:
+        if self.offer.kind is Idempotency.DEDUPLICATED:
             first = min((s.sent for s in self.shots if s.ran), default=None)
             return first is None or now + to.step < first + self.offer.memory
         return True
@@ -111,8 +120,8 @@
         """If a shot that `may_send` allows may go to this backend."""
         if b.state is not State.READY or (self.only is not None and b.index != self.only):
             return False
-        if self.offer.kind is Kind.DEDUPLICATED and self.offer.group is not Group.ALL:
-            zone = self.offer.group is Group.ZONE
+        if self.offer.kind is Idempotency.DEDUPLICATED and self.offer.group is not DedupScope.ALL:
+            zone = self.offer.group is DedupScope.ZONE
             for s in self.shots:
                 if s.ran and (s.backend.zone != b.zone if zone else s.backend.cell != b.cell):
                     return False
@@ -120,9 +129,9 @@
 
     def may_rate_limit(self) -> bool:
         """If telling the client that trying again is harmless would be true."""
-        if self.offer.kind is Kind.IDEMPOTENT:
+        if self.offer.kind is Idempotency.IDEMPOTENT:
             return True
-        if self.offer.kind is Kind.DEDUPLICATED and self.offer.group is Group.ALL:
+        if self.offer.kind is Idempotency.DEDUPLICATED and self.offer.group is DedupScope.ALL:
             return True
         return not any(s.ran for s in self.shots)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,9 +16,9 @@
 from lupinreach.model import (
     NEVER_RAN,
     AttemptEnd,
-    Group,
+    DedupScope,
+    Idempotency,
     IncomingCall,
-    Kind,
     Limits,
     Listing,
     Product,
@@ -35,7 +35,7 @@
 
 
 def settings(
-    kinds=((Kind.IDEMPOTENT, Group.ALL),),
+    kinds=((Idempotency.IDEMPOTENT, DedupScope.ALL),),
     slo=400.0,
     timeout=2000.0,
     memory=1000.0,
@@ -210,16 +210,16 @@
             return "more shots than allowed"
         if any(s.ending is None for s in self.shots) and not self.limits.second_copies:
             return "two shots out at once"
-        if self.product.kind is Kind.NON_IDEMPOTENT and maybe:
+        if self.product.kind is Idempotency.NON_IDEMPOTENT and maybe:
             return "a non-idempotent API call that may have run was sent again"
-        if self.product.kind is Kind.DEDUPLICATED and maybe:
+        if self.product.kind is Idempotency.DEDUPLICATED and maybe:
             if now >= min(s.at for s in maybe) + self.product.memory:
                 return "a repeat after the memory span"
             for s in maybe:
                 other = listings[s.backend]
-                if self.product.group is Group.ZONE and other.zone != backend.zone:
+                if self.product.group is DedupScope.ZONE and other.zone != backend.zone:
                     return "a repeat in another zone"
-                if self.product.group is Group.CELL and other.cell != backend.cell:
+                if self.product.group is DedupScope.CELL and other.cell != backend.cell:
                     return "a repeat in another cell"
         return None
 
@@ -227,8 +227,8 @@
         maybe = [s for s in self.shots if s.may_have_run]
         if self.final:
             return "a second final answer"
-        if what == "rate-limited" and maybe and self.product.kind is not Kind.IDEMPOTENT:
-            if self.product.kind is Kind.NON_IDEMPOTENT or self.product.group is not Group.ALL:
+        if what == "rate-limited" and maybe and self.product.kind is not Idempotency.IDEMPOTENT:
+            if self.product.kind is Idempotency.NON_IDEMPOTENT or self.product.group is not DedupScope.ALL:
                 return "a rate-limit reply for what may have run"
         return None
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,7 +6,7 @@
 from helpers import AGENT_SETTINGS, full_list
 
 from lupinreach.config import BadConfig, read_agent, read_settings
-from lupinreach.model import Kind
+from lupinreach.model import Idempotency
 
 RAW = {
     "name": "n3",
@@ -47,7 +47,7 @@
     config = read(tmp_path, RAW)
     assert (config.sockets, config.peer_listen, config.peers, config.known) == (1024, None, (), {})
     settings = read_settings({"categories": [{"give_up": 5}]})
-    assert settings.products[0].kind is Kind.NON_IDEMPOTENT and settings.products[0].slo == 0.0
+    assert settings.products[0].kind is Idempotency.NON_IDEMPOTENT and settings.products[0].slo == 0.0
     assert (settings.step, settings.rules.fall, settings.limits.max_shots) == (1.0, 1000.0, 1)
 
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -6,7 +6,7 @@
 from helpers import DRAINING, READY, Bench, crowd, settings
 
 from lupinreach.balance import FULL_SHARE, HOLD, LATE_AT, PATIENCE, TRIALS
-from lupinreach.model import AttemptEnd, Customer, Group, Kind, Listing, Load, State, UpdateKind
+from lupinreach.model import AttemptEnd, Customer, DedupScope, Idempotency, Listing, Load, State, UpdateKind
 
 SLO = 400.0
 
@@ -87,7 +87,9 @@
 
 
 def test_a_non_idempotent_api_call_is_no_trial():
-    bench = Bench(settings(((Kind.NON_IDEMPOTENT, Group.ALL), (Kind.IDEMPOTENT, Group.ALL))))
+    bench = Bench(
+        settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL), (Idempotency.IDEMPOTENT, DedupScope.ALL)))
+    )
     misses(bench, 2)
     bench.move(HOLD * SLO)
     assert bench.serve("once", 50.0, product=0) != 2
@@ -106,7 +108,7 @@
 
 
 def test_one_silent_shot_ejects_a_backend_that_answers_nothing():
-    bench = Bench(settings(((Kind.NON_IDEMPOTENT, Group.ALL),)))
+    bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
     bench.serve("first", 50.0)
     bench.take("silent")
     at = bench.sent_to("silent")[0]
@@ -117,7 +119,7 @@
 
 def test_one_late_shot_does_not_eject_a_backend_that_is_slow_by_nature():
     # Found on a standard day: agents with little traffic ejected sound slow backends, and the rest choked.
-    bench = Bench(settings(((Kind.NON_IDEMPOTENT, Group.ALL),)))
+    bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
     for n in range(8):
         bench.serve(n, 180.0)
     bench.take("late")
@@ -164,7 +166,7 @@
 
 
 def test_failures_to_connect_do_not_narrow_the_bound():
-    bench = Bench(settings(((Kind.NON_IDEMPOTENT, Group.ALL),)))
+    bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
     for n in range(60):
         bench.take(n)
         bench.move(50)
@@ -258,7 +260,7 @@
 
 def test_a_backend_that_fails_at_once_rests():
     # Found in an incident: always idle, it drew a fifth of all shots.
-    bench = Bench(settings(((Kind.NON_IDEMPOTENT, Group.ALL),)))
+    bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
     for n in range(20):
         bench.serve(n, 100.0)
     hits = 0
@@ -404,7 +406,7 @@
 
 def test_connections_that_break_say_nothing_of_too_much_out():
     # Found on the long day: breaks at three backends of seven narrowed the bound from 22 shots to 7.
-    bench = Bench(settings(kinds=((Kind.NON_IDEMPOTENT, Group.ALL),)))
+    bench = Bench(settings(kinds=((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
     before = bench.agent._bound
     for n in range(40):
         bench.serve(n, 20.0, AttemptEnd.RESET if n % 2 else AttemptEnd.FULFILLED)
@@ -414,7 +416,10 @@
 def test_breaks_that_come_from_any_backend_alike_eject_none_and_those_of_one_eject_it():
     # Found on a wide day with resets: one shot in ten broke, and runs of them ejected half of a sound fleet.
     def ejected(shares):
-        rng, bench = random.Random(5), Bench(settings(kinds=((Kind.NON_IDEMPOTENT, Group.ALL),)), backends=8)
+        rng, bench = (
+            random.Random(5),
+            Bench(settings(kinds=((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)), backends=8),
+        )
         for n in range(3000):
             bench.take(n)
             backend = bench.sent_to(n)[0]
@@ -475,7 +480,7 @@
 
 
 def test_a_restarted_agent_that_knows_only_gone_backends_answers_at_once_and_serves_on_the_first_news():
-    bench = Bench(settings(((Kind.NON_IDEMPOTENT, Group.ALL),), shots=3), backends=3)
+    bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),), shots=3), backends=3)
     bench.take("early")
     while bench.calls["early"].out:
         bench.answer("early", 1.0, AttemptEnd.UNREACHABLE)
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import READY, Bench, crowd, settings
 
-from lupinreach.model import AttemptEnd, Group, Kind, Listing, UpdateKind
+from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, UpdateKind
 from lupinreach.policy.cold import FIRST_BOUND, MOST_EARNS, RARE, WIDEN
 from lupinreach.trial import play, spec
 
@@ -144,7 +144,7 @@
 def test_an_agent_that_stands_up_among_the_down_trusts_no_old_list_for_the_rest():
     # Found on the trial power-one-by-one: three backends pushed over in the first second after their start, by agents
     # whose list was from before the loss and who had met others down, but not these.
-    bench = Bench(settings(cold=COLD, kinds=((Kind.IDEMPOTENT, Group.ALL),)), backends=8)
+    bench = Bench(settings(cold=COLD, kinds=((Idempotency.IDEMPOTENT, DedupScope.ALL),)), backends=8)
     refused = refuse(bench, 3)
     assert len(refused) >= 2 and all(b.down for b in bench.agent._ring)
     # Nor the registry's word, which knows of no death for seconds (seed 2004 of drawn losses: 78 shots in one second, by
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -18,7 +18,7 @@
 from lupinreach.config import BadConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.life import Life
-from lupinreach.model import Kind
+from lupinreach.model import Idempotency
 from lupinreach.net.ids import Ids, Remembered
 from lupinreach.ops import returning
 from lupinreach.ops.ran import Ran
@@ -168,7 +168,7 @@
 
 def part(store, found=None):
     """The part alone, beside an agent that is none."""
-    product = SimpleNamespace(kind=Kind.NON_IDEMPOTENT, timeout=1000.0)
+    product = SimpleNamespace(kind=Idempotency.NON_IDEMPOTENT, timeout=1000.0)
     agent = SimpleNamespace(
         serving=SimpleNamespace(ids=Ids(), remember=None, longest_wait=40.0),
         log=SimpleNamespace(event=lambda *_, **__: None),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,14 +6,14 @@
 from helpers import DRAINING, GONE, READY, Bench, PlainCall, PlainShot, settings
 
 from lupinreach.balance import Balancer, Call
-from lupinreach.model import AttemptEnd, Group, Kind, Listing, State, UpdateKind
+from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, State, UpdateKind
 
 KINDS = (
-    (Kind.IDEMPOTENT, Group.ALL),
-    (Kind.NON_IDEMPOTENT, Group.ALL),
-    (Kind.DEDUPLICATED, Group.ALL),
-    (Kind.DEDUPLICATED, Group.ZONE),
-    (Kind.DEDUPLICATED, Group.CELL),
+    (Idempotency.IDEMPOTENT, DedupScope.ALL),
+    (Idempotency.NON_IDEMPOTENT, DedupScope.ALL),
+    (Idempotency.DEDUPLICATED, DedupScope.ALL),
+    (Idempotency.DEDUPLICATED, DedupScope.ZONE),
+    (Idempotency.DEDUPLICATED, DedupScope.CELL),
 )
 FAILURES = [e for e in AttemptEnd if e not in (AttemptEnd.FULFILLED, AttemptEnd.CANCELLED)]
 
