--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -11,7 +11,7 @@
 
 from lupinreach.balance import Balancer, Call
 from lupinreach.config import BadConfig, believed, read_settings
-from lupinreach.model import AttemptEnd, IncomingCall, Listing, Load, State, UpdateKind
+from lupinreach.model import AttemptEnd, IncomingCall, ListedState, Listing, Load, UpdateKind
 
 ENDINGS = {
     "delivered": AttemptEnd.FULFILLED,
@@ -176,7 +176,7 @@
             entries = [
                 Listing(
                     self._index(h["backend"]),
-                    State(h.get("lifecycle", 0)),
+                    ListedState(h.get("lifecycle", 0)),
                     h.get("boot_time", 0.0),
                     float(h.get("nominal", 1.0)),
                     h.get("locality", 0),
--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -20,11 +20,11 @@
     BackendSnapshot,
     Idempotency,
     IncomingCall,
+    ListedState,
     Load,
     Port,
     Settings,
     SharedEstimates,
-    State,
 )
 from lupinreach.policy.calls import EASE, FULL_AT, Call, Offer, Target
 from lupinreach.policy.cold import FIRST_BOUND, ColdCredit
@@ -211,12 +211,12 @@
         """How many listed backends get no turn now: draining, at rest, silent, or ejected for every SLO."""
         least = min(t.slo for t in self._targets)
         return sum(
-            b.state is State.DRAINING
+            b.state is ListedState.DRAINING
             or now < b.rest_until
             or all(b.held)
             or (b.flight > 0 and now - b.silent_since > FULL_AT * least)
             for b in self._backends.values()
-            if b.state is not State.GONE
+            if b.state is not ListedState.REMOVED
         )
 
     def probed(self, now: float, backend: int, ending: AttemptEnd, latency: float, load: Load | None) -> None:
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Backend, Balancer, Call
-from lupinreach.model import Idempotency, IncomingCall, Listing, Port, Settings, State, UpdateKind
+from lupinreach.model import Idempotency, IncomingCall, ListedState, Listing, Port, Settings, UpdateKind
 
 RARE = 10_000
 ASLEEP = 1000.0  # ms without any word of the world, after which an agent takes itself for one that slept
@@ -78,7 +78,9 @@
     """Takes a draining backend for a ready one."""
 
     def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
-        ready = [replace(e, state=State.READY) if e.state is State.DRAINING else e for e in entries]
+        ready = [
+            replace(e, state=ListedState.READY) if e.state is ListedState.DRAINING else e for e in entries
+        ]
         super().listed(now, news, ready)
 
 
@@ -101,7 +103,9 @@
     def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         if self._slept:
-            entries = [replace(e, state=State.READY) if e.state is State.DRAINING else e for e in entries]
+            entries = [
+                replace(e, state=ListedState.READY) if e.state is ListedState.DRAINING else e for e in entries
+            ]
         super().listed(now, news, entries)
 
 
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -42,10 +42,10 @@
 NEVER_RAN = frozenset({AttemptEnd.REJECTED, AttemptEnd.UNREACHABLE, AttemptEnd.REFUSED, AttemptEnd.UNSENT})
 
 
-class State(Enum):
+class ListedState(Enum):
     """What the directory says of a backend."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
@@ -134,7 +134,7 @@
     """One backend as the directory lists it."""
 
     backend: int
-    state: State
+    state: ListedState
     boot_time: float = 0.0  # 0 = long ago
     size: float = 1.0
     zone: int = 0
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -11,9 +11,9 @@
     DedupScope,
     Idempotency,
     IncomingCall,
+    ListedState,
     Load,
     Product,
-    State,
 )
 
 if TYPE_CHECKING:
@@ -118,7 +118,7 @@
 
     def may_use(self, b: Backend) -> bool:
         """If a shot that `may_send` allows may go to this backend."""
-        if b.state is not State.READY or (self.only is not None and b.index != self.only):
+        if b.state is not ListedState.READY or (self.only is not None and b.index != self.only):
             return False
         if self.offer.kind is Idempotency.DEDUPLICATED and self.offer.group is not DedupScope.ALL:
             zone = self.offer.group is DedupScope.ZONE
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -5,7 +5,7 @@
 from math import ceil, inf
 
 from lupinreach.known import Backend
-from lupinreach.model import BackendSnapshot, Listing, PolicySnapshot, State, UpdateKind
+from lupinreach.model import BackendSnapshot, ListedState, Listing, PolicySnapshot, UpdateKind
 from lupinreach.policy.calls import FULL_AT
 from lupinreach.policy.cold import BEYOND, FIRST_BOUND
 from lupinreach.policy.learning import KEEP, NEWEST
@@ -42,7 +42,7 @@
 
     def _remember(self, now: float, b: Backend, e: Listing) -> None:
         met = self._recalled.pop(e.name, None)
-        if met is None or met.boot_time != e.boot_time or e.state is not State.READY:
+        if met is None or met.boot_time != e.boot_time or e.state is not ListedState.READY:
             return
         b.figure, b.ill = list(met.figures), met.ill
         b.listed = met.listed if self._tells else 0.0
@@ -89,8 +89,8 @@
             named = {e.backend for e in entries}
             for b in self._backends.values():
                 if b.index not in named:
-                    b.state = State.GONE
-        for b in [b for b in self._backends.values() if b.state is State.GONE and not b.flight]:
+                    b.state = ListedState.REMOVED
+        for b in [b for b in self._backends.values() if b.state is ListedState.REMOVED and not b.flight]:
             del self._backends[b.index]
         if news is not UpdateKind.CACHED:
             self._recalled.clear()
@@ -99,10 +99,10 @@
                 for b in self._backends.values():
                     if b.doubted:  # what it does not name has not changed
                         b.down, b.doubted, b.since = False, False, b.boot_time
-        known = {b.index for b in self._ring if b.state is State.READY}
-        self._ring = [b for b in self._ring if b.state is State.READY]
+        known = {b.index for b in self._ring if b.state is ListedState.READY}
+        self._ring = [b for b in self._ring if b.state is ListedState.READY]
         for b in self._backends.values():
-            if b.state is State.READY and b.index not in known:
+            if b.state is ListedState.READY and b.index not in known:
                 self._ring.insert(int(self._chance() * (len(self._ring) + 1)), b)
         self._mean = mean = sum(b.listed for b in self._ring) / len(self._ring) if self._ring else 1.0
         for b in self._ring:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,18 +20,18 @@
     Idempotency,
     IncomingCall,
     Limits,
+    ListedState,
     Listing,
     Product,
     Rules,
     Settings,
-    State,
     UpdateKind,
 )
 from lupinreach.net.agent import Agent
 from lupinreach.net.clock import Clock
 from lupinreach.net.log import Log
 
-READY, DRAINING, GONE = State.READY, State.DRAINING, State.GONE
+READY, DRAINING, REMOVED = ListedState.READY, ListedState.DRAINING, ListedState.REMOVED
 
 
 def settings(
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -6,7 +6,16 @@
 from helpers import DRAINING, READY, Bench, crowd, settings
 
 from lupinreach.balance import FULL_SHARE, HOLD, LATE_AT, PATIENCE, TRIALS
-from lupinreach.model import AttemptEnd, Customer, DedupScope, Idempotency, Listing, Load, State, UpdateKind
+from lupinreach.model import (
+    AttemptEnd,
+    Customer,
+    DedupScope,
+    Idempotency,
+    ListedState,
+    Listing,
+    Load,
+    UpdateKind,
+)
 
 SLO = 400.0
 
@@ -333,7 +342,7 @@
         bench.serve(n, 30.0)
     bench.list(UpdateKind.FULL, [Listing(0, READY)])
     assert not bench.agent._live and not bench.agent._line
-    assert [b.state for b in bench.agent._backends.values()] == [State.READY]
+    assert [b.state for b in bench.agent._backends.values()] == [ListedState.READY]
 
 
 def test_shots_for_a_key_stay_at_one_home_that_all_agents_agree_on():
@@ -488,7 +497,7 @@
     assert bench.port.answers == [("rate-limited", "early")] and len(set(bench.sent_to("early"))) == 3
     bench.list(
         UpdateKind.CHANGES,
-        [Listing(i, State.GONE) for i in range(3)] + [Listing(3, READY), Listing(4, READY)],
+        [Listing(i, ListedState.REMOVED) for i in range(3)] + [Listing(3, READY), Listing(4, READY)],
     )
     assert {bench.serve(n, 50.0) for n in range(6)} == {3, 4}
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,10 +3,10 @@
 import random
 
 import pytest
-from helpers import DRAINING, GONE, READY, Bench, PlainCall, PlainShot, settings
+from helpers import DRAINING, READY, REMOVED, Bench, PlainCall, PlainShot, settings
 
 from lupinreach.balance import Balancer, Call
-from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, State, UpdateKind
+from lupinreach.model import AttemptEnd, DedupScope, Idempotency, ListedState, Listing, UpdateKind
 
 KINDS = (
     (Idempotency.IDEMPOTENT, DedupScope.ALL),
@@ -156,15 +156,17 @@
 
     def relist(self):
         b = self.rng.randrange(8)
-        old = self.listings.get(b, Listing(b, GONE, zone=b % 2, cell=b % 3))
-        state = self.rng.choice((READY, READY, DRAINING, GONE))
+        old = self.listings.get(b, Listing(b, REMOVED, zone=b % 2, cell=b % 3))
+        state = self.rng.choice((READY, READY, DRAINING, REMOVED))
         boot = self.bench.now if state is READY and old.state is not READY else old.boot_time
         self.listings[b] = Listing(b, state, boot, 1.0, old.zone, old.cell)
         how = self.rng.random()
         if how < 0.6:
             self.bench.list(UpdateKind.CHANGES, [self.listings[b]])
         elif how < 0.8:  # a gap: the full list, in which the gone are missing
-            self.bench.list(UpdateKind.FULL, [x for x in self.listings.values() if x.state is not State.GONE])
+            self.bench.list(
+                UpdateKind.FULL, [x for x in self.listings.values() if x.state is not ListedState.REMOVED]
+            )
         else:
             self.listings[b] = old
             self.bench.list(UpdateKind.FAILED, [])
