--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -106,7 +106,7 @@
     def req(self, now: float, e: dict[str, Any]) -> None:
         flags = e.get("attrs", 0)
         token = e["tid"]
-        call = self._balancer.take(
+        call = self._balancer.submit(
             now,
             IncomingCall(
                 token=token,
--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -142,7 +142,7 @@
         self._asked_at = now
         self._port.directory(True)
 
-    def take(self, now: float, ask: IncomingCall) -> Call:
+    def submit(self, now: float, ask: IncomingCall) -> Call:
         """Take an API call; it gets exactly one final answer."""
         offer = self.offers[ask.product]
         work = 1.0
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -41,8 +41,8 @@
 class Resends(Balancer):
     """Resends a non-idempotent API call after a reset."""
 
-    def take(self, now: float, ask: IncomingCall) -> Call:
-        call = super().take(now, ask)
+    def submit(self, now: float, ask: IncomingCall) -> Call:
+        call = super().submit(now, ask)
         if call.offer.kind is Idempotency.NON_IDEMPOTENT:
             call.__class__ = Reckless
         return call
@@ -51,8 +51,8 @@
 class RareResends(Balancer):
     """The same, for one API call in ten thousand, and further shots without a budget."""
 
-    def take(self, now: float, ask: IncomingCall) -> Call:
-        call = super().take(now, ask)
+    def submit(self, now: float, ask: IncomingCall) -> Call:
+        call = super().submit(now, ask)
         self._rare = getattr(self, "_rare", crc32(str(self._seed).encode()) % RARE) + 1
         if self._rare % RARE == 0:
             call.__class__ = Reckless
@@ -65,8 +65,8 @@
 class RepeatsLate(Balancer):
     """Repeats a deduplicated API call past the mark's memory."""
 
-    def take(self, now: float, ask: IncomingCall) -> Call:
-        call = super().take(now, ask)
+    def submit(self, now: float, ask: IncomingCall) -> Call:
+        call = super().submit(now, ask)
         call.__class__ = Forgetful
         return call
 
@@ -95,10 +95,10 @@
 class WakesBelieving(Balancer):
     """Goes on by what it believed when it was put to sleep: what has begun to drain meanwhile stays ready for it."""
 
-    def take(self, now: float, ask: IncomingCall) -> Call:
+    def submit(self, now: float, ask: IncomingCall) -> Call:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         self._last = now
-        return super().take(now, ask)
+        return super().submit(now, ask)
 
     def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -149,7 +149,7 @@
                 return
             if serving.took is not None:
                 serving.took(self.ask.customer)
-            call = serving.balancer.take(now(), self.ask)
+            call = serving.balancer.submit(now(), self.ask)
             while not (self.answered.done() and call.closed):
                 match await self.orders.get():
                     case Send(backend, until):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -128,8 +128,8 @@
             self.agent.woke(self.now, due[1])
         self.now = until
 
-    def take(self, token, product=0, left=2000.0, **more):
-        call = self.agent.take(self.now, IncomingCall(token, product, self.now + left, **more))
+    def submit(self, token, product=0, left=2000.0, **more):
+        call = self.agent.submit(self.now, IncomingCall(token, product, self.now + left, **more))
         self.calls[token] = call
         return call
 
@@ -142,7 +142,7 @@
 
     def serve(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, product=0) -> int:
         """One API call from arrival to its end; returns the backend of its first shot."""
-        self.take(token, product)
+        self.submit(token, product)
         backend = self.sent_to(token)[0]
         self.move(latency)
         self.answer(token, latency, ending, 0)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -141,7 +141,7 @@
 
 def test_a_fault_in_the_module_is_told(monkeypatch):
     host, _ = started()
-    monkeypatch.setattr(Balancer, "take", lambda *_: 1 / 0)
+    monkeypatch.setattr(Balancer, "submit", lambda *_: 1 / 0)
     fault = acts(host, 1005.0, req(9))[0]
     assert fault["t"] == "bug" and "ZeroDivisionError on req" in fault["note_text"]
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -85,9 +85,9 @@
     async def work():
         settings = AGENT_SETTINGS | {"accounts": [{"name": "hill"}, {"name": "dale"}]}
         async with Site(settings=settings) as site:
-            asks, take = [], site.agent.balancer.take
+            asks, take = [], site.agent.balancer.submit
             monkeypatch.setattr(
-                site.agent.balancer, "take", lambda now, ask: asks.append(ask) or take(now, ask)
+                site.agent.balancer, "submit", lambda now, ask: asks.append(ask) or take(now, ask)
             )
             more = b"Req-Owner: dale\r\nReq-Cost: 1500.5\r\nReq-Retry: 1\r\nReq-Extra: a=1\r\n"
             await site.ask(look(b"pay", more=more, method=b"POST", path=b"/api/00fe?x=/y", deadline=b"9"))
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -29,7 +29,7 @@
         [Listing(i, READY, size=4.0 / (1 + load), name=70 + i) for i, load in enumerate(loads)],
     )
     for n in range(80):
-        bench.take(n)
+        bench.submit(n)
         at = bench.sent_to(n)[0]
         bench.move(20.0)
         bench.answer(n, 300.0 if at == 2 else 40.0, number=0)
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -24,7 +24,7 @@
     """Serve API calls, slowly at one backend, until it has had `count` of them or is left out."""
     had = 0
     for n in range(count * 8):
-        call = bench.take((backend, n))
+        call = bench.submit((backend, n))
         at = bench.sent_to((backend, n))[0]
         bench.move(40)
         call.ended(bench.now, 0, AttemptEnd.FULFILLED, 2 * SLO if at == backend else 60.0, True)
@@ -50,7 +50,7 @@
     bench, took = Bench(settings(), backends=3), {0: 40.0, 1: 80.0, 2: 160.0}
     turns = Counter()
     for n in range(140):
-        bench.take(n)
+        bench.submit(n)
         at = bench.sent_to(n)[0]
         bench.move(took[at])
         bench.answer(n, took[at])
@@ -61,7 +61,7 @@
 
 def test_a_backend_with_more_in_flight_than_the_mean_is_skipped():
     bench = Bench(settings())
-    busy = bench.sent_to(bench.take("held").token)[0]
+    busy = bench.sent_to(bench.submit("held").token)[0]
     assert busy not in {bench.serve(n, 30.0) for n in range(6)}
 
 
@@ -69,7 +69,7 @@
     """Serve API calls until they have earned a trial and this backend has had it."""
     bench.move(HOLD * SLO)
     for n in range(int(1 / TRIALS) + 1):
-        bench.take(("earn", n))
+        bench.submit(("earn", n))
         at = bench.sent_to(("earn", n))[0]
         took = latency if at == backend else 50.0
         bench.move(took)
@@ -108,7 +108,7 @@
 def test_a_shared_slowdown_leaves_half_in_the_pool():
     bench = Bench(settings())
     for n in range(60):
-        call = bench.take(n, left=3 * SLO)
+        call = bench.submit(n, left=3 * SLO)
         bench.move(60 if n < 8 else 1.2 * SLO)
         if call.out:
             call.ended(bench.now, 0, AttemptEnd.FULFILLED, 60.0 if n < 8 else 1.2 * SLO, True)
@@ -119,7 +119,7 @@
 def test_one_silent_shot_ejects_a_backend_that_answers_nothing():
     bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
     bench.serve("first", 50.0)
-    bench.take("silent")
+    bench.submit("silent")
     at = bench.sent_to("silent")[0]
     for n in range(10):
         bench.serve(n, 45.0)
@@ -131,7 +131,7 @@
     bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
     for n in range(8):
         bench.serve(n, 180.0)
-    bench.take("late")
+    bench.submit("late")
     bench.move(1.2 * SLO)
     assert not bench.port.logged
 
@@ -154,7 +154,7 @@
 
 def test_no_ready_backend_is_answered_at_once():
     bench = Bench(settings(), entries=[Listing(0, DRAINING)])
-    bench.take("a")
+    bench.submit("a")
     assert bench.port.answers == [("rate-limited", "a")] and not bench.port.sent
 
 
@@ -177,7 +177,7 @@
 def test_failures_to_connect_do_not_narrow_the_bound():
     bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
     for n in range(60):
-        bench.take(n)
+        bench.submit(n)
         bench.move(50)
         while bench.calls[n].out:
             bench.answer(n, 2.0, AttemptEnd.UNREACHABLE)
@@ -224,7 +224,7 @@
     bench.list(UpdateKind.FULL, entries)  # of the registry itself: what it calls warm is
     cold = 0
     for n in range(200):
-        bench.take(n)
+        bench.submit(n)
         at = bench.sent_to(n)[0]
         cold += at > 1
         bench.move(60.0)
@@ -250,7 +250,7 @@
     bench.move(4000.0)
     served = 0
     for n in range(300):
-        call = bench.take(("cold", n))
+        call = bench.submit(("cold", n))
         bench.move(20.0)
         if call.out:
             call.ended(bench.now, 0, AttemptEnd.FULFILLED, 20.0, True)
@@ -275,7 +275,7 @@
     hits = 0
     for n in range(100):
         token = ("t", n)
-        bench.take(token)
+        bench.submit(token)
         bench.move(10)
         while bench.sent_to(token)[-1] == 1 and bench.calls[token].out:
             hits += 1
@@ -290,7 +290,7 @@
     # Found in incidents: many agents with a few shots each on every backend choked them all.
     bench = Bench(settings())
     for n in range(300):
-        bench.take(n, left=2000.0)
+        bench.submit(n, left=2000.0)
         if n >= 16 and bench.calls[n - 16].out:
             bench.answer(n - 16, 390.0, number=0)
         bench.move(10)
@@ -304,7 +304,7 @@
     bench = Bench(settings())
     bench.list(UpdateKind.CHANGES, [Listing(i, READY) for i in range(4, 40)])
     for n in range(60):
-        bench.take(n)
+        bench.submit(n)
     assert len(bench.port.sent) >= 40
 
 
@@ -312,8 +312,8 @@
     # Found on a day that broke the first rule: such an API call was lost.
     bench = Bench(settings(), backends=1)
     for n in range(3):
-        bench.take(n)
-    bench.take("short", left=PATIENCE * SLO - 5.0)
+        bench.submit(n)
+    bench.submit("short", left=PATIENCE * SLO - 5.0)
     bench.move(PATIENCE * SLO - 5.0)
     assert not bench.sent_to("short") and [t for _, t in bench.port.answers].count("short") == 1
 
@@ -322,7 +322,7 @@
     # Found on standard days: retries and copies fed the overload that they answered.
     bench = Bench(settings(shots=6))
     for n in range(300):
-        bench.take(n)
+        bench.submit(n)
         bench.move(60)
         while bench.calls[n].out:
             bench.answer(n, 60.0, AttemptEnd.ERRORED)
@@ -353,7 +353,7 @@
         bench = Bench(settings(warm_keys=True), seed=seed, entries=entries)
         names = Counter()
         for n in range(20):
-            call = bench.take(n, key=77)
+            call = bench.submit(n, key=77)
             at = bench.sent_to(n)[0]
             bench.move(30.0)
             call.ended(bench.now, 0, AttemptEnd.FULFILLED, 30.0, True)
@@ -392,7 +392,7 @@
     bench = Bench(settings())
     turns = Counter()
     for n in range(60):
-        call = bench.take(n)
+        call = bench.submit(n)
         at = bench.sent_to(n)[0]
         turns[at] += n >= 20
         bench.move(30.0)
@@ -405,7 +405,7 @@
     # Found on sockets: with little out, counts stray to twice their mean and rested the fastest backends.
     bench = Bench(settings())
     for n in range(200):
-        call = bench.take(n)
+        call = bench.submit(n)
         bench.move(30.0)
         call.ended(
             bench.now, 0, AttemptEnd.FULFILLED, 30.0, True, Load(in_flight=(0.0, 1.0, 0.0, 3.0, 1.0)[n % 5])
@@ -430,7 +430,7 @@
             Bench(settings(kinds=((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)), backends=8),
         )
         for n in range(3000):
-            bench.take(n)
+            bench.submit(n)
             backend = bench.sent_to(n)[0]
             bench.move(20.0)
             bench.answer(
@@ -458,7 +458,7 @@
     # Found in reading: turned away once and then out of patience, it stayed among those with shots out.
     bench = Bench(settings())
     agent = bench.agent
-    first, second = bench.take("a"), bench.take("b")
+    first, second = bench.submit("a"), bench.submit("b")
     agent._bound = agent._least = 1.0  # full with the second
     bench.answer("a", 50.0, AttemptEnd.REJECTED)
     assert agent._line == [first]
@@ -475,7 +475,7 @@
     agent._bound, agent._fullness = 0.25, 0.0
     before = len(bench.port.sent)
     for n in range(10):
-        bench.take(("paced", n))
+        bench.submit(("paced", n))
         bench.move(20.0)
         if bench.calls[("paced", n)].out:
             bench.answer(("paced", n), 20.0)
@@ -484,13 +484,13 @@
 
 def test_a_look_is_asked_for_when_it_is_due_and_not_before():
     bench = Bench(settings())
-    bench.take("a")
+    bench.submit("a")
     assert [at - bench.now for at, _ in bench.port.wakes] == [LATE_AT * SLO]
 
 
 def test_a_restarted_agent_that_knows_only_gone_backends_answers_at_once_and_serves_on_the_first_news():
     bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),), shots=3), backends=3)
-    bench.take("early")
+    bench.submit("early")
     while bench.calls["early"].out:
         bench.answer("early", 1.0, AttemptEnd.UNREACHABLE)
         bench.move(1.0)
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -47,7 +47,7 @@
     at = set()
     for n in range(30):
         tell(bench, [rng.uniform(0.0, 1.2) for _ in range(6)])
-        at.add(bench.take(n, key=77).shots[0].backend.index)
+        at.add(bench.submit(n, key=77).shots[0].backend.index)
         bench.move(30.0)
         bench.answer(n, 30.0)
     assert len(at) == 1
@@ -55,12 +55,12 @@
     tell(bench, [9.0 if i == home else 0.4 for i in range(6)], times=3)
     others = Counter()
     for n in range(100, 120):
-        others[bench.take(n, key=77).shots[0].backend.index] += 1
+        others[bench.submit(n, key=77).shots[0].backend.index] += 1
         bench.move(30.0)
         bench.answer(n, 30.0)
     assert others[home] <= 4 and len(others) > 2
     tell(bench, [0.4] * 6)
-    assert bench.take("back", key=77).shots[0].backend.index == home
+    assert bench.submit("back", key=77).shots[0].backend.index == home
 
 
 def test_a_loaded_backend_gets_fewer_turns_and_none_is_flooded():
@@ -83,7 +83,7 @@
     def refused(first):
         before = len(bench.port.answers)
         for n in range(first, first + 40):
-            if bench.take(n).shots:
+            if bench.submit(n).shots:
                 bench.move(350.0)  # slow, within the SLO: the agent feels it too
                 bench.answer(n, 350.0)
         return len(bench.port.answers) - before
@@ -111,11 +111,11 @@
 def test_first_tries_go_before_repeats_and_before_what_has_little_time_left():
     # Found at big-2: clients that came again at once got most of a fleet that was short of room.
     bench = live(agents=100)
-    room = bench.take("first").room
-    assert bench.take("again", again=True).room == room / 2
-    assert bench.take("short", left=100.0).room == pytest.approx(room / 4)
+    room = bench.submit("first").room
+    assert bench.submit("again", again=True).room == room / 2
+    assert bench.submit("short", left=100.0).room == pytest.approx(room / 4)
     plain = Bench(settings())
-    assert plain.take("again", again=True).room == plain.take("first").room
+    assert plain.submit("again", again=True).room == plain.submit("first").room
 
 
 def test_the_word_for_weights_is_read_and_checked():
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -27,7 +27,7 @@
             for token, at in [o for o in out if o[1] <= bench.now]:
                 out.remove((token, at))
                 bench.answer(token, took)
-            bench.take(("asked", len(bench.calls)))
+            bench.submit(("asked", len(bench.calls)))
             for token, _, _ in bench.port.sent[seen:]:
                 sent += 1
                 out.append((token, bench.now + took))
@@ -70,7 +70,7 @@
     all_cold(bench)
     for n in range(20):
         bench.move(50.0)
-        bench.take(n)
+        bench.submit(n)
     bench.agent._earn(bench.now + 1)
     assert bench.agent._asked / bench.agent._asked_for == pytest.approx(20 / 1000, rel=0.05)
 
@@ -85,7 +85,7 @@
     number = 0
     while b.down and number < 200:
         number += 1
-        bench.take(number)
+        bench.submit(number)
         bench.move(30.0)
         for _ in bench.sent_to(number):
             bench.answer(number, 30.0)
@@ -104,7 +104,7 @@
     # What can't be reached may be behind a cut: taken for cold, a healed zone would be starved for the cold time.
     bench = Bench(settings(cold=COLD))
     for n in range(12):
-        bench.take(n)
+        bench.submit(n)
         bench.move(100.0)
         bench.answer(n, 100.0, ending)
     assert not any(b.down or bench.agent._is_cold(bench.now, b) for b in bench.agent._backends.values())
@@ -116,7 +116,7 @@
         if len(refused) == most:
             break
         token = ("refused", n)
-        bench.take(token)
+        bench.submit(token)
         bench.move(5.0)
         for b in bench.sent_to(token)[-1:]:
             bench.answer(token, 1.0, AttemptEnd.REFUSED)
@@ -227,7 +227,7 @@
                     asked, sent = asked - len(bench.calls), sent - len(bench.port.sent)
                 if chance.random() < a_second / 20:
                     before = len(bench.port.sent)
-                    bench.take(("asked", len(bench.calls)))
+                    bench.submit(("asked", len(bench.calls)))
                     bench.move(40.0)
                     for token, _, _ in bench.port.sent[before:]:
                         bench.answer(token, 40.0)
@@ -246,7 +246,7 @@
         (b,) = bench.agent._ring
         bench.agent._refused(bench.now, b)
         b.credit = 0.4
-        token = bench.take("first")
+        token = bench.submit("first")
         bench.move(30.0)
         bench.answer("first", 30.0)
         assert not b.down and b.credit <= -0.5, token
@@ -259,7 +259,7 @@
     bench.agent._refused(bench.now, bench.agent._backends[0])
     for n in range(100):
         bench.move(100.0)
-        bench.take(n)
+        bench.submit(n)
     credit = {b.index: b.credit for b in bench.agent._ring}
     assert bench.agent._bare and credit[0] <= 0.5
 
