--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -187,7 +187,7 @@
             ]
         except ValueError as bad:
             raise BadInput(f"directory_update: {bad}") from None
-        self._balancer.listed(now, news, entries)
+        self._balancer.update_backends(now, news, entries)
 
 
 EVENTS: dict[str, Callable[[Instance, float, dict[str, Any]], None]] = {
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -77,11 +77,11 @@
 class IgnoresDrains(Balancer):
     """Takes a draining backend for a ready one."""
 
-    def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
+    def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         ready = [
             replace(e, state=ListedState.READY) if e.state is ListedState.DRAINING else e for e in entries
         ]
-        super().listed(now, news, ready)
+        super().update_backends(now, news, ready)
 
 
 class FloodsCold(Balancer):
@@ -100,13 +100,13 @@
         self._last = now
         return super().submit(now, ask)
 
-    def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
+    def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         if self._slept:
             entries = [
                 replace(e, state=ListedState.READY) if e.state is ListedState.DRAINING else e for e in entries
             ]
-        super().listed(now, news, entries)
+        super().update_backends(now, news, entries)
 
 
 class SpendsAnew(Balancer):
--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -231,7 +231,7 @@
         try:
             if self.sees is not None and news is not UpdateKind.FAILED:
                 entries = self.sees(news, entries, older)
-            self.balancer.listed(self.clock.now(), news, entries)
+            self.balancer.update_backends(self.clock.now(), news, entries)
         except Exception as fault:
             self.tasks.fault("listed", fault)
         self.standing.listed = self.standing.listed or bool(entries)
--- a/lupinreach/ops/returning.py
+++ b/lupinreach/ops/returning.py
@@ -185,7 +185,7 @@
         self._held = held
         if self._withheld:
             self._withheld = False
-            self._agent.balancer.listed(
+            self._agent.balancer.update_backends(
                 self._agent.clock.now(), UpdateKind.CACHED, self._as_held(self._raw.values())
             )
             self._agent.standing.listed = self._agent.standing.listed or bool(self._raw)
@@ -199,7 +199,7 @@
             self._agent.counters.others["fleet: held by others' word"] += sum(
                 e.state is ListedState.DRAINING for e in changed
             )
-            self._agent.balancer.listed(self._agent.clock.now(), UpdateKind.CHANGES, changed)
+            self._agent.balancer.update_backends(self._agent.clock.now(), UpdateKind.CHANGES, changed)
 
     # Datagrams.
 
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -49,7 +49,7 @@
         # What was too slow gets a trial, due at once, and no turn before it.
         b.held = [now if (f or 0.0) > t.slo else 0.0 for f, t in zip(b.figure, self._targets, strict=True)]
 
-    def listed(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
+    def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         """The directory has spoken."""
         if news is UpdateKind.FAILED:
             # Guards against a directory that turns away a crowd, works through it all the same, and meets it
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -115,7 +115,7 @@
         self.list(UpdateKind.CACHED, entries or ready)
 
     def list(self, news, entries):
-        self.agent.listed(self.now, news, entries)
+        self.agent.update_backends(self.now, news, entries)
 
     def move(self, ms: float) -> None:
         until = self.now + ms
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -206,7 +206,9 @@
             ),
         ),
     )
-    agent.balancer = SimpleNamespace(listed=lambda now, news, entries: agent.listed.append((news, entries)))
+    agent.balancer = SimpleNamespace(
+        update_backends=lambda now, news, entries: agent.listed.append((news, entries))
+    )
     agent.peers = SimpleNamespace(send=lambda to, data: agent.sent.append((to, wire.read(data))))
     store = Store("carried", "a", MemoryDisk(stream(1, "disk")))
     return agent, Returning(agent, store, Found(dict(state or {})), config, 77)
