--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -152,10 +152,10 @@
                 del self._calls[token]
 
     def timer(self, now: float, e: dict[str, Any]) -> None:
-        self._balancer.woke(now, e.get("mark", ""))
+        self._balancer.on_timer(now, e.get("mark", ""))
 
     def check_result(self, now: float, e: dict[str, Any]) -> None:
-        self._balancer.probed(
+        self._balancer.on_probe(
             now,
             self._index(e["backend"]),
             _of(ENDINGS, e.get("ending"), "ending"),
@@ -168,7 +168,7 @@
             message = base64.b64decode(e.get("msg", ""), validate=True)
         except (binascii.Error, TypeError, ValueError):
             raise BadInput("msg is no base64") from None
-        self._balancer.heard(now, e.get("sender", 0), message)
+        self._balancer.on_peer_message(now, e.get("sender", 0), message)
 
     def directory_update(self, now: float, e: dict[str, Any], hosts: list[dict[str, Any]]) -> None:
         try:
--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -170,7 +170,7 @@
         """Billed value for the work that an API call takes, as far as known."""
         return offer.value if self._by_work else offer.value / (offer.target.typical or offer.target.slo)
 
-    def woke(self, now: float, mark: str) -> None:
+    def on_timer(self, now: float, mark: str) -> None:
         if mark == "ask":
             self._ask(now)
         elif mark == "look":
@@ -219,10 +219,12 @@
             if b.state is not ListedState.REMOVED
         )
 
-    def probed(self, now: float, backend: int, ending: AttemptEnd, latency: float, load: Load | None) -> None:
+    def on_probe(
+        self, now: float, backend: int, ending: AttemptEnd, latency: float, load: Load | None
+    ) -> None:
         """The outcome of a probe; this version sends none."""
 
-    def heard(self, now: float, sender: int, message: bytes) -> None:
+    def on_peer_message(self, now: float, sender: int, message: bytes) -> None:
         """A word from another agent; this version sends none and heeds none."""
 
     # Placing a shot.
--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -244,14 +244,14 @@
             if self.hears is not None:
                 self.hears(sender, message)
             else:
-                self.balancer.heard(self.clock.now(), sender, message)
+                self.balancer.on_peer_message(self.clock.now(), sender, message)
         except Exception as fault:
             self.tasks.fault("heard", fault)
 
     def woke(self, at: float, mark: str) -> None:
         try:
             # Guards against a clock that rounds to just before the time asked for: the module would wait on.
-            self.balancer.woke(max(at, self.clock.now()), mark)
+            self.balancer.on_timer(max(at, self.clock.now()), mark)
         except Exception as fault:
             self.tasks.fault("woke", fault)
 
--- a/lupinreach/net/probes.py
+++ b/lupinreach/net/probes.py
@@ -23,4 +23,4 @@
     if shot.answer is not None:
         load = read_load(shot.answer.header(protocol.LOAD) or bytes(shot.answer.body))
     ending = ENDINGS[shot.end if shot.end is not End.TURNED_AWAY else End.FAULT]
-    serving.balancer.probed(clock.now(), backend, ending, clock.now() - sent, load)
+    serving.balancer.on_probe(clock.now(), backend, ending, clock.now() - sent, load)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -125,7 +125,7 @@
                 break
             self.port.wakes.remove(due)
             self.now = max(self.now, due[0])
-            self.agent.woke(self.now, due[1])
+            self.agent.on_timer(self.now, due[1])
         self.now = until
 
     def submit(self, token, product=0, left=2000.0, **more):
@@ -171,7 +171,7 @@
         bench.now = at + most
         bench.list(UpdateKind.FAILED, [])
         again, mark = bench.port.wakes.pop()
-        bench.agent.woke(again, mark)
+        bench.agent.on_timer(again, mark)
         queue.append((again, seed))
         turned.append((at - begun, again - begun))
     return got, turned
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -78,7 +78,7 @@
 def test_a_report_that_no_backend_can_make_is_none(metrics, monkeypatch):
     host, _ = started()
     told = []
-    monkeypatch.setattr("lupinreach.balance.Balancer.probed", lambda self, *what: told.append(what[-1]))
+    monkeypatch.setattr("lupinreach.balance.Balancer.on_probe", lambda self, *what: told.append(what[-1]))
     acts(
         host, 1005.0, {"t": "check_result", "i": 0, "backend": 70, "ending": "delivered", "metrics": metrics}
     )
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -351,7 +351,7 @@
     async def work():
         async with Site() as site:
             told = []
-            monkeypatch.setattr(site.agent.balancer, "woke", lambda now, mark: told.append((now, mark)))
+            monkeypatch.setattr(site.agent.balancer, "on_timer", lambda now, mark: told.append((now, mark)))
             at = site.agent.clock.now() + 1e6
             site.agent.woke(at, "look")
             assert told == [(at, "look")]
@@ -966,7 +966,7 @@
     async def work(body, ending, load):
         async with Peer(says(body)) as backend, Site(target("s-1", backend.address)) as site:
             told = asyncio.get_running_loop().create_future()
-            monkeypatch.setattr(site.agent.balancer, "probed", lambda *news: told.set_result(news))
+            monkeypatch.setattr(site.agent.balancer, "on_probe", lambda *news: told.set_result(news))
             site.agent.balancer._port.probe(0)
             _, index, got, _, report = await told
             assert (index, got) == (0, ending) and (report.in_flight if report else None) == load
@@ -990,7 +990,7 @@
         address = f"127.0.0.1:{peer.get_extra_info('sockname')[1]}"
         async with Site(peer_listen="127.0.0.1:0", peers=["127.0.0.1:1", address], peers_all=address) as site:
             agent = site.agent
-            monkeypatch.setattr(agent.balancer, "heard", lambda now, *news: heard.put_nowait(news))
+            monkeypatch.setattr(agent.balancer, "on_peer_message", lambda now, *news: heard.put_nowait(news))
             agent.balancer._port.peers(b"x" * 257)
             agent.balancer._port.peers(b"hello")
             assert await heard.get() == b"hello"
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -192,7 +192,7 @@
         at, mark = bench.port.wakes.pop()
         assert mark == "ask"
         waits.append(at - bench.now)
-        bench.agent.woke(at, mark)
+        bench.agent.on_timer(at, mark)
     assert bench.port.asked == 6
     assert max(waits) < 10_000.0
     firsts, lasts = [], []
@@ -203,7 +203,7 @@
             at, mark = bench.port.wakes.pop()
             waits.append(at - bench.now)
             bench.now = at
-            bench.agent.woke(at, mark)
+            bench.agent.on_timer(at, mark)
     assert max(firsts) <= 1000.0 and sum(lasts) > 2 * sum(firsts)
 
 
