--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -125,14 +125,14 @@
     def head_received(self, now: float, e: dict[str, Any]) -> None:
         call = self._calls.get(e["tid"])
         if call is not None:
-            call.began(now, e.get("try", 0))
+            call.on_head(now, e.get("try", 0))
 
     def reply(self, now: float, e: dict[str, Any]) -> None:
         token = e["tid"]
         call = self._calls.get(token)
         if call is None:
             return
-        call.ended(
+        call.on_attempt_ended(
             now,
             e.get("try", 0),
             _of(ENDINGS, e.get("ending"), "ending"),
@@ -147,7 +147,7 @@
         token = e["tid"]
         call = self._calls.get(token)
         if call is not None:
-            call.left(now)
+            call.on_client_left(now)
             if call.closed:
                 del self._calls[token]
 
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -162,7 +162,7 @@
                     case Landed(number) if number == self._passing:
                         end = shots[number].shot.end
                         counters.shots[end.value] += 1
-                        call.ended(now(), number, ENDINGS[end], now() - shots[number].sent, True)
+                        call.on_attempt_ended(now(), number, ENDINGS[end], now() - shots[number].sent, True)
                         self._passed_on(end)
                     case Landed(number):
                         shot = shots[number].shot
@@ -170,7 +170,7 @@
                         answer, served = shot.answer, shot.end is End.SERVED
                         load = _reported(counters, answer) if answer else None
                         took = now() - shots[number].sent if shot.took is None else shot.took
-                        call.ended(now(), number, ENDINGS[shot.end], took, served, load)
+                        call.on_attempt_ended(now(), number, ENDINGS[shot.end], took, served, load)
                         if served and answer:
                             lines = http.passed_on(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
                             self._answer("fulfilled", protocol.SERVED, answer.body, lines)
@@ -179,13 +179,13 @@
                     case GiveUp():
                         self._answer("errored", ERRORED)
                     case Left():
-                        call.left(now())
+                        call.on_client_left(now())
                         self._close("left")
                         if self._passing is not None:
                             shots[self._passing].task.cancel()
                     case Overdue() if not self.answered.done() and self._passing is None:
                         # Guards against an order that comes too late for the client's deadline.
-                        call.left(now())
+                        call.on_client_left(now())
                         self._answer("errored", ERRORED)
         except Exception as fault:
             # Guards against a fault of our own that would leave a client without an answer: a 500.
@@ -196,7 +196,7 @@
                 self._answers.cut()
                 self._close("fault")
             if call is not None:
-                call.left(now())
+                call.on_client_left(now())
                 await self._settle(call, shots)
         finally:
             overdue.cancel()
@@ -234,7 +234,7 @@
                 shots[number].task.cancel()
                 await asyncio.wait([shots[number].task])
                 end = shots[number].shot.end
-            call.ended(self._serving.clock.now(), number, ENDINGS[end], 0.0, False)
+            call.on_attempt_ended(self._serving.clock.now(), number, ENDINGS[end], 0.0, False)
 
     def client_spoke(self, reading: asyncio.Future[int]) -> None:
         """Something has come from the client, or it has closed its connection."""
@@ -271,7 +271,7 @@
             return False  # it lands like one that brought nothing
         self._passing = number
         load = _reported(serving.counters, shot.answer)
-        call.began(serving.clock.now(), number, shot.took or 0.0, load)
+        call.on_head(serving.clock.now(), number, shot.took or 0.0, load)
         return True
 
     def _passed_on(self, end: End) -> None:
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -137,7 +137,9 @@
 
     # What happens to the API call.
 
-    def began(self, now: float, number: int, latency: float | None = None, load: Load | None = None) -> None:
+    def on_head(
+        self, now: float, number: int, latency: float | None = None, load: Load | None = None
+    ) -> None:
         """The answer has begun to stream: this shot is now the client's.
 
         With a latency, that is the shot's, to its first bytes: what comes after is transfer and says nothing
@@ -152,11 +154,11 @@
         shot.overdue = True
         to.pump(now)
 
-    def left(self, now: float) -> None:
+    def on_client_left(self, now: float) -> None:
         """The client has gone; nothing more is owed."""
         self._to.finish(self, now)
 
-    def ended(
+    def on_attempt_ended(
         self,
         now: float,
         number: int,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -138,7 +138,7 @@
 
     def answer(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, number=None) -> None:
         number = len(self.sent_to(token)) - 1 if number is None else number
-        self.calls[token].ended(self.now, number, ending, latency, ending is AttemptEnd.FULFILLED)
+        self.calls[token].on_attempt_ended(self.now, number, ending, latency, ending is AttemptEnd.FULFILLED)
 
     def serve(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, product=0) -> int:
         """One API call from arrival to its end; returns the backend of its first shot."""
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -27,7 +27,7 @@
         call = bench.submit((backend, n))
         at = bench.sent_to((backend, n))[0]
         bench.move(40)
-        call.ended(bench.now, 0, AttemptEnd.FULFILLED, 2 * SLO if at == backend else 60.0, True)
+        call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 2 * SLO if at == backend else 60.0, True)
         assert call.closed
         had += at == backend
     return had
@@ -111,7 +111,7 @@
         call = bench.submit(n, left=3 * SLO)
         bench.move(60 if n < 8 else 1.2 * SLO)
         if call.out:
-            call.ended(bench.now, 0, AttemptEnd.FULFILLED, 60.0 if n < 8 else 1.2 * SLO, True)
+            call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 60.0 if n < 8 else 1.2 * SLO, True)
     held_now = [b for b in bench.agent._ring if b.held[0]]
     assert len(held_now) <= 2
 
@@ -253,7 +253,7 @@
         call = bench.submit(("cold", n))
         bench.move(20.0)
         if call.out:
-            call.ended(bench.now, 0, AttemptEnd.FULFILLED, 20.0, True)
+            call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 20.0, True)
             served += 1
     assert 60 < served < 300
 
@@ -356,7 +356,7 @@
             call = bench.submit(n, key=77)
             at = bench.sent_to(n)[0]
             bench.move(30.0)
-            call.ended(bench.now, 0, AttemptEnd.FULFILLED, 30.0, True)
+            call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 30.0, True)
             names[entries[at].name] += 1
         assert set(names.values()) == {20}
         homes.append(set(names))
@@ -397,7 +397,7 @@
         turns[at] += n >= 20
         bench.move(30.0)
         report = Load(in_flight=40.0 if at == 1 and n >= 20 else 2.0 + at / 4)
-        call.ended(bench.now, 0, AttemptEnd.FULFILLED, 30.0, True, report)
+        call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 30.0, True, report)
     assert turns[1] < 8 and max(turns[b] for b in (0, 2, 3)) - min(turns[b] for b in (0, 2, 3)) <= 1
 
 
@@ -407,7 +407,7 @@
     for n in range(200):
         call = bench.submit(n)
         bench.move(30.0)
-        call.ended(
+        call.on_attempt_ended(
             bench.now, 0, AttemptEnd.FULFILLED, 30.0, True, Load(in_flight=(0.0, 1.0, 0.0, 3.0, 1.0)[n % 5])
         )
         assert all(not b.rest_until for b in bench.agent._ring)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -84,7 +84,9 @@
         complete = bool(call.final) or ending is AttemptEnd.FULFILLED
         if ending is AttemptEnd.FULFILLED and not call.final:
             call.final.append("fulfilled")
-        self.bench.calls[token].ended(self.bench.now, number, ending, self.bench.now - shot.at, complete)
+        self.bench.calls[token].on_attempt_ended(
+            self.bench.now, number, ending, self.bench.now - shot.at, complete
+        )
 
     def compare(self):
         """Ask both what is allowed, whether or not the module would do it."""
@@ -128,7 +130,7 @@
             if alive:
                 token = rng.choice(alive)
                 self.plain[token].final.append("left")
-                bench.calls[token].left(bench.now)
+                bench.calls[token].on_client_left(bench.now)
         else:
             self.pass_time(rng.choice((1.0, 10.0, 40.0, 300.0)))
 
