--- a/lupinreach/ops/carry.py
+++ b/lupinreach/ops/carry.py
@@ -98,7 +98,7 @@
         except Unfit as why:
             log.event("carried nothing", why=str(why))
             return
-        if not self._agent.balancer.recall(learnt):
+        if not self._agent.balancer.restore(learnt):
             log.event("carried nothing", why="other SLOs or another kind of weights")
             return
         log.event("carried", backends=len(learnt.backends), age_ms=round(age))
@@ -116,7 +116,7 @@
 
     async def leave(self) -> None:
         """Put it for the process that comes next; the event loop serves on while the disk syncs."""
-        learnt = self._agent.balancer.learnt()
+        learnt = self._agent.balancer.snapshot()
         # Guards against a process that never saw a list and would wipe out what another has left.
         if learnt.backends:
             self._store.put(LEARNT, plain(learnt, self._agent.clock.now()))
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -22,7 +22,7 @@
 
     # What another process may go on with.
 
-    def learnt(self) -> PolicySnapshot:
+    def snapshot(self) -> PolicySnapshot:
         """What stays true for whoever asks next. Loads, bounds, credit, states and shots out don't."""
         return PolicySnapshot(
             self._slos,
@@ -31,7 +31,7 @@
             tuple(BackendSnapshot(b.name, b.boot_time, b.listed, tuple(b.figure), b.ill) for b in self._ring),
         )
 
-    def recall(self, learnt: PolicySnapshot) -> bool:
+    def restore(self, learnt: PolicySnapshot) -> bool:
         """Begin with that, before the first list; false, with nothing taken, if it means something else."""
         if learnt.slos != self._slos or learnt.live_weights is not self._tells:
             return False
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -38,14 +38,14 @@
 
 def fresh(entries, given=LIVE, learnt=None):
     bench = Bench(given, entries=[Listing(90, READY, name=1)])
-    taken = learnt is None or bench.agent.recall(learnt)
+    taken = learnt is None or bench.agent.restore(learnt)
     bench.list(UpdateKind.FULL, entries)
     return bench, taken
 
 
 def test_sizes_and_figures_of_the_same_process_are_kept_and_nothing_else():
     old = warmed(loads=(3.0, 0.0, 0.0, 0.0))
-    learnt = old.agent.learnt()
+    learnt = old.agent.snapshot()
     # Listed under load, so that without what was carried its size would be read too low.
     entries = [Listing(i, READY, size=1.0, name=70 + i) for i in range(4)]
     new, taken = fresh(entries, learnt=learnt)
@@ -62,7 +62,7 @@
 
 
 def test_a_restarted_a_draining_and_an_unknown_backend_start_afresh():
-    learnt = warmed().agent.learnt()
+    learnt = warmed().agent.snapshot()
     entries = [
         Listing(0, READY, boot_time=5.0, size=1.0, name=70),
         Listing(1, DRAINING, size=1.0, name=71),
@@ -89,7 +89,7 @@
 
 
 def test_a_cold_backend_gets_no_more_in_the_first_second_than_from_an_agent_that_carries_nothing():
-    learnt = warmed().agent.learnt()
+    learnt = warmed().agent.snapshot()
 
     def first_second(carried):
         entries = [Listing(i, READY, size=4.0, name=70 + i) for i in range(3)]
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("other", [settings(live_weights=False), settings(live_weights=True, slo=500.0)])
 def test_figures_for_other_slos_or_other_weights_are_not_taken(other):
-    new, taken = fresh([Listing(0, READY, name=70)], other, warmed().agent.learnt())
+    new, taken = fresh([Listing(0, READY, name=70)], other, warmed().agent.snapshot())
     assert not taken and new.agent._ring[0].figure == [None]
 
 
@@ -119,7 +119,7 @@
 
 
 def test_the_file_reads_back_and_is_bounded():
-    learnt = warmed().agent.learnt()
+    learnt = warmed().agent.snapshot()
     assert again(learnt, 1234.5) == (1234.5, learnt)
     many = PolicySnapshot(
         (400.0,),
@@ -131,7 +131,7 @@
 
 
 def test_each_fault_of_a_file_is_named_and_nothing_of_it_taken():
-    good = json.loads(json.dumps(plain(warmed().agent.learnt(), 1.0)))
+    good = json.loads(json.dumps(plain(warmed().agent.snapshot(), 1.0)))
     row = good["backends"][0]
     for change in (
         {"form": 2},
@@ -207,7 +207,7 @@
         async with Site(target("s-1", "127.0.0.1:9")) as site:
             path = tmp_path / "carried"
             at = site.agent.clock.now() - (3.6e6 if fault == "old" else 1000.0)
-            learnt = site.agent.balancer.learnt()
+            learnt = site.agent.balancer.snapshot()
             value = plain(learnt, at)
             text = (
                 json.dumps(value).encode() if fault == "of before" else records.whole("n", {"learnt": value})
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -104,9 +104,9 @@
 
 def test_an_agent_goes_on_with_what_its_life_before_has_synced(monkeypatch):
     recalled = []
-    recall = Balancer.recall
+    recall = Balancer.restore
     monkeypatch.setattr(
-        Balancer, "recall", lambda self, *given: recalled.append(given[0]) or recall(self, *given)
+        Balancer, "restore", lambda self, *given: recalled.append(given[0]) or recall(self, *given)
     )
     assert play.run(spec.read(SMALL | DISK | {"faults": [POWER]}), 3).verdict == play.KEPT
     assert len(recalled) == 4 and all(learnt.backends for learnt in recalled)
@@ -151,7 +151,7 @@
 
 def test_an_event_loop_goes_on_while_a_disk_hangs_in_a_sync(tmp_path):
     class Agent:
-        balancer, clock = SimpleNamespace(learnt=lambda: LEARNT), SimpleNamespace(now=lambda: 1000.0)
+        balancer, clock = SimpleNamespace(snapshot=lambda: LEARNT), SimpleNamespace(now=lambda: 1000.0)
         counters = SimpleNamespace(others=Counter())
 
     async def main():
