--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -180,20 +180,20 @@
 
     # Where agents share what they have met; without, nothing of this is called.
 
-    def evidence(self) -> list[tuple[Backend, float]]:
+    def relative_latencies(self) -> list[tuple[Backend, float]]:
         """Each ready backend and its figure as a share of the first SLO; of one not met, what is usual."""
         t = self._targets[0]
         return [(b, (t.recent if b.figure[0] is None else b.figure[0]) / t.slo) for b in self._ring]
 
-    def young(self, now: float) -> list[Backend]:
+    def recently_started(self, now: float) -> list[Backend]:
         """The ready backends that are cold by own word, the directory's being silent on it."""
         return [b for b in self._ring if self._is_cold(now, b) and (b.down or b.since > b.boot_time)]
 
-    def used(self) -> set[int] | None:
+    def used_backends(self) -> set[int] | None:
         """The backends that this agent uses, as far as it uses only some; None: any may be next."""
         return None if self._warm_keys else {b.index for b in self._ring[: self._most()]}
 
-    def shared(self, now: float, told: SharedEstimates) -> None:
+    def apply_shared(self, now: float, told: SharedEstimates) -> None:
         """What others' word makes of own figures: turns move, trials come sooner, nothing is ejected."""
         self._told_over, self._trial_rate = told.over, told.trials
         for b in self._ring:
@@ -207,7 +207,7 @@
             if b.name in told.due and b.trial is None:
                 b.held = [min(h, now) for h in b.held]
 
-    def avoided(self, now: float) -> int:
+    def avoided_count(self, now: float) -> int:
         """How many listed backends get no turn now: draining, at rest, silent, or ejected for every SLO."""
         least = min(t.slo for t in self._targets)
         return sum(
@@ -368,7 +368,7 @@
         most = max(self._least_used, int(FRESH * self._taken))
         return max(2, ceil(CLOSER * most)) if self._bare else most
 
-    def ahead(self, now: float, product: int) -> int | None:
+    def choose_for_upload(self, now: float, product: int) -> int | None:
         """The backend that a request too long to be kept goes ahead to; its last byte makes it a shot."""
         call = Call(self, now, IncomingCall(None, product, inf), 1.0, 1.0)
         t = call.target.index
--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -129,7 +129,7 @@
         self.standing.accepting = True
         self.tasks.spawn("sweep", self.listener.sweep())
         unused = LEAVES * max(p.slo for p in self.config.settings.products)
-        self.tasks.spawn("idle backends", self.pool.sweep(self.balancer.used, unused))
+        self.tasks.spawn("idle backends", self.pool.sweep(self.balancer.used_backends, unused))
         self.tasks.spawn("ids", self._turn_ids())
         self.tasks.spawn("counters", self._report_on())
         self.log.event(
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -200,7 +200,11 @@
         ask, _ = read_ask(None, request, serving.clock.now(), serving)
         if request.method == b"GET":
             raise BadRequest("GET is for what may run again, and has no body")
-        backend = None if self._listener.full else serving.balancer.ahead(serving.clock.now(), ask.product)
+        backend = (
+            None
+            if self._listener.full
+            else serving.balancer.choose_for_upload(serving.clock.now(), ask.product)
+        )
         if backend is None:
             raise Stopped
         upload = Upload(serving.pool, serving.directory.place(backend), body.length is None)
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -166,7 +166,7 @@
         agent = self._agent
         products = [product.name for product in agent.config.settings.products]
         found = figures.report(
-            products, agent.counters, agent.directory.listed, agent.balancer.avoided(agent.clock.now())
+            products, agent.counters, agent.directory.listed, agent.balancer.avoided_count(agent.clock.now())
         )
         return Said(200, figures=found if agent.tells is None else found | {"fleet": agent.tells()})
 
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -108,7 +108,7 @@
 
     def _wants(self) -> float:
         """Trials a s that this agent could make use of: one for each backend that it holds back, each hold."""
-        held = sum(any(b.held) for b, _ in self._agent.balancer.evidence())
+        held = sum(any(b.held) for b, _ in self._agent.balancer.relative_latencies())
         return 1000 * held / self._hold
 
     def look(self) -> None:
@@ -122,7 +122,7 @@
             if silent <= ALONE * self._config.share
             else Silence.ALONE
         )
-        met = balancer.evidence()
+        met = balancer.relative_latencies()
         known = {(b.name, boot_mark(b.boot_time)): (b, figure) for b, figure in met}
         self.evidence.own(
             now,
@@ -135,7 +135,7 @@
         self.evidence.look(now, known)
         self.counts.look(now, self._self()[0], now - self._began)
         self._budget(now, len(met))
-        young = {b.name: b for b in balancer.young(now)}
+        young = {b.name: b for b in balancer.recently_started(now)}
         self.warmth.own(now, {name: (b.stood, b.met_at) for name, b in young.items() if b.stood})
         self.warmth.look(now, young)
         own = {key: (figure, b.met_at) for key, (b, figure) in known.items()}
@@ -145,7 +145,7 @@
             for (name, boot), (figure, _) in self.evidence.said(now, own).items()
             if figure < WELL and any(known[name, boot][0].held)
         )
-        balancer.shared(
+        balancer.apply_shared(
             now,
             SharedEstimates(
                 dearer,
@@ -180,7 +180,7 @@
     def figures(self) -> dict[str, object]:
         """What operators see."""
         now = self._agent.clock.now()
-        met = self._agent.balancer.evidence()
+        met = self._agent.balancer.relative_latencies()
         return {
             "stage": self.stage.value,
             "rows": len(self.evidence),
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -53,7 +53,7 @@
             total = self.agents * max(p.trials.own for p in self.parts.values() if p.trials is not None)
             most["trials"] = max(most["trials"], sum(uses) / grants.most(total, self.agents) / EXACT)
             most["lent"] += part.trials.out[0]
-        factors = [b.dearer for b, _ in part._agent.balancer.evidence()]
+        factors = [b.dearer for b, _ in part._agent.balancer.relative_latencies()]
         if factors:
             moved = sum(1 - 1 / f for f in factors) / len(factors)
             most["dearer"] = max(
@@ -62,7 +62,7 @@
                 max(factors) / MOST / EXACT,
                 sum(f > 1 for f in factors) / len(factors) / SHARE / EXACT,
             )
-        refused = {b.name: b.refused_at for b in part._agent.balancer.young(now)}
+        refused = {b.name: b.refused_at for b in part._agent.balancer.recently_started(now)}
         for name, since in part.warmth.since(part._began, refused).items():
             most["stood"] = max(most["stood"], 1.0 if since >= earliest(part._began, refused[name]) else 2.0)
         life = part._self()[0]
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -85,20 +85,20 @@
         bench.agent._refused(bench.now, b)
     bench.move(10_000)
     here = bench.agent._ring[0]
-    assert bench.agent._capacity(bench.now, here) == pytest.approx(0.2) and here in bench.agent.young(
-        bench.now
-    )
-    bench.agent.shared(bench.now, SharedEstimates({}, stood={here.name: bench.now - 10_000}))
+    assert bench.agent._capacity(bench.now, here) == pytest.approx(
+        0.2
+    ) and here in bench.agent.recently_started(bench.now)
+    bench.agent.apply_shared(bench.now, SharedEstimates({}, stood={here.name: bench.now - 10_000}))
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6) and not here.down
-    bench.agent.shared(
+    bench.agent.apply_shared(
         bench.now, SharedEstimates({}, stood={here.name: bench.now - 5_000})
     )  # nobody gets younger by it
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6)
     bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now - 1000) for i in range(4)])
-    bench.agent.shared(bench.now, SharedEstimates({}, stood={here.name: bench.now - 15_000}))
-    assert bench.agent._capacity(bench.now, here) == pytest.approx(0.24) and here not in bench.agent.young(
-        bench.now
-    )
+    bench.agent.apply_shared(bench.now, SharedEstimates({}, stood={here.name: bench.now - 15_000}))
+    assert bench.agent._capacity(bench.now, here) == pytest.approx(
+        0.24
+    ) and here not in bench.agent.recently_started(bench.now)
 
 
 # Lending: every history of three agents whose words are lost, doubled and late.
@@ -276,24 +276,24 @@
     bench = Bench(settings(), backends=4)
     for n in range(12):
         bench.serve(("warm", n))
-    before = [list(b.held) for b, _ in bench.agent.evidence()]
-    name = next(b.name for b, _ in bench.agent.evidence())
-    bench.agent.shared(bench.now, SharedEstimates({name: 4.0}))
-    assert [list(b.held) for b, _ in bench.agent.evidence()] == before == [[0.0]] * 4
-    b = next(b for b, _ in bench.agent.evidence())
+    before = [list(b.held) for b, _ in bench.agent.relative_latencies()]
+    name = next(b.name for b, _ in bench.agent.relative_latencies())
+    bench.agent.apply_shared(bench.now, SharedEstimates({name: 4.0}))
+    assert [list(b.held) for b, _ in bench.agent.relative_latencies()] == before == [[0.0]] * 4
+    b = next(b for b, _ in bench.agent.relative_latencies())
     b.held = [bench.now + 1e6]
-    bench.agent.shared(bench.now, SharedEstimates({}, frozenset((b.name,))))
-    assert b.held == [bench.now] and all(o.dearer == 1 for o, _ in bench.agent.evidence())
+    bench.agent.apply_shared(bench.now, SharedEstimates({}, frozenset((b.name,))))
+    assert b.held == [bench.now] and all(o.dearer == 1 for o, _ in bench.agent.relative_latencies())
 
 
 def test_a_dearer_backend_gets_fewer_turns_and_never_none():
     bench = Bench(settings(), backends=4)
     for n in range(20):
         bench.serve(("warm", n))
-    dear = bench.agent.evidence()[0][0]
-    bench.agent.shared(bench.now, SharedEstimates({dear.name: 4.0}))
+    dear = bench.agent.relative_latencies()[0][0]
+    bench.agent.apply_shared(bench.now, SharedEstimates({dear.name: 4.0}))
     # The names of a bench without names are alike: told apart here.
-    for n, (b, _) in enumerate(bench.agent.evidence()):
+    for n, (b, _) in enumerate(bench.agent.relative_latencies()):
         b.dearer = 4.0 if n == 0 else 1.0
     got = [bench.serve(("then", n)) for n in range(200)]
     assert 5 <= sum(index == dear.index for index in got) <= 35
