--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -72,8 +72,8 @@
             t.recent = t.ease = t.slo * FULL_AT / EASE
         self._by_work = settings.value_by_work
         limits, rules = settings.limits, settings.rules
-        self.max_shots = limits.max_shots
-        self.copies = limits.second_copies
+        self.max_attempts = limits.max_attempts
+        self.may_hedge = limits.allow_hedging
         self.step = settings.step
         self._may_cancel = limits.may_cancel
         self._most_retry_after = limits.max_retry_after if limits.retry_after else 0.0
@@ -514,9 +514,9 @@
             return
         if now < last.sent + LATE_AT * call.target.slo:
             return
-        if now >= call.taken + call.target.slo or len(call.shots) >= self.max_shots:
+        if now >= call.taken + call.target.slo or len(call.shots) >= self.max_attempts:
             return
-        if self.copies:
+        if self.may_hedge:
             b = self._choose(now, call) if call.may_send(now) else None
             if b is not None and b is not last.backend and self.spend():
                 self._send(now, call, b)
--- a/lupinreach/config.py
+++ b/lupinreach/config.py
@@ -173,8 +173,8 @@
             answer_slack=rules.number("answer_slack", 0.0),
         ),
         limits=Limits(
-            max_shots=limits.whole("max_attempts", 1),
-            second_copies=limits.flag("second_copies"),
+            max_attempts=limits.whole("max_attempts", 1),
+            allow_hedging=limits.flag("second_copies"),
             may_cancel=limits.flag("may_cancel"),
             probes=limits.flag("probes"),
             peers=limits.flag("peer_messages"),
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -93,8 +93,8 @@
 
 @dataclass(frozen=True)
 class Limits:
-    max_shots: int
-    second_copies: bool = False
+    max_attempts: int
+    allow_hedging: bool = False
     may_cancel: bool = False
     probes: bool = False
     peers: bool = False
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -105,9 +105,9 @@
     def may_send(self, now: float) -> bool:
         """If any further shot is allowed at all; `may_use` says where to."""
         to = self._to
-        if self.done or self.streaming or now >= self.until or len(self.shots) >= to.max_shots:
+        if self.done or self.streaming or now >= self.until or len(self.shots) >= to.max_attempts:
             return False
-        if (self.out and not to.copies) or (self.only is not None and self.shots):
+        if (self.out and not to.may_hedge) or (self.only is not None and self.shots):
             return False
         if self.offer.kind is Idempotency.NON_IDEMPOTENT:
             return not any(s.ran for s in self.shots)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -206,9 +206,9 @@
             return "a shot to a backend that is not ready"
         if now >= self.until:
             return "a shot after the client timeout"
-        if len(self.shots) >= self.limits.max_shots:
+        if len(self.shots) >= self.limits.max_attempts:
             return "more shots than allowed"
-        if any(s.ending is None for s in self.shots) and not self.limits.second_copies:
+        if any(s.ending is None for s in self.shots) and not self.limits.allow_hedging:
             return "two shots out at once"
         if self.product.kind is Idempotency.NON_IDEMPOTENT and maybe:
             return "a non-idempotent API call that may have run was sent again"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -48,7 +48,7 @@
     assert (config.sockets, config.peer_listen, config.peers, config.known) == (1024, None, (), {})
     settings = read_settings({"categories": [{"give_up": 5}]})
     assert settings.products[0].kind is Idempotency.NON_IDEMPOTENT and settings.products[0].slo == 0.0
-    assert (settings.step, settings.rules.fall, settings.limits.max_shots) == (1.0, 1000.0, 1)
+    assert (settings.step, settings.rules.fall, settings.limits.max_attempts) == (1.0, 1000.0, 1)
 
 
 @pytest.mark.parametrize(
