--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -115,7 +115,7 @@
                 customer=e.get("project", 0),
                 key=e.get("resource"),
                 cost=e.get("cost") if flags & HINTED else None,
-                again=bool(flags & REPEATED),
+                is_retry=bool(flags & REPEATED),
                 write=bool(flags & WRITES),
             ),
         )
--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -155,7 +155,7 @@
         if self._tells:
             # Guards against clients that come again at once, many times, with little time left.
             left = (ask.until - now) / offer.target.slo
-            room *= (LEAST_ROOM if ask.again else 1.0) * min(1.0, max(LEAST_LEFT, left))
+            room *= (LEAST_ROOM if ask.is_retry else 1.0) * min(1.0, max(LEAST_LEFT, left))
         call = Call(self, now, ask, work, room)
         self._fresh += work
         self._budget = min(BUDGET_MAX, self._budget + BUDGET)
@@ -242,7 +242,7 @@
         why = "empty list" if not self._ring else "bound full" if self._full(now, call) else "no turn"
         self.counts[why] += 1
         refused = why == "bound full" and self._by_list  # a share has no room that a line could wait for
-        if now < self._stands_until(call) and self._ring and call.only is None and not refused:
+        if now < self._stands_until(call) and self._ring and call.pinned_to is None and not refused:
             self._wait(now, call)
         else:
             self.give_up(now, call)
@@ -323,7 +323,7 @@
     def _choose(self, now: float, call: Call) -> Backend | None:
         """The next turn in the pool of the API call's SLO."""
         t = call.target.index
-        if call.only is not None:
+        if call.pinned_to is not None:
             # It was chosen when the first of it went ahead: no room is found elsewhere, nor asked for again.
             return next((b for b in self._ring if call.may_use(b)), None)
         if self._full(now, call):
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -152,9 +152,9 @@
     customer: int = 0
     key: int | None = None
     cost: float | None = None  # ms of work on a standard core, roughly
-    again: bool = False  # the client says that this is a repeat
+    is_retry: bool = False  # the client says that this is a repeat
     write: bool = False
-    only: int | None = None  # it went ahead to this backend, and can have one shot, there
+    pinned_to: int | None = None  # it went ahead to this backend, and can have one shot, there
 
 
 @dataclass(frozen=True)
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -126,7 +126,7 @@
         self.answered = asyncio.get_running_loop().create_future()
         self.ask, until = read_ask(self, request, arrived, serving)
         if upload is not None:
-            self.ask = replace(self.ask, only=upload.place.backend)
+            self.ask = replace(self.ask, pinned_to=upload.place.backend)
         self._product = serving.settings.products[self.ask.product].name
         self._overdue = (self.ask.until + until) / 2
         runs_once = serving.settings.products[self.ask.product].kind is Idempotency.NON_IDEMPOTENT
@@ -343,7 +343,7 @@
         index,
         until,
         cost=cost,
-        again=request.header(protocol.RETRY) == b"1",
+        is_retry=request.header(protocol.RETRY) == b"1",
         customer=serving.customers.get(request.header(protocol.CUSTOMER) or b"", 0),
         key=crc32(key[1]) if key else None,  # the same at all agents
     ), arrived + waits
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -75,7 +75,7 @@
         "done",
         "streaming",
         "waiting",
-        "only",
+        "pinned_to",
     )
 
     def __init__(self, to: Balancer, now: float, ask: IncomingCall, work: float, room: float) -> None:
@@ -93,7 +93,7 @@
         self.done = False
         self.streaming = False
         self.waiting = False
-        self.only = ask.only
+        self.pinned_to = ask.pinned_to
 
     @property
     def closed(self) -> bool:
@@ -107,7 +107,7 @@
         to = self._to
         if self.done or self.streaming or now >= self.until or len(self.shots) >= to.max_attempts:
             return False
-        if (self.out and not to.may_hedge) or (self.only is not None and self.shots):
+        if (self.out and not to.may_hedge) or (self.pinned_to is not None and self.shots):
             return False
         if self.offer.kind is Idempotency.NON_IDEMPOTENT:
             return not any(s.ran for s in self.shots)
@@ -118,7 +118,7 @@
 
     def may_use(self, b: Backend) -> bool:
         """If a shot that `may_send` allows may go to this backend."""
-        if b.state is not ListedState.READY or (self.only is not None and b.index != self.only):
+        if b.state is not ListedState.READY or (self.pinned_to is not None and b.index != self.pinned_to):
             return False
         if self.offer.kind is Idempotency.DEDUPLICATED and self.offer.group is not DedupScope.ALL:
             zone = self.offer.group is DedupScope.ZONE
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -93,8 +93,8 @@
             await site.ask(look(b"pay", more=more, method=b"POST", path=b"/api/00fe?x=/y", deadline=b"9"))
             await site.ask(look(more=b"Req-Owner: nobody\r\n", deadline=b".5"))
             first, second = asks
-            assert (first.product, first.customer, first.cost, first.again) == (1, 1, 1.5005, True)
-            assert (second.product, second.customer, second.cost, second.again) == (0, 0, None, False)
+            assert (first.product, first.customer, first.cost, first.is_retry) == (1, 1, 1.5005, True)
+            assert (second.product, second.customer, second.cost, second.is_retry) == (0, 0, None, False)
             assert (first.key, second.key) == (crc32(b"00fe"), None)
             now = site.agent.clock.now()  # no longer than the product's client timeout, less the margin
             assert now + 1900 < first.until <= now + 1980 and now + 400 < second.until <= now + 480
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -114,7 +114,7 @@
             left = rng.choice((60.0, 800.0, 2000.0))
             self.plain[token] = PlainCall(self.given.products[product], self.given.limits, bench.now + left)
             bench.calls[token] = None
-            call = bench.submit(token, product, left, key=token % 3, again=token % 4 == 0)
+            call = bench.submit(token, product, left, key=token % 3, is_retry=token % 4 == 0)
             for number in range(len(self.plain[token].shots)):
                 assert call.shots[number].number == number
         elif what < 0.75:
