--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -195,16 +195,16 @@
 
     def apply_shared(self, now: float, told: SharedEstimates) -> None:
         """What others' word makes of own figures: turns move, trials come sooner, nothing is ejected."""
-        self._told_over, self._trial_rate = told.over, told.trials
+        self._told_over, self._trial_rate = told.over_share, told.trials_per_ms
         for b in self._ring:
-            b.dearer = told.dearer.get(b.name, 1.0)
-            stood = told.stood.get(b.name, inf)
+            b.cost_factor = told.cost_factors.get(b.name, 1.0)
+            stood = told.up_since.get(b.name, inf)
             if stood < (inf if b.down else b.since if b.since > b.boot_time else 0.0):
                 # Guards against a backend that this agent met late, or not yet, and would take for just started.
                 if b.down:
                     self._restarted(b, b.credit)
                 b.since, b.down, b.doubted = stood, False, False
-            if b.name in told.due and b.trial is None:
+            if b.name in told.trial_due and b.trial is None:
                 b.held = [min(h, now) for h in b.held]
 
     def avoided_count(self, now: float) -> int:
@@ -464,7 +464,7 @@
         slow backend holds more than others, and even counts would drive it to the edge of its SLO.
         """
         figure = b.figure[target.index]
-        return b.dearer * (target.recent if figure is None else max(figure, target.recent / MOST_SHARE))
+        return b.cost_factor * (target.recent if figure is None else max(figure, target.recent / MOST_SHARE))
 
     # Looking at what is out.
 
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -35,8 +35,8 @@
         "doubted",
         "heard",
         "met_at",
-        "dearer",
-        "stood",
+        "cost_factor",
+        "up_since",
         "refused_at",
     )
 
@@ -52,8 +52,8 @@
         self.down = False  # it refused, or must be taken to have: nothing has come from it since
         self.doubted = False  # for what was seen of others, not of it
         self.met_at = 0.0  # when its last sample came
-        self.dearer = 1.0  # what a turn costs more by others' word, where agents share what they met
-        self.stood = 0.0  # when the process that is there now first answered a shot; 0 = not yet
+        self.cost_factor = 1.0  # what a turn costs more by others' word, where agents share what they met
+        self.up_since = 0.0  # when the process that is there now first answered a shot; 0 = not yet
         self.refused_at = 0.0  # when it last refused a connection
         self.heard = False  # anything has come from it, in this agent's life
         self.figure: list[float | None] = [None] * targets  # smoothed latency per SLO, None = unsampled
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -194,13 +194,15 @@
 class SharedEstimates:
     """What agents of one fleet make of what they share, in place of one's own guesses; each figure is bounded where it is made."""
 
-    dearer: Mapping[int, float]  # by backend's name: what a turn costs more by others' word; absent: 1
-    due: frozenset[int] = frozenset()  # backends that others have met well lately: a trial may come now
-    over: frozenset[int] | None = (
+    cost_factors: Mapping[int, float]  # by backend's name: what a turn costs more by others' word; absent: 1
+    trial_due: frozenset[int] = frozenset()  # backends that others have met well lately: a trial may come now
+    over_share: frozenset[int] | None = (
         None  # customers that ask the fleet for more than their share; None: by own counts
     )
-    trials: float | None = None  # this agent's part of the fleet's trials, a ms; None: by own API calls alone
-    stood: Mapping[int, float] = field(
+    trials_per_ms: float | None = (
+        None  # this agent's part of the fleet's trials, a ms; None: by own API calls alone
+    )
+    up_since: Mapping[int, float] = field(
         default_factory=dict
     )  # by name: since when (ms) backends that are cold have stood at least
 
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -136,7 +136,7 @@
         self.counts.look(now, self._self()[0], now - self._began)
         self._budget(now, len(met))
         young = {b.name: b for b in balancer.recently_started(now)}
-        self.warmth.own(now, {name: (b.stood, b.met_at) for name, b in young.items() if b.stood})
+        self.warmth.own(now, {name: (b.up_since, b.met_at) for name, b in young.items() if b.up_since})
         self.warmth.look(now, young)
         own = {key: (figure, b.met_at) for key, (b, figure) in known.items()}
         dearer = {name: factor for (name, _), factor in self.evidence.factors(now, own).items()}
@@ -187,7 +187,7 @@
             "counts": len(self.counts),
             "stood": len(self.warmth),
             "refused": self.evidence.refused + self.counts.refused + self.warmth.refused,
-            "dearer": {str(b.name): round(b.dearer, 2) for b, _ in met if b.dearer > 1},
+            "dearer": {str(b.name): round(b.cost_factor, 2) for b, _ in met if b.cost_factor > 1},
             "customers_per_s": [round(rate, 2) for rate in self.counts.rates(now)],
             "over": sorted(self._over(now) or ()),
             "trials_per_s": None if self.trials is None else round(self.trials.usable(now), 4),
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -52,7 +52,7 @@
             if b.down:
                 b.down, b.since = False, shot.sent
                 self._restarted(b, b.credit)
-            b.stood = b.stood or shot.sent
+            b.up_since = b.up_since or shot.sent
         if (
             ending in (AttemptEnd.UNSENT, AttemptEnd.CANCELLED)
             or (shot.overdue and failed)
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -159,11 +159,11 @@
         b.figure = [None] * len(self._targets)
         b.held = [0.0] * len(self._targets)
         b.rest_until, b.refusals = 0.0, 0
-        b.credit, b.stood = min(left, self._first_credit()), 0.0
+        b.credit, b.up_since = min(left, self._first_credit()), 0.0
 
     def _refused(self, now: float, b: Backend) -> None:
         """No process listens there: what comes from it next is a fresh one's, whatever the list says."""
-        b.down, b.doubted, b.stood, b.refused_at = True, False, 0.0, now
+        b.down, b.doubted, b.up_since, b.refused_at = True, False, 0.0, now
         self._doubt(now, [o for o in self._ring if o.heard or o.down], False)
 
     def _doubt(self, now: float, known: list[Backend], by_list: bool) -> None:
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -53,7 +53,7 @@
             total = self.agents * max(p.trials.own for p in self.parts.values() if p.trials is not None)
             most["trials"] = max(most["trials"], sum(uses) / grants.most(total, self.agents) / EXACT)
             most["lent"] += part.trials.out[0]
-        factors = [b.dearer for b, _ in part._agent.balancer.relative_latencies()]
+        factors = [b.cost_factor for b, _ in part._agent.balancer.relative_latencies()]
         if factors:
             moved = sum(1 - 1 / f for f in factors) / len(factors)
             most["dearer"] = max(
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -88,14 +88,14 @@
     assert bench.agent._capacity(bench.now, here) == pytest.approx(
         0.2
     ) and here in bench.agent.recently_started(bench.now)
-    bench.agent.apply_shared(bench.now, SharedEstimates({}, stood={here.name: bench.now - 10_000}))
+    bench.agent.apply_shared(bench.now, SharedEstimates({}, up_since={here.name: bench.now - 10_000}))
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6) and not here.down
     bench.agent.apply_shared(
-        bench.now, SharedEstimates({}, stood={here.name: bench.now - 5_000})
+        bench.now, SharedEstimates({}, up_since={here.name: bench.now - 5_000})
     )  # nobody gets younger by it
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6)
     bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now - 1000) for i in range(4)])
-    bench.agent.apply_shared(bench.now, SharedEstimates({}, stood={here.name: bench.now - 15_000}))
+    bench.agent.apply_shared(bench.now, SharedEstimates({}, up_since={here.name: bench.now - 15_000}))
     assert bench.agent._capacity(bench.now, here) == pytest.approx(
         0.24
     ) and here not in bench.agent.recently_started(bench.now)
@@ -283,7 +283,7 @@
     b = next(b for b, _ in bench.agent.relative_latencies())
     b.held = [bench.now + 1e6]
     bench.agent.apply_shared(bench.now, SharedEstimates({}, frozenset((b.name,))))
-    assert b.held == [bench.now] and all(o.dearer == 1 for o, _ in bench.agent.relative_latencies())
+    assert b.held == [bench.now] and all(o.cost_factor == 1 for o, _ in bench.agent.relative_latencies())
 
 
 def test_a_dearer_backend_gets_fewer_turns_and_never_none():
@@ -294,7 +294,7 @@
     bench.agent.apply_shared(bench.now, SharedEstimates({dear.name: 4.0}))
     # The names of a bench without names are alike: told apart here.
     for n, (b, _) in enumerate(bench.agent.relative_latencies()):
-        b.dearer = 4.0 if n == 0 else 1.0
+        b.cost_factor = 4.0 if n == 0 else 1.0
     got = [bench.serve(("then", n)) for n in range(200)]
     assert 5 <= sum(index == dear.index for index in got) <= 35
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -103,4 +103,4 @@
 def test_what_shares_needs_a_fleet():
     with pytest.raises(BadConfig, match=r"agents\.share_ms: needs agents\.fleet"):
         spec.read(SMALL | {"agents": {"share_ms": 300}})
-    assert SharedEstimates({}).over is None
+    assert SharedEstimates({}).over_share is None
