--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -13,7 +13,7 @@
         "name",
         "zone",
         "cell",
-        "listed",
+        "weight",
         "size",
         "load",
         "state",
@@ -29,7 +29,7 @@
         "credit",
         "back_at",
         "sent",
-        "ill",
+        "failure_rate",
         "since",
         "down",
         "doubted",
@@ -43,7 +43,7 @@
     def __init__(self, index: int, targets: int) -> None:
         self.index = index
         self.name = self.zone = self.cell = 0
-        self.listed = 0.0  # as the directory gives it, and where that moves with load, at its highest
+        self.weight = 0.0  # as the directory gives it, and where that moves with load, at its highest
         self.size = 1.0  # that as a share of the mean
         self.load = 0.0  # API calls of all agents that it holds a core, where the weights fall with them
         self.state = ListedState.REMOVED
@@ -67,7 +67,7 @@
         self.credit = 0.0
         self.back_at = 0.0
         self.sent = 0.0
-        self.ill = 0.0  # smoothed share of shots that were spoilt
+        self.failure_rate = 0.0  # smoothed share of shots that were spoilt
 
 
 class Shot:
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -175,9 +175,9 @@
 
     name: int  # as in `Listing`
     boot_time: float
-    listed: float  # its size in the list, where weights move at their highest
+    weight: float  # its size in the list, where weights move at their highest
     figures: tuple[float | None, ...]  # smoothed latency per SLO; None = unsampled
-    ill: float  # smoothed share of spoilt shots
+    failure_rate: float  # smoothed share of spoilt shots
 
 
 @dataclass(frozen=True)
--- a/lupinreach/ops/carry.py
+++ b/lupinreach/ops/carry.py
@@ -36,7 +36,8 @@
         "live_weights": learnt.live_weights,
         "usual": learnt.usual,
         "backends": [
-            (m.name, m.boot_time, m.listed, m.figures, m.ill) for m in learnt.backends[:MOST_BACKENDS]
+            (m.name, m.boot_time, m.weight, m.figures, m.failure_rate)
+            for m in learnt.backends[:MOST_BACKENDS]
         ],
     }
 
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -61,7 +61,7 @@
             if shot.trial and b.held[target.index]:
                 b.held[target.index] = now + (self._hold if shot.overdue else 0.0)
             return
-        b.ill += TYPICAL * ((ending in SPOILT) - b.ill)
+        b.failure_rate += TYPICAL * ((ending in SPOILT) - b.failure_rate)
         if not failed:
             target.typical += TYPICAL * (latency - target.typical) if target.typical else latency
             target.recent += SOON * (latency - target.recent)
@@ -89,7 +89,7 @@
 
     def broke(self, now: float, call: Call, shot: Shot) -> None:
         """A shot broke whose answer had begun and was booked."""
-        shot.backend.ill += TYPICAL * (1 - shot.backend.ill)
+        shot.backend.failure_rate += TYPICAL * (1 - shot.backend.failure_rate)
         self._sample(now, call, shot, AttemptEnd.RESET, 0.0)
 
     def _sample(self, now: float, call: Call, shot: Shot, ending: AttemptEnd, latency: float) -> None:
@@ -172,8 +172,8 @@
         known = sorted(f for f in left if f is not None)
         usual = known[len(known) // 2] if known else 0.0
         # Guards against breaks and spoilt answers that come from any backend alike, and in runs by chance.
-        ill = sum(o.ill for o in self._ring if o is not b) / max(1, ready - 1)
-        alike = spoilt and b.ill < STANDS_OUT * ill
+        ill = sum(o.failure_rate for o in self._ring if o is not b) / max(1, ready - 1)
+        alike = spoilt and b.failure_rate < STANDS_OUT * ill
         if alike or len(left) < KEEP * ready or not left or (b.figure[i] or 0.0) < STANDS_OUT * usual:
             # Guards against a shared slowdown that empties the pool and floods the few that are left.
             b.figure[i] = min(b.figure[i] or 0.0, MISS * t.slo)
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -28,7 +28,10 @@
             self._slos,
             self._tells,
             tuple((t.typical, t.recent, t.ease, t.base) for t in self._targets),
-            tuple(BackendSnapshot(b.name, b.boot_time, b.listed, tuple(b.figure), b.ill) for b in self._ring),
+            tuple(
+                BackendSnapshot(b.name, b.boot_time, b.weight, tuple(b.figure), b.failure_rate)
+                for b in self._ring
+            ),
         )
 
     def restore(self, learnt: PolicySnapshot) -> bool:
@@ -44,8 +47,8 @@
         met = self._recalled.pop(e.name, None)
         if met is None or met.boot_time != e.boot_time or e.state is not ListedState.READY:
             return
-        b.figure, b.ill = list(met.figures), met.ill
-        b.listed = met.listed if self._tells else 0.0
+        b.figure, b.failure_rate = list(met.figures), met.failure_rate
+        b.weight = met.weight if self._tells else 0.0
         # What was too slow gets a trial, due at once, and no turn before it.
         b.held = [now if (f or 0.0) > t.slo else 0.0 for f, t in zip(b.figure, self._targets, strict=True)]
 
@@ -80,10 +83,10 @@
             b.name, b.zone, b.cell = e.name, e.zone, e.cell
             weight = e.size or 1.0
             if self._tells and not 0 < weight < (self._mean * BEYOND or inf):
-                weight = b.listed or 1.0  # guards against one wrong weight that would be the highest for good
+                weight = b.weight or 1.0  # guards against one wrong weight that would be the highest for good
             # Guards against a load that is taken for a size: homes and credit would wander with it.
-            b.listed = max(b.listed, weight) if self._tells else weight
-            b.load = b.listed / weight - 1
+            b.weight = max(b.weight, weight) if self._tells else weight
+            b.load = b.weight / weight - 1
             b.state, b.boot_time = e.state, max(b.boot_time, e.boot_time)
         if news is not UpdateKind.CHANGES:
             named = {e.backend for e in entries}
@@ -104,10 +107,10 @@
         for b in self._backends.values():
             if b.state is ListedState.READY and b.index not in known:
                 self._ring.insert(int(self._chance() * (len(self._ring) + 1)), b)
-        self._mean = mean = sum(b.listed for b in self._ring) / len(self._ring) if self._ring else 1.0
+        self._mean = mean = sum(b.weight for b in self._ring) / len(self._ring) if self._ring else 1.0
         for b in self._ring:
             # Guards against a list of changes, whose few raw sizes would mix with shares of the mean.
-            b.size = b.listed / mean
+            b.size = b.weight / mean
         if self._tells and self._ring:
             self._weigh(now, news)
         for t in self._targets:
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -52,7 +52,7 @@
     assert taken
     before, after = ({b.name: b for b in x.agent._ring} for x in (old, new))
     for name, b in after.items():
-        assert (b.listed, b.figure) == (before[name].listed, before[name].figure)
+        assert (b.weight, b.figure) == (before[name].weight, before[name].figure)
         assert b.load == pytest.approx(3.0)
         assert (b.flight, b.credit, b.sent, b.trial) == (0, 0.0, 0.0, None)
     assert [t.typical for t in new.agent._targets] == [t.typical for t in old.agent._targets]
