--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -183,7 +183,7 @@
     def relative_latencies(self) -> list[tuple[Backend, float]]:
         """Each ready backend and its figure as a share of the first SLO; of one not met, what is usual."""
         t = self._targets[0]
-        return [(b, (t.recent if b.figure[0] is None else b.figure[0]) / t.slo) for b in self._ring]
+        return [(b, (t.recent if b.latency_ms[0] is None else b.latency_ms[0]) / t.slo) for b in self._ring]
 
     def recently_started(self, now: float) -> list[Backend]:
         """The ready backends that are cold by own word, the directory's being silent on it."""
@@ -356,8 +356,8 @@
             used = awake[: self._least_used]
         if len(used) < len(awake) and now >= self._exchange_at:
             self._exchange_at = now + self._hold * EXCHANGE
-            worst = max(used, key=lambda b: b.figure[t] or 0.0)
-            if (worst.figure[t] or 0.0) > sum(b.figure[t] or 0.0 for b in used) / len(used):
+            worst = max(used, key=lambda b: b.latency_ms[t] or 0.0)
+            if (worst.latency_ms[t] or 0.0) > sum(b.latency_ms[t] or 0.0 for b in used) / len(used):
                 # House custom: one is exchanged now and then, here the slowest for the next in order.
                 self._ring.remove(worst)
                 self._ring.append(worst)
@@ -463,7 +463,7 @@
         Guards against many agents with a shot or two out each: none sees by its own shots in flight that a
         slow backend holds more than others, and even counts would drive it to the edge of its SLO.
         """
-        figure = b.figure[target.index]
+        figure = b.latency_ms[target.index]
         return b.cost_factor * (target.recent if figure is None else max(figure, target.recent / MOST_SHARE))
 
     # Looking at what is out.
@@ -483,14 +483,14 @@
                 if shot.out and not shot.overdue and now >= shot.sent + slo:
                     # Guards against backends that take work and answer nothing: evidence before it ends.
                     shot.overdue = True
-                    b, usual = shot.backend, shot.backend.figure[call.target.index] or 0.0
+                    b, usual = shot.backend, shot.backend.latency_ms[call.target.index] or 0.0
                     # Where the list tells what is held, silence says that a backend hangs or is cut off,
                     # not that too much is out. Guards against an idle fleet refused for want of room.
                     shot.lost = self._tells and not self._by_list and b.silent_since <= shot.sent
                     self._flight -= shot.lost
                     if b.silent_since <= shot.sent and now - shot.sent > SILENT * usual:
                         # Nothing at all came back since, nor ever takes as long: one such shot says enough.
-                        b.figure = [MISS * t.slo for t in self._targets]
+                        b.latency_ms = [MISS * t.slo for t in self._targets]
                     self._sample(now, call, shot, AttemptEnd.TIMED_OUT, now - shot.sent)
             if not call.done and call.out == 1:
                 self._second(now, call)
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -96,16 +96,16 @@
         if b.held[i]:
             if shot.trial:  # type: ignore[attr-defined]
                 b.held[i] = 0.0 if sample <= target.slo else now + PAPER_HOLD
-                b.figure[i] = sample
+                b.latency_ms[i] = sample
             return
-        old = b.figure[i]
-        b.figure[i] = sample if old is None and not failed else self._paper_mix(i, old, sample)
-        if (b.figure[i] or 0.0) > target.slo:
+        old = b.latency_ms[i]
+        b.latency_ms[i] = sample if old is None and not failed else self._paper_mix(i, old, sample)
+        if (b.latency_ms[i] or 0.0) > target.slo:
             b.held[i] = now + PAPER_HOLD
 
     def _paper_mix(self, i: int, old: float | None, sample: float) -> float:
         if old is None:
-            known = [f for o in self._ring if (f := o.figure[i]) is not None]
+            known = [f for o in self._ring if (f := o.latency_ms[i]) is not None]
             old = sum(known) / len(known) if known else sample
         return old + PAPER_WEIGHT * (sample - old)
 
@@ -126,12 +126,12 @@
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
         i = call.target.index
-        return min(among, key=lambda b: (b.figure[i] if b.figure[i] is not None else -inf, b.turn))
+        return min(among, key=lambda b: (b.latency_ms[i] if b.latency_ms[i] is not None else -inf, b.turn))
 
     def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         b, i = shot.backend, call.target.index  # type: ignore[attr-defined]
-        if b.figure[i] is None:  # as told once: what changes later is not seen until it is refreshed
-            b.figure[i] = latency
+        if b.latency_ms[i] is None:  # as told once: what changes later is not seen until it is refreshed
+            b.latency_ms[i] = latency
 
 
 class Truth(Protocol):
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -18,7 +18,7 @@
         "load",
         "state",
         "boot_time",
-        "figure",
+        "latency_ms",
         "held",
         "trial",
         "silent_since",
@@ -56,7 +56,7 @@
         self.up_since = 0.0  # when the process that is there now first answered a shot; 0 = not yet
         self.refused_at = 0.0  # when it last refused a connection
         self.heard = False  # anything has come from it, in this agent's life
-        self.figure: list[float | None] = [None] * targets  # smoothed latency per SLO, None = unsampled
+        self.latency_ms: list[float | None] = [None] * targets  # smoothed latency per SLO, None = unsampled
         self.held: list[float] = [0.0] * targets  # per SLO: 0 = in the pool, else when a trial is due
         self.trial: Shot | None = None
         self.silent_since = 0.0  # with shots out: the last answer, or the first send after it
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -176,7 +176,7 @@
     name: int  # as in `Listing`
     boot_time: float
     weight: float  # its size in the list, where weights move at their highest
-    figures: tuple[float | None, ...]  # smoothed latency per SLO; None = unsampled
+    latencies_ms: tuple[float | None, ...]  # smoothed latency per SLO; None = unsampled
     failure_rate: float  # smoothed share of spoilt shots
 
 
@@ -186,7 +186,9 @@
 
     slos: tuple[float, ...]  # ms, 0 = none given; figures for others mean nothing here
     live_weights: bool  # sizes read in the one way mean nothing in the other
-    usual: tuple[tuple[float, float, float, float], ...]  # per SLO: typical, recent, ease and base, in ms
+    slo_latencies: tuple[
+        tuple[float, float, float, float], ...
+    ]  # per SLO: typical, recent, ease and base, in ms
     backends: tuple[BackendSnapshot, ...]
 
 
--- a/lupinreach/ops/carry.py
+++ b/lupinreach/ops/carry.py
@@ -34,9 +34,9 @@
         "at": at,
         "slos": learnt.slos,
         "live_weights": learnt.live_weights,
-        "usual": learnt.usual,
+        "usual": learnt.slo_latencies,
         "backends": [
-            (m.name, m.boot_time, m.weight, m.figures, m.failure_rate)
+            (m.name, m.boot_time, m.weight, m.latencies_ms, m.failure_rate)
             for m in learnt.backends[:MOST_BACKENDS]
         ],
     }
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -129,7 +129,7 @@
             [
                 Met(self.evidence.me, self.evidence.zone, name, boot, figure, now - b.met_at)
                 for (name, boot), (b, figure) in known.items()
-                if b.figure[0] is not None
+                if b.latency_ms[0] is not None
             ],
         )
         self.evidence.look(now, known)
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -87,8 +87,8 @@
         by_all, earns = self._agents * len(used) / max(1, len(self._ring)), {}
         for b in used:
             # What has answered nothing as it is now may be the slowest there is.
-            part, met = self._capacity(now, b), b.figure[0] is not None and not b.down
-            took = self._usual(b, t) / (part if b.figure[0] is None else 1.0)
+            part, met = self._capacity(now, b), b.latency_ms[0] is not None and not b.down
+            took = self._usual(b, t) / (part if b.latency_ms[0] is None else 1.0)
             share = min(pace[b] / paces, MOST_EARNS * b.size / sizes) * (self._when_few if met else 1.0)
             earns[b] = min(asked * share * part, self._lanes * b.size / (took * by_all))
         return earns
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -111,22 +111,22 @@
             scale = t.typical / own.typical if own.typical and t.typical else t.slo / own.slo
             sample = MISS * t.slo if failed else min(MISS * t.slo, latency * scale)
             i = t.index
-            old = b.figure[i]
+            old = b.latency_ms[i]
             if b.held[i]:
                 if not shot.trial:
                     continue
                 if sample <= t.slo:
                     b.held[i] = 0.0
-                    b.figure[i] = sample
+                    b.latency_ms[i] = sample
                     b.back_at = now
                     b.turn = self._clock  # what it stood at was counted by what it took before
                     self._port.log(f"backend {b.index} restored for SLO {t.slo:.0f} ms")
                 else:
                     b.held[i] = now + self._hold
                 continue
-            figure = b.figure[i] = sample if old is None and not failed else self._mix(old, t, sample)
+            figure = b.latency_ms[i] = sample if old is None and not failed else self._mix(old, t, sample)
             if not t.given:
-                figures = sorted(f for o in self._ring if (f := o.figure[i]) is not None) or [figure]
+                figures = sorted(f for o in self._ring if (f := o.latency_ms[i]) is not None) or [figure]
                 t.slo = DEFAULT_SLO * figures[len(figures) // 2]
             if figure > t.slo:
                 self._eject(now, b, t, ending in SPOILT)
@@ -160,7 +160,7 @@
 
     def _mix(self, old: float | None, t: Target, sample: float) -> float:
         if old is None:
-            others = [f for o in self._ring if (f := o.figure[t.index]) is not None]
+            others = [f for o in self._ring if (f := o.latency_ms[t.index]) is not None]
             old = sum(others) / len(others) if others else 0.0
         return old + NEWEST * (sample - old)
 
@@ -168,15 +168,15 @@
         """Take a backend out of a pool, unless too few would be left: then the cause is not the backend."""
         i = t.index
         ready = len(self._ring)
-        left = [o.figure[i] for o in self._ring if not o.held[i] and o is not b]
+        left = [o.latency_ms[i] for o in self._ring if not o.held[i] and o is not b]
         known = sorted(f for f in left if f is not None)
         usual = known[len(known) // 2] if known else 0.0
         # Guards against breaks and spoilt answers that come from any backend alike, and in runs by chance.
         ill = sum(o.failure_rate for o in self._ring if o is not b) / max(1, ready - 1)
         alike = spoilt and b.failure_rate < STANDS_OUT * ill
-        if alike or len(left) < KEEP * ready or not left or (b.figure[i] or 0.0) < STANDS_OUT * usual:
+        if alike or len(left) < KEEP * ready or not left or (b.latency_ms[i] or 0.0) < STANDS_OUT * usual:
             # Guards against a shared slowdown that empties the pool and floods the few that are left.
-            b.figure[i] = min(b.figure[i] or 0.0, MISS * t.slo)
+            b.latency_ms[i] = min(b.latency_ms[i] or 0.0, MISS * t.slo)
             return
         b.held[i] = now + self._hold
-        self._port.log(f"backend {b.index} ejected for SLO {t.slo:.0f} ms at {b.figure[i]:.0f} ms")
+        self._port.log(f"backend {b.index} ejected for SLO {t.slo:.0f} ms at {b.latency_ms[i]:.0f} ms")
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -29,7 +29,7 @@
             self._tells,
             tuple((t.typical, t.recent, t.ease, t.base) for t in self._targets),
             tuple(
-                BackendSnapshot(b.name, b.boot_time, b.weight, tuple(b.figure), b.failure_rate)
+                BackendSnapshot(b.name, b.boot_time, b.weight, tuple(b.latency_ms), b.failure_rate)
                 for b in self._ring
             ),
         )
@@ -38,7 +38,7 @@
         """Begin with that, before the first list; false, with nothing taken, if it means something else."""
         if learnt.slos != self._slos or learnt.live_weights is not self._tells:
             return False
-        for t, (typical, recent, ease, base) in zip(self._targets, learnt.usual, strict=True):
+        for t, (typical, recent, ease, base) in zip(self._targets, learnt.slo_latencies, strict=True):
             t.typical, t.recent, t.ease, t.base = typical, recent or t.recent, ease or t.ease, base or t.base
         self._recalled = {met.name: met for met in learnt.backends}
         return True
@@ -47,10 +47,12 @@
         met = self._recalled.pop(e.name, None)
         if met is None or met.boot_time != e.boot_time or e.state is not ListedState.READY:
             return
-        b.figure, b.failure_rate = list(met.figures), met.failure_rate
+        b.latency_ms, b.failure_rate = list(met.latencies_ms), met.failure_rate
         b.weight = met.weight if self._tells else 0.0
         # What was too slow gets a trial, due at once, and no turn before it.
-        b.held = [now if (f or 0.0) > t.slo else 0.0 for f, t in zip(b.figure, self._targets, strict=True)]
+        b.held = [
+            now if (f or 0.0) > t.slo else 0.0 for f, t in zip(b.latency_ms, self._targets, strict=True)
+        ]
 
     def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         """The directory has spoken."""
@@ -114,7 +116,9 @@
         if self._tells and self._ring:
             self._weigh(now, news)
         for t in self._targets:
-            held = sorted((b for b in self._ring if b.held[t.index]), key=lambda b: b.figure[t.index] or 0.0)
+            held = sorted(
+                (b for b in self._ring if b.held[t.index]), key=lambda b: b.latency_ms[t.index] or 0.0
+            )
             for b in held[: max(0, len(held) - int((1 - KEEP) * len(self._ring)))]:
                 # Guards against a list that shrinks to the ejected: they'd get shots but no way back.
                 b.held[t.index] = 0.0
@@ -159,7 +163,7 @@
 
         Guards against shots that found out that it stands, and that the first answer would make unspent.
         """
-        b.figure = [None] * len(self._targets)
+        b.latency_ms = [None] * len(self._targets)
         b.held = [0.0] * len(self._targets)
         b.rest_until, b.refusals = 0.0, 0
         b.credit, b.up_since = min(left, self._first_credit()), 0.0
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -52,7 +52,7 @@
     assert taken
     before, after = ({b.name: b for b in x.agent._ring} for x in (old, new))
     for name, b in after.items():
-        assert (b.weight, b.figure) == (before[name].weight, before[name].figure)
+        assert (b.weight, b.latency_ms) == (before[name].weight, before[name].latency_ms)
         assert b.load == pytest.approx(3.0)
         assert (b.flight, b.credit, b.sent, b.trial) == (0, 0.0, 0.0, None)
     assert [t.typical for t in new.agent._targets] == [t.typical for t in old.agent._targets]
@@ -71,8 +71,8 @@
     ]
     new, _ = fresh(entries, learnt=learnt)
     known = {b.name: b for b in new.agent._backends.values()}
-    assert [known[n].figure for n in (70, 99)] == [[None]] * 2
-    assert known[72].figure[0] is not None
+    assert [known[n].latency_ms for n in (70, 99)] == [[None]] * 2
+    assert known[72].latency_ms[0] is not None
     used = {new.serve(n, 30.0) for n in range(30)}
     assert 1 not in used and len(used) > 1
 
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("other", [settings(live_weights=False), settings(live_weights=True, slo=500.0)])
 def test_figures_for_other_slos_or_other_weights_are_not_taken(other):
     new, taken = fresh([Listing(0, READY, name=70)], other, warmed().agent.snapshot())
-    assert not taken and new.agent._ring[0].figure == [None]
+    assert not taken and new.agent._ring[0].latency_ms == [None]
 
 
 def again(learnt, at):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -229,12 +229,12 @@
             await reader.readuntil(b"\r\n\r\n")
             (b,) = balancer._backends.values()
             assert (
-                b.flight == 0 and b.figure[0] is not None and b.figure[0] < 200
+                b.flight == 0 and b.latency_ms[0] is not None and b.latency_ms[0] < 200
             )  # booked, and still under way
             assert site.agent.counters.open == 1
             assert len(await reader.readexactly(400_000)) == 400_000
             await site.settled()
-            assert b.figure[0] < 200 and not b.held[0] and not balancer._live
+            assert b.latency_ms[0] < 200 and not b.held[0] and not balancer._live
             assert site.agent.counters.shots == {"served": 1}
             writer.close()
 
@@ -525,7 +525,7 @@
             time.sleep(0.3)  # the answer is there, and the event loop is not
             assert status(await answer) == 200
             (b,) = site.agent.balancer._backends.values()
-            assert b.figure[0] < 200
+            assert b.latency_ms[0] < 200
 
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -92,11 +92,11 @@
     answered = b.since
     assert not b.down and bench.now - 100 < answered < bench.now
     assert bench.agent._capacity(answered + COLD / 2, b) == pytest.approx(0.6)
-    b.figure[0] = 77.0
+    b.latency_ms[0] = 77.0
     bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered - 3000.0)])
-    assert b.since == answered - 3000.0 and b.figure[0] == 77.0  # met since then already
+    assert b.since == answered - 3000.0 and b.latency_ms[0] == 77.0  # met since then already
     bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered + 9000.0)])
-    assert b.figure[0] is None
+    assert b.latency_ms[0] is None
 
 
 @pytest.mark.parametrize("ending", [AttemptEnd.UNREACHABLE, AttemptEnd.TIMED_OUT, AttemptEnd.RESET])
@@ -271,7 +271,7 @@
     agent = bench.agent
     agent._lanes = 1e3
     for b, figure in zip(agent._ring, (50.0, 100.0, 100.0, 400.0), strict=True):
-        b.figure[0] = figure
+        b.latency_ms[0] = figure
     earns = list(agent._shares(bench.now, 0.0).values())
     asked = agent._asked / agent._asked_for
     even = (
