--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -205,7 +205,7 @@
                     self._restarted(b, b.credit)
                 b.since, b.down, b.doubted = stood, False, False
             if b.name in told.trial_due and b.trial is None:
-                b.held = [min(h, now) for h in b.held]
+                b.ejected_until = [min(h, now) for h in b.ejected_until]
 
     def avoided_count(self, now: float) -> int:
         """How many listed backends get no turn now: draining, at rest, silent, or ejected for every SLO."""
@@ -213,7 +213,7 @@
         return sum(
             b.state is ListedState.DRAINING
             or now < b.rest_until
-            or all(b.held)
+            or all(b.ejected_until)
             or (b.flight > 0 and now - b.silent_since > FULL_AT * least)
             for b in self._backends.values()
             if b.state is not ListedState.REMOVED
@@ -332,10 +332,15 @@
         usable = [b for b in self._ring if call.may_use(b)] if tried else self._ring
         if tried and any(b not in tried for b in usable):
             usable = [b for b in usable if b not in tried]
-        pool = [b for b in usable if not b.held[t]]
+        pool = [b for b in usable if not b.ejected_until[t]]
         if self._trials >= 1 and call.offer.kind is not Idempotency.NON_IDEMPOTENT and not call.shots:
             for b in usable:
-                if b.held[t] and now >= b.held[t] and b.trial is None and self._has_credit(now, b, call):
+                if (
+                    b.ejected_until[t]
+                    and now >= b.ejected_until[t]
+                    and b.trial is None
+                    and self._has_credit(now, b, call)
+                ):
                     return b
         self._earn(now)
         pool = pool or usable
@@ -373,7 +378,7 @@
         call = Call(self, now, IncomingCall(None, product, inf), 1.0, 1.0)
         t = call.target.index
         self._earn(now)
-        b = self._turn(now, call, [b for b in self._ring if not b.held[t]] or self._ring)
+        b = self._turn(now, call, [b for b in self._ring if not b.ejected_until[t]] or self._ring)
         if b is None:
             return None
         b.turn = max(b.turn, self._clock) + self._usual(b, call.target) / b.size
@@ -419,7 +424,7 @@
     def _send(self, now: float, call: Call, b: Backend) -> None:
         t = call.target.index
         shot = Shot(len(call.shots), b, now)
-        if b.held[t] and now >= b.held[t] and b.trial is None:
+        if b.ejected_until[t] and now >= b.ejected_until[t] and b.trial is None:
             b.trial = shot
             shot.trial = True
             self._trials -= 1
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -83,25 +83,25 @@
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
         i = call.target.index
-        due = [b for b in among if b.held[i] and now >= b.held[i] and b.trial is None]
+        due = [b for b in among if b.ejected_until[i] and now >= b.ejected_until[i] and b.trial is None]
         if due:
             return due[0]
-        pool = [b for b in among if not b.held[i]]
+        pool = [b for b in among if not b.ejected_until[i]]
         return min(pool or among, key=lambda b: b.turn)
 
     def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         b, target = shot.backend, call.target  # type: ignore[attr-defined]
         i, failed = target.index, ending is not AttemptEnd.FULFILLED
         sample = 2 * target.slo if failed else latency
-        if b.held[i]:
+        if b.ejected_until[i]:
             if shot.trial:  # type: ignore[attr-defined]
-                b.held[i] = 0.0 if sample <= target.slo else now + PAPER_HOLD
+                b.ejected_until[i] = 0.0 if sample <= target.slo else now + PAPER_HOLD
                 b.latency_ms[i] = sample
             return
         old = b.latency_ms[i]
         b.latency_ms[i] = sample if old is None and not failed else self._paper_mix(i, old, sample)
         if (b.latency_ms[i] or 0.0) > target.slo:
-            b.held[i] = now + PAPER_HOLD
+            b.ejected_until[i] = now + PAPER_HOLD
 
     def _paper_mix(self, i: int, old: float | None, sample: float) -> float:
         if old is None:
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -242,7 +242,7 @@
         found = dict.fromkeys(self.backend_at.values(), 0)  # one that is in no pool counts too
         for life in self._lives.values():
             for b in life.agent.balancer._ring:
-                if not any(b.held):
+                if not any(b.ejected_until):
                     backend = self.backend_at.get(life.agent.directory.place(b.index).address)
                     if backend is not None:
                         found[backend] += 1
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -19,7 +19,7 @@
         "state",
         "boot_time",
         "latency_ms",
-        "held",
+        "ejected_until",
         "trial",
         "silent_since",
         "flight",
@@ -57,7 +57,9 @@
         self.refused_at = 0.0  # when it last refused a connection
         self.heard = False  # anything has come from it, in this agent's life
         self.latency_ms: list[float | None] = [None] * targets  # smoothed latency per SLO, None = unsampled
-        self.held: list[float] = [0.0] * targets  # per SLO: 0 = in the pool, else when a trial is due
+        self.ejected_until: list[float] = [
+            0.0
+        ] * targets  # per SLO: 0 = in the pool, else when a trial is due
         self.trial: Shot | None = None
         self.silent_since = 0.0  # with shots out: the last answer, or the first send after it
         self.flight = 0
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -108,7 +108,7 @@
 
     def _wants(self) -> float:
         """Trials a s that this agent could make use of: one for each backend that it holds back, each hold."""
-        held = sum(any(b.held) for b, _ in self._agent.balancer.relative_latencies())
+        held = sum(any(b.ejected_until) for b, _ in self._agent.balancer.relative_latencies())
         return 1000 * held / self._hold
 
     def look(self) -> None:
@@ -143,7 +143,7 @@
         due = frozenset(
             name
             for (name, boot), (figure, _) in self.evidence.said(now, own).items()
-            if figure < WELL and any(known[name, boot][0].held)
+            if figure < WELL and any(known[name, boot][0].ejected_until)
         )
         balancer.apply_shared(
             now,
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -58,8 +58,8 @@
             or (shot.overdue and failed)
             or shot.called_off
         ):
-            if shot.trial and b.held[target.index]:
-                b.held[target.index] = now + (self._hold if shot.overdue else 0.0)
+            if shot.trial and b.ejected_until[target.index]:
+                b.ejected_until[target.index] = now + (self._hold if shot.overdue else 0.0)
             return
         b.failure_rate += TYPICAL * ((ending in SPOILT) - b.failure_rate)
         if not failed:
@@ -104,7 +104,7 @@
         cold = self._is_cold(now, b)
         aged = self._capacity(now, b) if cold else 1.0
         tells = (not cold or self._bare) and ending not in CUT_OFF and ending not in SPOILT
-        if tells and not shot.lost and not b.held[own.index]:
+        if tells and not shot.lost and not b.ejected_until[own.index]:
             self._learn_bound(now, failed or own.slow(latency * aged))
         latency /= max(1.0, call.work)  # guards against a long API call that ejects a sound backend
         for t in self._targets:
@@ -112,17 +112,17 @@
             sample = MISS * t.slo if failed else min(MISS * t.slo, latency * scale)
             i = t.index
             old = b.latency_ms[i]
-            if b.held[i]:
+            if b.ejected_until[i]:
                 if not shot.trial:
                     continue
                 if sample <= t.slo:
-                    b.held[i] = 0.0
+                    b.ejected_until[i] = 0.0
                     b.latency_ms[i] = sample
                     b.back_at = now
                     b.turn = self._clock  # what it stood at was counted by what it took before
                     self._port.log(f"backend {b.index} restored for SLO {t.slo:.0f} ms")
                 else:
-                    b.held[i] = now + self._hold
+                    b.ejected_until[i] = now + self._hold
                 continue
             figure = b.latency_ms[i] = sample if old is None and not failed else self._mix(old, t, sample)
             if not t.given:
@@ -168,7 +168,7 @@
         """Take a backend out of a pool, unless too few would be left: then the cause is not the backend."""
         i = t.index
         ready = len(self._ring)
-        left = [o.latency_ms[i] for o in self._ring if not o.held[i] and o is not b]
+        left = [o.latency_ms[i] for o in self._ring if not o.ejected_until[i] and o is not b]
         known = sorted(f for f in left if f is not None)
         usual = known[len(known) // 2] if known else 0.0
         # Guards against breaks and spoilt answers that come from any backend alike, and in runs by chance.
@@ -178,5 +178,5 @@
             # Guards against a shared slowdown that empties the pool and floods the few that are left.
             b.latency_ms[i] = min(b.latency_ms[i] or 0.0, MISS * t.slo)
             return
-        b.held[i] = now + self._hold
+        b.ejected_until[i] = now + self._hold
         self._port.log(f"backend {b.index} ejected for SLO {t.slo:.0f} ms at {b.latency_ms[i]:.0f} ms")
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -50,7 +50,7 @@
         b.latency_ms, b.failure_rate = list(met.latencies_ms), met.failure_rate
         b.weight = met.weight if self._tells else 0.0
         # What was too slow gets a trial, due at once, and no turn before it.
-        b.held = [
+        b.ejected_until = [
             now if (f or 0.0) > t.slo else 0.0 for f, t in zip(b.latency_ms, self._targets, strict=True)
         ]
 
@@ -117,11 +117,12 @@
             self._weigh(now, news)
         for t in self._targets:
             held = sorted(
-                (b for b in self._ring if b.held[t.index]), key=lambda b: b.latency_ms[t.index] or 0.0
+                (b for b in self._ring if b.ejected_until[t.index]),
+                key=lambda b: b.latency_ms[t.index] or 0.0,
             )
             for b in held[: max(0, len(held) - int((1 - KEEP) * len(self._ring)))]:
                 # Guards against a list that shrinks to the ejected: they'd get shots but no way back.
-                b.held[t.index] = 0.0
+                b.ejected_until[t.index] = 0.0
         # Guards against agents that stay narrow on a fleet that grows: two shots for each ready backend,
         # shared among the agents, are not what chokes it.
         # Guards against a backend whose load is up to one or two agents.
@@ -164,7 +165,7 @@
         Guards against shots that found out that it stands, and that the first answer would make unspent.
         """
         b.latency_ms = [None] * len(self._targets)
-        b.held = [0.0] * len(self._targets)
+        b.ejected_until = [0.0] * len(self._targets)
         b.rest_until, b.refusals = 0.0, 0
         b.credit, b.up_since = min(left, self._first_credit()), 0.0
 
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -83,9 +83,9 @@
     new, taken = fresh([Listing(i, READY, size=4.0, name=70 + i) for i in range(4)], learnt=learnt)
     assert taken
     b = next(b for b in new.agent._ring if b.name == 72)
-    assert b.held[0] and not b.trial
+    assert b.ejected_until[0] and not b.trial
     first = new.serve("first", 30.0)
-    assert first == 2 and not b.held[0]
+    assert first == 2 and not b.ejected_until[0]
 
 
 def test_a_cold_backend_gets_no_more_in_the_first_second_than_from_an_agent_that_carries_nothing():
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -112,7 +112,7 @@
         bench.move(60 if n < 8 else 1.2 * SLO)
         if call.out:
             call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 60.0 if n < 8 else 1.2 * SLO, True)
-    held_now = [b for b in bench.agent._ring if b.held[0]]
+    held_now = [b for b in bench.agent._ring if b.ejected_until[0]]
     assert len(held_now) <= 2
 
 
@@ -171,7 +171,7 @@
         misses(bench, backend)
     assert held(bench, 2) and held(bench, 3)
     bench.list(UpdateKind.FULL, [Listing(i, READY) for i in (2, 3)])
-    assert sum(1 for b in bench.agent._ring if not b.held[0]) == 1
+    assert sum(1 for b in bench.agent._ring if not b.ejected_until[0]) == 1
 
 
 def test_failures_to_connect_do_not_narrow_the_bound():
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -234,7 +234,7 @@
             assert site.agent.counters.open == 1
             assert len(await reader.readexactly(400_000)) == 400_000
             await site.settled()
-            assert b.latency_ms[0] < 200 and not b.held[0] and not balancer._live
+            assert b.latency_ms[0] < 200 and not b.ejected_until[0] and not balancer._live
             assert site.agent.counters.shots == {"served": 1}
             writer.close()
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -276,14 +276,16 @@
     bench = Bench(settings(), backends=4)
     for n in range(12):
         bench.serve(("warm", n))
-    before = [list(b.held) for b, _ in bench.agent.relative_latencies()]
+    before = [list(b.ejected_until) for b, _ in bench.agent.relative_latencies()]
     name = next(b.name for b, _ in bench.agent.relative_latencies())
     bench.agent.apply_shared(bench.now, SharedEstimates({name: 4.0}))
-    assert [list(b.held) for b, _ in bench.agent.relative_latencies()] == before == [[0.0]] * 4
+    assert [list(b.ejected_until) for b, _ in bench.agent.relative_latencies()] == before == [[0.0]] * 4
     b = next(b for b, _ in bench.agent.relative_latencies())
-    b.held = [bench.now + 1e6]
+    b.ejected_until = [bench.now + 1e6]
     bench.agent.apply_shared(bench.now, SharedEstimates({}, frozenset((b.name,))))
-    assert b.held == [bench.now] and all(o.cost_factor == 1 for o, _ in bench.agent.relative_latencies())
+    assert b.ejected_until == [bench.now] and all(
+        o.cost_factor == 1 for o, _ in bench.agent.relative_latencies()
+    )
 
 
 def test_a_dearer_backend_gets_fewer_turns_and_never_none():
