--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -187,7 +187,7 @@
 
     def recently_started(self, now: float) -> list[Backend]:
         """The ready backends that are cold by own word, the directory's being silent on it."""
-        return [b for b in self._ring if self._is_cold(now, b) and (b.down or b.since > b.boot_time)]
+        return [b for b in self._ring if self._is_cold(now, b) and (b.down or b.started_at > b.boot_time)]
 
     def used_backends(self) -> set[int] | None:
         """The backends that this agent uses, as far as it uses only some; None: any may be next."""
@@ -199,11 +199,11 @@
         for b in self._ring:
             b.cost_factor = told.cost_factors.get(b.name, 1.0)
             stood = told.up_since.get(b.name, inf)
-            if stood < (inf if b.down else b.since if b.since > b.boot_time else 0.0):
+            if stood < (inf if b.down else b.started_at if b.started_at > b.boot_time else 0.0):
                 # Guards against a backend that this agent met late, or not yet, and would take for just started.
                 if b.down:
                     self._restarted(b, b.credit)
-                b.since, b.down, b.doubted = stood, False, False
+                b.started_at, b.down, b.doubted = stood, False, False
             if b.name in told.trial_due and b.trial is None:
                 b.ejected_until = [min(h, now) for h in b.ejected_until]
 
@@ -214,7 +214,7 @@
             b.state is ListedState.DRAINING
             or now < b.rest_until
             or all(b.ejected_until)
-            or (b.flight > 0 and now - b.silent_since > FULL_AT * least)
+            or (b.inflight > 0 and now - b.silent_since > FULL_AT * least)
             for b in self._backends.values()
             if b.state is not ListedState.REMOVED
         )
@@ -381,7 +381,7 @@
         b = self._turn(now, call, [b for b in self._ring if not b.ejected_until[t]] or self._ring)
         if b is None:
             return None
-        b.turn = max(b.turn, self._clock) + self._usual(b, call.target) / b.size
+        b.finish_tag = max(b.finish_tag, self._clock) + self._usual(b, call.target) / b.size
         return b.index
 
     def _full(self, now: float, call: Call) -> bool:
@@ -410,11 +410,11 @@
         best = None
         crowd = CROWDED * self._flight / max(1, len(self._ring))
         for b in among:
-            silent = b.flight and now - b.silent_since > FULL_AT * call.target.slo
+            silent = b.inflight and now - b.silent_since > FULL_AT * call.target.slo
             if silent or now < b.rest_until or not self._has_credit(now, b, call):
                 continue
-            if b.flight > crowd * b.size:
-                rank = (1, b.flight / b.size)
+            if b.inflight > crowd * b.size:
+                rank = (1, b.inflight / b.size)
             else:
                 rank = (0, self._due(now, b, call))
             if best is None or rank < best[0]:
@@ -430,18 +430,18 @@
             self._trials -= 1
         call.shots.append(shot)
         call.out += 1
-        if not b.flight:
+        if not b.inflight:
             b.silent_since = now
-        b.flight += 1
+        b.inflight += 1
         self._flight += 1
         self._sent_at = now
         self._peak = max(self._peak, self._flight)
         if self._tells:
-            self._clock = b.turn = self._due(now, b, call)
+            self._clock = b.finish_tag = self._due(now, b, call)
         else:
             use = self._use(now, b, call)
-            self._clock = max(self._clock, min(b.turn, self._clock + use))
-            b.turn = max(b.turn, self._clock) + use
+            self._clock = max(self._clock, min(b.finish_tag, self._clock + use))
+            b.finish_tag = max(b.finish_tag, self._clock) + use
         if self._is_cold(now, b):
             self.counts["cold shots"] += 1
             b.credit -= call.work
@@ -460,7 +460,7 @@
 
     def _due(self, now: float, b: Backend, call: Call) -> float:
         """When its turn is due. Where the load is told, that follows what a turn costs by now."""
-        return max(self._clock, b.turn + self._use(now, b, call)) if self._tells else b.turn
+        return max(self._clock, b.finish_tag + self._use(now, b, call)) if self._tells else b.finish_tag
 
     def _usual(self, b: Backend, target: Target) -> float:
         """How long a shot takes there, in ms: what its turn costs, so that time in use rotates evenly.
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -52,7 +52,7 @@
     """The next in turn."""
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
-        return min(among, key=lambda b: b.turn)
+        return min(among, key=lambda b: b.finish_tag)
 
     def _ramp(self, now: float, b: Backend) -> float:
         return 1.0
@@ -62,7 +62,7 @@
     """The one with the fewest shots of this agent in flight, the next in turn of several."""
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
-        return min(among, key=lambda b: (b.flight, b.turn))
+        return min(among, key=lambda b: (b.inflight, b.finish_tag))
 
 
 class TwoChoices(Baseline):
@@ -71,7 +71,7 @@
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
         first = among[int(self._chance() * len(among))]
         second = among[int(self._chance() * len(among))]
-        return min(first, second, key=lambda b: b.flight)
+        return min(first, second, key=lambda b: b.inflight)
 
 
 class Paper(Baseline):
@@ -87,7 +87,7 @@
         if due:
             return due[0]
         pool = [b for b in among if not b.ejected_until[i]]
-        return min(pool or among, key=lambda b: b.turn)
+        return min(pool or among, key=lambda b: b.finish_tag)
 
     def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         b, target = shot.backend, call.target  # type: ignore[attr-defined]
@@ -126,7 +126,9 @@
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
         i = call.target.index
-        return min(among, key=lambda b: (b.latency_ms[i] if b.latency_ms[i] is not None else -inf, b.turn))
+        return min(
+            among, key=lambda b: (b.latency_ms[i] if b.latency_ms[i] is not None else -inf, b.finish_tag)
+        )
 
     def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         b, i = shot.backend, call.target.index  # type: ignore[attr-defined]
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -22,15 +22,15 @@
         "ejected_until",
         "trial",
         "silent_since",
-        "flight",
+        "inflight",
         "rest_until",
         "refusals",
-        "turn",
+        "finish_tag",
         "credit",
         "back_at",
         "sent",
         "failure_rate",
-        "since",
+        "started_at",
         "down",
         "doubted",
         "heard",
@@ -48,7 +48,7 @@
         self.load = 0.0  # API calls of all agents that it holds a core, where the weights fall with them
         self.state = ListedState.REMOVED
         self.boot_time = 0.0  # as the directory says
-        self.since = 0.0  # when it started, as far as that is known by now; 0 = long ago
+        self.started_at = 0.0  # when it started, as far as that is known by now; 0 = long ago
         self.down = False  # it refused, or must be taken to have: nothing has come from it since
         self.doubted = False  # for what was seen of others, not of it
         self.met_at = 0.0  # when its last sample came
@@ -62,10 +62,10 @@
         ] * targets  # per SLO: 0 = in the pool, else when a trial is due
         self.trial: Shot | None = None
         self.silent_since = 0.0  # with shots out: the last answer, or the first send after it
-        self.flight = 0
+        self.inflight = 0
         self.rest_until = 0.0  # after a quick failure no turn until then
         self.refusals = 0  # quick failures since the last answer
-        self.turn = 0.0
+        self.finish_tag = 0.0
         self.credit = 0.0
         self.back_at = 0.0
         self.sent = 0.0
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -20,11 +20,11 @@
     # Cold backends.
 
     def _is_cold(self, now: float, b: Backend) -> bool:
-        return b.down or b.since > 0 and now < b.since + self._cold
+        return b.down or b.started_at > 0 and now < b.started_at + self._cold
 
     def _capacity(self, now: float, b: Backend) -> float:
         """The part of its capacity that a backend surely has by now."""
-        age = 0.0 if b.down else max(0.0, now - b.since)
+        age = 0.0 if b.down else max(0.0, now - b.started_at)
         return min(1.0, self._start + (1 - self._start) * age / self._cold)
 
     def _ramp(self, now: float, b: Backend) -> float:
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -38,7 +38,7 @@
     ) -> None:
         """Book the end of a shot."""
         b = shot.backend
-        b.flight -= 1
+        b.inflight -= 1
         self._flight -= not shot.lost
         target = call.target
         failed = ending is not AttemptEnd.FULFILLED
@@ -50,7 +50,7 @@
         elif ending not in NO_SIGN:
             b.heard = True
             if b.down:
-                b.down, b.since = False, shot.sent
+                b.down, b.started_at = False, shot.sent
                 self._restarted(b, b.credit)
             b.up_since = b.up_since or shot.sent
         if (
@@ -119,7 +119,7 @@
                     b.ejected_until[i] = 0.0
                     b.latency_ms[i] = sample
                     b.back_at = now
-                    b.turn = self._clock  # what it stood at was counted by what it took before
+                    b.finish_tag = self._clock  # what it stood at was counted by what it took before
                     self._port.log(f"backend {b.index} restored for SLO {t.slo:.0f} ms")
                 else:
                     b.ejected_until[i] = now + self._hold
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -73,15 +73,15 @@
             if b is None:
                 b = self._backends[e.backend] = Backend(e.backend, len(self._targets))
                 self._remember(now, b, e)
-                b.turn = self._clock
+                b.finish_tag = self._clock
                 if self._tells:
-                    b.turn -= self._chance() * min(t.slo for t in self._targets) * FULL_AT
+                    b.finish_tag -= self._chance() * min(t.slo for t in self._targets) * FULL_AT
                 b.credit = self._first_credit() if e.boot_time else 0.0
-                b.since = e.boot_time
+                b.started_at = e.boot_time
             elif e.boot_time > b.boot_time:
-                if e.boot_time > b.since:
+                if e.boot_time > b.started_at:
                     self._restarted(b)
-                b.since, b.down = e.boot_time, False
+                b.started_at, b.down = e.boot_time, False
             b.name, b.zone, b.cell = e.name, e.zone, e.cell
             weight = e.size or 1.0
             if self._tells and not 0 < weight < (self._mean * BEYOND or inf):
@@ -95,7 +95,7 @@
             for b in self._backends.values():
                 if b.index not in named:
                     b.state = ListedState.REMOVED
-        for b in [b for b in self._backends.values() if b.state is ListedState.REMOVED and not b.flight]:
+        for b in [b for b in self._backends.values() if b.state is ListedState.REMOVED and not b.inflight]:
             del self._backends[b.index]
         if news is not UpdateKind.CACHED:
             self._recalled.clear()
@@ -103,7 +103,7 @@
                 self._dark = False
                 for b in self._backends.values():
                     if b.doubted:  # what it does not name has not changed
-                        b.down, b.doubted, b.since = False, False, b.boot_time
+                        b.down, b.doubted, b.started_at = False, False, b.boot_time
         known = {b.index for b in self._ring if b.state is ListedState.READY}
         self._ring = [b for b in self._ring if b.state is ListedState.READY]
         for b in self._backends.values():
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -229,7 +229,7 @@
             await reader.readuntil(b"\r\n\r\n")
             (b,) = balancer._backends.values()
             assert (
-                b.flight == 0 and b.latency_ms[0] is not None and b.latency_ms[0] < 200
+                b.inflight == 0 and b.latency_ms[0] is not None and b.latency_ms[0] < 200
             )  # booked, and still under way
             assert site.agent.counters.open == 1
             assert len(await reader.readexactly(400_000)) == 400_000
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -89,12 +89,12 @@
         bench.move(30.0)
         for _ in bench.sent_to(number):
             bench.answer(number, 30.0)
-    answered = b.since
+    answered = b.started_at
     assert not b.down and bench.now - 100 < answered < bench.now
     assert bench.agent._capacity(answered + COLD / 2, b) == pytest.approx(0.6)
     b.latency_ms[0] = 77.0
     bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered - 3000.0)])
-    assert b.since == answered - 3000.0 and b.latency_ms[0] == 77.0  # met since then already
+    assert b.started_at == answered - 3000.0 and b.latency_ms[0] == 77.0  # met since then already
     bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered + 9000.0)])
     assert b.latency_ms[0] is None
 
