--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -203,7 +203,7 @@
                 # Guards against a backend that this agent met late, or not yet, and would take for just started.
                 if b.down:
                     self._restarted(b, b.credit)
-                b.started_at, b.down, b.doubted = stood, False, False
+                b.started_at, b.down, b.presumed_down = stood, False, False
             if b.name in told.trial_due and b.trial is None:
                 b.ejected_until = [min(h, now) for h in b.ejected_until]
 
@@ -212,7 +212,7 @@
         least = min(t.slo for t in self._targets)
         return sum(
             b.state is ListedState.DRAINING
-            or now < b.rest_until
+            or now < b.backoff_until
             or all(b.ejected_until)
             or (b.inflight > 0 and now - b.silent_since > FULL_AT * least)
             for b in self._backends.values()
@@ -350,7 +350,7 @@
             b = self._turn(now, call, homes[:1] if homes and homes[0].load <= calm else homes)
             if b is not None:
                 return b
-        awake = [b for b in pool if now >= b.rest_until]
+        awake = [b for b in pool if now >= b.backoff_until]
         most = self._most()
         used = awake[:most]
         if self._tells and most < len(self._ring):
@@ -411,7 +411,7 @@
         crowd = CROWDED * self._flight / max(1, len(self._ring))
         for b in among:
             silent = b.inflight and now - b.silent_since > FULL_AT * call.target.slo
-            if silent or now < b.rest_until or not self._has_credit(now, b, call):
+            if silent or now < b.backoff_until or not self._has_credit(now, b, call):
                 continue
             if b.inflight > crowd * b.size:
                 rank = (1, b.inflight / b.size)
@@ -446,7 +446,7 @@
             self.counts["cold shots"] += 1
             b.credit -= call.work
         else:
-            b.sent += call.work
+            b.sent_work += call.work
         self._live[call] = None
         self._watch(now, now + LATE_AT * call.target.slo)
         self._port.send(call.token, b.index, call.until)
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -23,18 +23,18 @@
         "trial",
         "silent_since",
         "inflight",
-        "rest_until",
-        "refusals",
+        "backoff_until",
+        "fast_failures",
         "finish_tag",
         "credit",
-        "back_at",
-        "sent",
+        "restored_at",
+        "sent_work",
         "failure_rate",
         "started_at",
         "down",
-        "doubted",
-        "heard",
-        "met_at",
+        "presumed_down",
+        "has_responded",
+        "observed_at",
         "cost_factor",
         "up_since",
         "refused_at",
@@ -50,12 +50,12 @@
         self.boot_time = 0.0  # as the directory says
         self.started_at = 0.0  # when it started, as far as that is known by now; 0 = long ago
         self.down = False  # it refused, or must be taken to have: nothing has come from it since
-        self.doubted = False  # for what was seen of others, not of it
-        self.met_at = 0.0  # when its last sample came
+        self.presumed_down = False  # for what was seen of others, not of it
+        self.observed_at = 0.0  # when its last sample came
         self.cost_factor = 1.0  # what a turn costs more by others' word, where agents share what they met
         self.up_since = 0.0  # when the process that is there now first answered a shot; 0 = not yet
         self.refused_at = 0.0  # when it last refused a connection
-        self.heard = False  # anything has come from it, in this agent's life
+        self.has_responded = False  # anything has come from it, in this agent's life
         self.latency_ms: list[float | None] = [None] * targets  # smoothed latency per SLO, None = unsampled
         self.ejected_until: list[float] = [
             0.0
@@ -63,12 +63,12 @@
         self.trial: Shot | None = None
         self.silent_since = 0.0  # with shots out: the last answer, or the first send after it
         self.inflight = 0
-        self.rest_until = 0.0  # after a quick failure no turn until then
-        self.refusals = 0  # quick failures since the last answer
+        self.backoff_until = 0.0  # after a quick failure no turn until then
+        self.fast_failures = 0  # quick failures since the last answer
         self.finish_tag = 0.0
         self.credit = 0.0
-        self.back_at = 0.0
-        self.sent = 0.0
+        self.restored_at = 0.0
+        self.sent_work = 0.0
         self.failure_rate = 0.0  # smoothed share of shots that were spoilt
 
 
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -127,7 +127,7 @@
         self.evidence.own(
             now,
             [
-                Met(self.evidence.me, self.evidence.zone, name, boot, figure, now - b.met_at)
+                Met(self.evidence.me, self.evidence.zone, name, boot, figure, now - b.observed_at)
                 for (name, boot), (b, figure) in known.items()
                 if b.latency_ms[0] is not None
             ],
@@ -136,9 +136,9 @@
         self.counts.look(now, self._self()[0], now - self._began)
         self._budget(now, len(met))
         young = {b.name: b for b in balancer.recently_started(now)}
-        self.warmth.own(now, {name: (b.up_since, b.met_at) for name, b in young.items() if b.up_since})
+        self.warmth.own(now, {name: (b.up_since, b.observed_at) for name, b in young.items() if b.up_since})
         self.warmth.look(now, young)
-        own = {key: (figure, b.met_at) for key, (b, figure) in known.items()}
+        own = {key: (figure, b.observed_at) for key, (b, figure) in known.items()}
         dearer = {name: factor for (name, _), factor in self.evidence.factors(now, own).items()}
         due = frozenset(
             name
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -30,8 +30,8 @@
     def _ramp(self, now: float, b: Backend) -> float:
         """A fresh or returning backend counts for less in the choice, by its age."""
         ramp = self._capacity(now, b) if self._is_cold(now, b) else 1.0
-        if b.back_at and now < b.back_at + self._hold:
-            ramp *= max(self._start, (now - b.back_at) / self._hold)
+        if b.restored_at and now < b.restored_at + self._hold:
+            ramp *= max(self._start, (now - b.restored_at) / self._hold)
         return ramp
 
     def _earn(self, now: float) -> None:
@@ -50,9 +50,9 @@
         warm = [b for b in self._ring if not self._is_cold(now, b)]
         if warm:
             size = sum(b.size for b in warm)
-            sent = sum(b.sent for b in warm) / size
+            sent = sum(b.sent_work for b in warm) / size
             for b in warm:
-                b.sent = 0.0
+                b.sent_work = 0.0
             rate = self._rate * keep + (1 - keep) * sent / passed
             # Falls slowly: guards against losing the rate, and with it all credit, while the warm ones fail.
             self._rate = max(rate, self._rate * (1 - passed / self._cold))
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -48,7 +48,7 @@
             # Its credit is spent: guards against agents that have all saved it up by the time it is back.
             self._refused(now, b)
         elif ending not in NO_SIGN:
-            b.heard = True
+            b.has_responded = True
             if b.down:
                 b.down, b.started_at = False, shot.sent
                 self._restarted(b, b.credit)
@@ -78,14 +78,14 @@
             # the fastest backends of a fleet that has little out.
             if crowd > self._crowd + max((LOADED - 1) * self._crowd, STRAY * sqrt(self._crowd / b.size)):
                 # As long as what is over the mean takes to be worked off.
-                b.rest_until = max(b.rest_until, now + (crowd / self._crowd - 1) * target.typical)
+                b.backoff_until = max(b.backoff_until, now + (crowd / self._crowd - 1) * target.typical)
         if not failed:
             b.silent_since = now
-            b.refusals = 0
+            b.fast_failures = 0
         elif latency < target.typical:
             # Guards against a backend that fails at once and, always idle, would draw every turn.
-            b.rest_until = now + min(self._hold, target.typical * 2**b.refusals)
-            b.refusals += 1
+            b.backoff_until = now + min(self._hold, target.typical * 2**b.fast_failures)
+            b.fast_failures += 1
 
     def broke(self, now: float, call: Call, shot: Shot) -> None:
         """A shot broke whose answer had begun and was booked."""
@@ -98,7 +98,7 @@
         Guards against agents with little traffic that would learn of a slow backend once for each product.
         """
         b, own, failed = shot.backend, call.target, ending is not AttemptEnd.FULFILLED
-        b.met_at = now
+        b.observed_at = now
         # Guards against a wave of cold backends, slow by their age, that would narrow what the warm ones get.
         # But with hardly a warm one left it is the cold that tell, each by what it would have taken warm.
         cold = self._is_cold(now, b)
@@ -118,7 +118,7 @@
                 if sample <= t.slo:
                     b.ejected_until[i] = 0.0
                     b.latency_ms[i] = sample
-                    b.back_at = now
+                    b.restored_at = now
                     b.finish_tag = self._clock  # what it stood at was counted by what it took before
                     self._port.log(f"backend {b.index} restored for SLO {t.slo:.0f} ms")
                 else:
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -102,8 +102,8 @@
             if self._dark:
                 self._dark = False
                 for b in self._backends.values():
-                    if b.doubted:  # what it does not name has not changed
-                        b.down, b.doubted, b.started_at = False, False, b.boot_time
+                    if b.presumed_down:  # what it does not name has not changed
+                        b.down, b.presumed_down, b.started_at = False, False, b.boot_time
         known = {b.index for b in self._ring if b.state is ListedState.READY}
         self._ring = [b for b in self._ring if b.state is ListedState.READY]
         for b in self._backends.values():
@@ -166,13 +166,13 @@
         """
         b.latency_ms = [None] * len(self._targets)
         b.ejected_until = [0.0] * len(self._targets)
-        b.rest_until, b.refusals = 0.0, 0
+        b.backoff_until, b.fast_failures = 0.0, 0
         b.credit, b.up_since = min(left, self._first_credit()), 0.0
 
     def _refused(self, now: float, b: Backend) -> None:
         """No process listens there: what comes from it next is a fresh one's, whatever the list says."""
-        b.down, b.doubted, b.up_since, b.refused_at = True, False, 0.0, now
-        self._doubt(now, [o for o in self._ring if o.heard or o.down], False)
+        b.down, b.presumed_down, b.up_since, b.refused_at = True, False, 0.0, now
+        self._doubt(now, [o for o in self._ring if o.has_responded or o.down], False)
 
     def _doubt(self, now: float, known: list[Backend], by_list: bool) -> None:
         """Where most of what is known is down or cold, take what was never heard of for no better.
@@ -182,8 +182,8 @@
         """
         if sum(self._is_cold(now, b) for b in known) >= max(FIRST_BOUND, KEEP * len(known)):
             for b in self._ring:
-                if not b.heard and not self._is_cold(now, b):
-                    b.down, b.doubted, b.refused_at = True, by_list, now
+                if not b.has_responded and not self._is_cold(now, b):
+                    b.down, b.presumed_down, b.refused_at = True, by_list, now
 
     def _first_credit(self) -> float:
         # Guards against agents that hear of a cold backend together, earn alike, and all send in one instant.
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -54,7 +54,7 @@
     for name, b in after.items():
         assert (b.weight, b.latency_ms) == (before[name].weight, before[name].latency_ms)
         assert b.load == pytest.approx(3.0)
-        assert (b.inflight, b.credit, b.sent, b.trial) == (0, 0.0, 0.0, None)
+        assert (b.inflight, b.credit, b.sent_work, b.trial) == (0, 0.0, 0.0, None)
     assert [t.typical for t in new.agent._targets] == [t.typical for t in old.agent._targets]
     blank, _ = fresh(entries)
     assert (new.agent._bound, new.agent._admit) == (blank.agent._bound, blank.agent._admit)
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -410,7 +410,7 @@
         call.on_attempt_ended(
             bench.now, 0, AttemptEnd.FULFILLED, 30.0, True, Load(in_flight=(0.0, 1.0, 0.0, 3.0, 1.0)[n % 5])
         )
-        assert all(not b.rest_until for b in bench.agent._ring)
+        assert all(not b.backoff_until for b in bench.agent._ring)
 
 
 def test_connections_that_break_say_nothing_of_too_much_out():
