--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -90,7 +90,7 @@
         self._fractions = [c.fraction for c in settings.customers]
         self._over = [0.0] * len(settings.customers)  # API calls beyond the share, drained by each one taken
         self._backends: dict[int, Backend] = {}  # emptied as the directory drops them
-        self._ring: list[Backend] = []  # the ready ones, in an order of this agent's own
+        self._ready: list[Backend] = []  # the ready ones, in an order of this agent's own
         self._warm_keys = settings.warm_keys
         self._clock = 0.0  # the turn that was last given
         self._flight = 0
@@ -183,20 +183,20 @@
     def relative_latencies(self) -> list[tuple[Backend, float]]:
         """Each ready backend and its figure as a share of the first SLO; of one not met, what is usual."""
         t = self._targets[0]
-        return [(b, (t.recent if b.latency_ms[0] is None else b.latency_ms[0]) / t.slo) for b in self._ring]
+        return [(b, (t.recent if b.latency_ms[0] is None else b.latency_ms[0]) / t.slo) for b in self._ready]
 
     def recently_started(self, now: float) -> list[Backend]:
         """The ready backends that are cold by own word, the directory's being silent on it."""
-        return [b for b in self._ring if self._is_cold(now, b) and (b.down or b.started_at > b.boot_time)]
+        return [b for b in self._ready if self._is_cold(now, b) and (b.down or b.started_at > b.boot_time)]
 
     def used_backends(self) -> set[int] | None:
         """The backends that this agent uses, as far as it uses only some; None: any may be next."""
-        return None if self._warm_keys else {b.index for b in self._ring[: self._most()]}
+        return None if self._warm_keys else {b.index for b in self._ready[: self._most()]}
 
     def apply_shared(self, now: float, told: SharedEstimates) -> None:
         """What others' word makes of own figures: turns move, trials come sooner, nothing is ejected."""
         self._told_over, self._trial_rate = told.over_share, told.trials_per_ms
-        for b in self._ring:
+        for b in self._ready:
             b.cost_factor = told.cost_factors.get(b.name, 1.0)
             stood = told.up_since.get(b.name, inf)
             if stood < (inf if b.down else b.started_at if b.started_at > b.boot_time else 0.0):
@@ -239,10 +239,10 @@
         if b is not None:
             self._send(now, call, b)
             return
-        why = "empty list" if not self._ring else "bound full" if self._full(now, call) else "no turn"
+        why = "empty list" if not self._ready else "bound full" if self._full(now, call) else "no turn"
         self.counts[why] += 1
         refused = why == "bound full" and self._by_list  # a share has no room that a line could wait for
-        if now < self._stands_until(call) and self._ring and call.pinned_to is None and not refused:
+        if now < self._stands_until(call) and self._ready and call.pinned_to is None and not refused:
             self._wait(now, call)
         else:
             self.give_up(now, call)
@@ -325,11 +325,11 @@
         t = call.target.index
         if call.pinned_to is not None:
             # It was chosen when the first of it went ahead: no room is found elsewhere, nor asked for again.
-            return next((b for b in self._ring if call.may_use(b)), None)
+            return next((b for b in self._ready if call.may_use(b)), None)
         if self._full(now, call):
             return None
         tried = {s.backend for s in call.shots}
-        usable = [b for b in self._ring if call.may_use(b)] if tried else self._ring
+        usable = [b for b in self._ready if call.may_use(b)] if tried else self._ready
         if tried and any(b not in tried for b in usable):
             usable = [b for b in usable if b not in tried]
         pool = [b for b in usable if not b.ejected_until[t]]
@@ -353,8 +353,8 @@
         awake = [b for b in pool if now >= b.backoff_until]
         most = self._most()
         used = awake[:most]
-        if self._tells and most < len(self._ring):
-            first = set(self._ring[:most])
+        if self._tells and most < len(self._ready):
+            first = set(self._ready[:most])
             used = [b for b in awake if b in first]
         if len(used) < 2:
             # Guards against a set that ejection and rest empty; while two are left, no new connection.
@@ -364,8 +364,8 @@
             worst = max(used, key=lambda b: b.latency_ms[t] or 0.0)
             if (worst.latency_ms[t] or 0.0) > sum(b.latency_ms[t] or 0.0 for b in used) / len(used):
                 # House custom: one is exchanged now and then, here the slowest for the next in order.
-                self._ring.remove(worst)
-                self._ring.append(worst)
+                self._ready.remove(worst)
+                self._ready.append(worst)
         return self._turn(now, call, used)
 
     def _most(self) -> int:
@@ -378,7 +378,7 @@
         call = Call(self, now, IncomingCall(None, product, inf), 1.0, 1.0)
         t = call.target.index
         self._earn(now)
-        b = self._turn(now, call, [b for b in self._ring if not b.ejected_until[t]] or self._ring)
+        b = self._turn(now, call, [b for b in self._ready if not b.ejected_until[t]] or self._ready)
         if b is None:
             return None
         b.finish_tag = max(b.finish_tag, self._clock) + self._usual(b, call.target) / b.size
@@ -408,7 +408,7 @@
     def _turn(self, now: float, call: Call, among: list[Backend]) -> Backend | None:
         """The next turn among these backends, one that is crowded only if all are."""
         best = None
-        crowd = CROWDED * self._flight / max(1, len(self._ring))
+        crowd = CROWDED * self._flight / max(1, len(self._ready))
         for b in among:
             silent = b.inflight and now - b.silent_since > FULL_AT * call.target.slo
             if silent or now < b.backoff_until or not self._has_credit(now, b, call):
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -88,7 +88,7 @@
     """Sends all it can to whichever backend started last."""
 
     def _choose(self, now: float, call: Call) -> Backend | None:
-        usable = [b for b in self._ring if call.may_use(b)]
+        usable = [b for b in self._ready if call.may_use(b)]
         return max(usable, key=lambda b: b.boot_time) if usable else None
 
 
@@ -117,7 +117,7 @@
         super().start(now)
 
     def _choose(self, now: float, call: Call) -> Backend | None:
-        cold = [b for b in self._ring if call.may_use(b) and self._is_cold(now, b)]
+        cold = [b for b in self._ready if call.may_use(b) and self._is_cold(now, b)]
         return cold[0] if cold and now < self._stood + self._cold else super()._choose(now, call)
 
 
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -25,7 +25,7 @@
     """No bound in flight, no ejection, no rest, no second copies, no credit; all ready backends alike."""
 
     def _choose(self, now: float, call: Call) -> Backend | None:
-        usable = [b for b in self._ring if call.may_use(b)]
+        usable = [b for b in self._ready if call.may_use(b)]
         fresh = [b for b in usable if all(s.backend is not b for s in call.shots)]
         return self.pick(now, call, fresh or usable) if usable else None
 
@@ -105,7 +105,7 @@
 
     def _paper_mix(self, i: int, old: float | None, sample: float) -> float:
         if old is None:
-            known = [f for o in self._ring if (f := o.latency_ms[i]) is not None]
+            known = [f for o in self._ready if (f := o.latency_ms[i]) is not None]
             old = sum(known) / len(known) if known else sample
         return old + PAPER_WEIGHT * (sample - old)
 
@@ -163,7 +163,7 @@
         left = min(call.target.slo, call.until - call.taken) - (now - call.taken)
         best, first = None, left if not call.shots else inf
         # Of as many as other agents use: connections are scarce, and backends turn away what comes over too many.
-        for b in self._ring[: self._most()]:
+        for b in self._ready[: self._most()]:
             if call.may_use(b) and (model := self.truth.backend(b.index)) is not None:
                 takes = model.takes(now, work)
                 if takes < first and model.spare(now) >= MARGIN * work:
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -241,7 +241,7 @@
     def pools(self) -> dict[int, int]:
         found = dict.fromkeys(self.backend_at.values(), 0)  # one that is in no pool counts too
         for life in self._lives.values():
-            for b in life.agent.balancer._ring:
+            for b in life.agent.balancer._ready:
                 if not any(b.ejected_until):
                     backend = self.backend_at.get(life.agent.directory.place(b.index).address)
                     if backend is not None:
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -47,7 +47,7 @@
         keep = max(0.0, 1 - passed / self._fall)
         self._asked, self._asked_for = self._asked * keep + self._fresh, self._asked_for * keep + passed
         self._fresh = 0.0
-        warm = [b for b in self._ring if not self._is_cold(now, b)]
+        warm = [b for b in self._ready if not self._is_cold(now, b)]
         if warm:
             size = sum(b.size for b in warm)
             sent = sum(b.sent_work for b in warm) / size
@@ -56,12 +56,12 @@
             rate = self._rate * keep + (1 - keep) * sent / passed
             # Falls slowly: guards against losing the rate, and with it all credit, while the warm ones fail.
             self._rate = max(rate, self._rate * (1 - passed / self._cold))
-        few = self._tells or len(warm) < KEEP * len(self._ring)
+        few = self._tells or len(warm) < KEEP * len(self._ready)
         rate = self._rate * (self._when_few if few else 1.0)
-        self._bare = len(warm) < KEEP**2 * len(self._ring)
+        self._bare = len(warm) < KEEP**2 * len(self._ready)
         self._lanes = self._lanes if self._bare else FIRST_BOUND
         earns = self._shares(now, passed) if self._bare else None
-        for b in earns or self._ring:
+        for b in earns or self._ready:
             if self._is_cold(now, b):
                 earned = earns[b] if earns else rate * b.size * self._capacity(now, b)
                 # Guards against agents that have all saved up by the time that it stands again.
@@ -73,7 +73,7 @@
 
         That is its part of what this agent is asked, and so over all agents; a quick one's is larger.
         """
-        used, t = self._ring[: self._most()], self._targets[0]
+        used, t = self._ready[: self._most()], self._targets[0]
         pace = {b: b.size / self._usual(b, t) for b in used}
         asked, paces, sizes = self._asked / self._asked_for, sum(pace.values()), sum(b.size for b in used)
         # Guards against the first to be listed, which would get all that is asked: by Little's law none gets
@@ -84,7 +84,7 @@
         # Guards against credit by the mean for an agent that is asked now and then: half of it would lapse. It sends no more
         # than it is asked, so what all send stays under that; and none of this counts before the fleet is seen to hold it.
         asked *= max(1.0, min(1 + RARE / (1 + asked * self._fall), self._lanes / FIRST_BOUND))
-        by_all, earns = self._agents * len(used) / max(1, len(self._ring)), {}
+        by_all, earns = self._agents * len(used) / max(1, len(self._ready)), {}
         for b in used:
             # What has answered nothing as it is now may be the slowest there is.
             part, met = self._capacity(now, b), b.latency_ms[0] is not None and not b.down
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -126,7 +126,7 @@
                 continue
             figure = b.latency_ms[i] = sample if old is None and not failed else self._mix(old, t, sample)
             if not t.given:
-                figures = sorted(f for o in self._ring if (f := o.latency_ms[i]) is not None) or [figure]
+                figures = sorted(f for o in self._ready if (f := o.latency_ms[i]) is not None) or [figure]
                 t.slo = DEFAULT_SLO * figures[len(figures) // 2]
             if figure > t.slo:
                 self._eject(now, b, t, ending in SPOILT)
@@ -160,19 +160,19 @@
 
     def _mix(self, old: float | None, t: Target, sample: float) -> float:
         if old is None:
-            others = [f for o in self._ring if (f := o.latency_ms[t.index]) is not None]
+            others = [f for o in self._ready if (f := o.latency_ms[t.index]) is not None]
             old = sum(others) / len(others) if others else 0.0
         return old + NEWEST * (sample - old)
 
     def _eject(self, now: float, b: Backend, t: Target, spoilt: bool) -> None:
         """Take a backend out of a pool, unless too few would be left: then the cause is not the backend."""
         i = t.index
-        ready = len(self._ring)
-        left = [o.latency_ms[i] for o in self._ring if not o.ejected_until[i] and o is not b]
+        ready = len(self._ready)
+        left = [o.latency_ms[i] for o in self._ready if not o.ejected_until[i] and o is not b]
         known = sorted(f for f in left if f is not None)
         usual = known[len(known) // 2] if known else 0.0
         # Guards against breaks and spoilt answers that come from any backend alike, and in runs by chance.
-        ill = sum(o.failure_rate for o in self._ring if o is not b) / max(1, ready - 1)
+        ill = sum(o.failure_rate for o in self._ready if o is not b) / max(1, ready - 1)
         alike = spoilt and b.failure_rate < STANDS_OUT * ill
         if alike or len(left) < KEEP * ready or not left or (b.latency_ms[i] or 0.0) < STANDS_OUT * usual:
             # Guards against a shared slowdown that empties the pool and floods the few that are left.
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -30,7 +30,7 @@
             tuple((t.typical, t.recent, t.ease, t.base) for t in self._targets),
             tuple(
                 BackendSnapshot(b.name, b.boot_time, b.weight, tuple(b.latency_ms), b.failure_rate)
-                for b in self._ring
+                for b in self._ready
             ),
         )
 
@@ -104,33 +104,33 @@
                 for b in self._backends.values():
                     if b.presumed_down:  # what it does not name has not changed
                         b.down, b.presumed_down, b.started_at = False, False, b.boot_time
-        known = {b.index for b in self._ring if b.state is ListedState.READY}
-        self._ring = [b for b in self._ring if b.state is ListedState.READY]
+        known = {b.index for b in self._ready if b.state is ListedState.READY}
+        self._ready = [b for b in self._ready if b.state is ListedState.READY]
         for b in self._backends.values():
             if b.state is ListedState.READY and b.index not in known:
-                self._ring.insert(int(self._chance() * (len(self._ring) + 1)), b)
-        self._mean = mean = sum(b.weight for b in self._ring) / len(self._ring) if self._ring else 1.0
-        for b in self._ring:
+                self._ready.insert(int(self._chance() * (len(self._ready) + 1)), b)
+        self._mean = mean = sum(b.weight for b in self._ready) / len(self._ready) if self._ready else 1.0
+        for b in self._ready:
             # Guards against a list of changes, whose few raw sizes would mix with shares of the mean.
             b.size = b.weight / mean
-        if self._tells and self._ring:
+        if self._tells and self._ready:
             self._weigh(now, news)
         for t in self._targets:
             held = sorted(
-                (b for b in self._ring if b.ejected_until[t.index]),
+                (b for b in self._ready if b.ejected_until[t.index]),
                 key=lambda b: b.latency_ms[t.index] or 0.0,
             )
-            for b in held[: max(0, len(held) - int((1 - KEEP) * len(self._ring)))]:
+            for b in held[: max(0, len(held) - int((1 - KEEP) * len(self._ready)))]:
                 # Guards against a list that shrinks to the ejected: they'd get shots but no way back.
                 b.ejected_until[t.index] = 0.0
         # Guards against agents that stay narrow on a fleet that grows: two shots for each ready backend,
         # shared among the agents, are not what chokes it.
         # Guards against a backend whose load is up to one or two agents.
-        self._least_used = max(FEW if self._tells else 2, ceil(SHARED_BY * len(self._ring) / self._agents))
-        self._least = FIRST_BOUND * max(1, len(self._ring)) / self._agents
+        self._least_used = max(FEW if self._tells else 2, ceil(SHARED_BY * len(self._ready) / self._agents))
+        self._least = FIRST_BOUND * max(1, len(self._ready)) / self._agents
         self._bound = max(self._least, self._bound)
         if self._dark:
-            self._doubt(now, self._ring, True)
+            self._doubt(now, self._ready, True)
         self.pump(now)
 
     def _weigh(self, now: float, news: UpdateKind) -> None:
@@ -139,7 +139,7 @@
         Guards against hundreds of agents with a shot or two a second, each of which sees the fleet fill up
         only when it is full, while the list, late as it is, tells all of them.
         """
-        loads = sorted(b.load for b in self._ring)
+        loads = sorted(b.load for b in self._ready)
         middle = loads[
             len(loads) // 4 : -(len(loads) // 4) or None
         ]  # a few that hang say nothing of the fleet
@@ -151,7 +151,7 @@
         # What a backend would hold by the time the next list comes if all were sent alike (Little): one that
         # holds less has room for the difference. Guards against all agents that rush to what was idle then.
         self._level = self._load * (1 + self._gap / (self._pace() or max(self._gap, 1.0)))
-        self._by_list = self._agents > len(self._ring)
+        self._by_list = self._agents > len(self._ready)
         if self._gap:
             # By the trend, half of the excess at a time: guards against a share that swings with late lists.
             excess = (2 * self._load - before - min(AIM * t.slo / t.base for t in self._targets)) / 2
@@ -172,7 +172,7 @@
     def _refused(self, now: float, b: Backend) -> None:
         """No process listens there: what comes from it next is a fresh one's, whatever the list says."""
         b.down, b.presumed_down, b.up_since, b.refused_at = True, False, 0.0, now
-        self._doubt(now, [o for o in self._ring if o.has_responded or o.down], False)
+        self._doubt(now, [o for o in self._ready if o.has_responded or o.down], False)
 
     def _doubt(self, now: float, known: list[Backend], by_list: bool) -> None:
         """Where most of what is known is down or cold, take what was never heard of for no better.
@@ -181,7 +181,7 @@
         list says counts until the registry speaks; refusals count beside its word: it learns late of a death.
         """
         if sum(self._is_cold(now, b) for b in known) >= max(FIRST_BOUND, KEEP * len(known)):
-            for b in self._ring:
+            for b in self._ready:
                 if not b.has_responded and not self._is_cold(now, b):
                     b.down, b.presumed_down, b.refused_at = True, by_list, now
 
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -50,7 +50,7 @@
     entries = [Listing(i, READY, size=1.0, name=70 + i) for i in range(4)]
     new, taken = fresh(entries, learnt=learnt)
     assert taken
-    before, after = ({b.name: b for b in x.agent._ring} for x in (old, new))
+    before, after = ({b.name: b for b in x.agent._ready} for x in (old, new))
     for name, b in after.items():
         assert (b.weight, b.latency_ms) == (before[name].weight, before[name].latency_ms)
         assert b.load == pytest.approx(3.0)
@@ -82,7 +82,7 @@
     learnt = PolicySnapshot((400.0,), True, ((40.0, 40.0, 40.0, 40.0),), (ejected,))
     new, taken = fresh([Listing(i, READY, size=4.0, name=70 + i) for i in range(4)], learnt=learnt)
     assert taken
-    b = next(b for b in new.agent._ring if b.name == 72)
+    b = next(b for b in new.agent._ready if b.name == 72)
     assert b.ejected_until[0] and not b.trial
     first = new.serve("first", 30.0)
     assert first == 2 and not b.ejected_until[0]
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("other", [settings(live_weights=False), settings(live_weights=True, slo=500.0)])
 def test_figures_for_other_slos_or_other_weights_are_not_taken(other):
     new, taken = fresh([Listing(0, READY, name=70)], other, warmed().agent.snapshot())
-    assert not taken and new.agent._ring[0].latency_ms == [None]
+    assert not taken and new.agent._ready[0].latency_ms == [None]
 
 
 def again(learnt, at):
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -112,7 +112,7 @@
         bench.move(60 if n < 8 else 1.2 * SLO)
         if call.out:
             call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 60.0 if n < 8 else 1.2 * SLO, True)
-    held_now = [b for b in bench.agent._ring if b.ejected_until[0]]
+    held_now = [b for b in bench.agent._ready if b.ejected_until[0]]
     assert len(held_now) <= 2
 
 
@@ -171,7 +171,7 @@
         misses(bench, backend)
     assert held(bench, 2) and held(bench, 3)
     bench.list(UpdateKind.FULL, [Listing(i, READY) for i in (2, 3)])
-    assert sum(1 for b in bench.agent._ring if not b.ejected_until[0]) == 1
+    assert sum(1 for b in bench.agent._ready if not b.ejected_until[0]) == 1
 
 
 def test_failures_to_connect_do_not_narrow_the_bound():
@@ -367,7 +367,7 @@
     # Suspected on reading: the first list was scaled to its mean, a change then set its own entry unscaled.
     bench = Bench(settings(), entries=[Listing(i, READY, size=4.0) for i in range(4)])
     bench.list(UpdateKind.CHANGES, [Listing(2, READY, size=4.0)])
-    assert {b.size for b in bench.agent._ring} == {1.0}
+    assert {b.size for b in bench.agent._ready} == {1.0}
 
 
 def test_an_agent_with_little_traffic_uses_few_backends_and_replaces_one_that_goes():
@@ -410,7 +410,7 @@
         call.on_attempt_ended(
             bench.now, 0, AttemptEnd.FULFILLED, 30.0, True, Load(in_flight=(0.0, 1.0, 0.0, 3.0, 1.0)[n % 5])
         )
-        assert all(not b.backoff_until for b in bench.agent._ring)
+        assert all(not b.backoff_until for b in bench.agent._ready)
 
 
 def test_connections_that_break_say_nothing_of_too_much_out():
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -29,7 +29,7 @@
 def test_a_live_weight_is_a_size_at_its_highest_and_a_load_below():
     bench = live()
     tell(bench, [3.0, 0.0, 1.0, 0.0])
-    ring = {b.index: b for b in bench.agent._ring}
+    ring = {b.index: b for b in bench.agent._ready}
     assert {b.size for b in ring.values()} == {1.0}
     assert [round(ring[i].load, 6) for i in range(4)] == [3.0, 0.0, 1.0, 0.0]
 
@@ -37,7 +37,7 @@
 def test_rough_and_nominal_weights_are_sizes_and_no_load():
     bench = Bench(settings(), entries=listings([0.0] * 4))
     tell(bench, [3.0, 0.0, 1.0, 0.0])
-    ring = {b.index: b for b in bench.agent._ring}
+    ring = {b.index: b for b in bench.agent._ready}
     assert ring[0].size < ring[1].size and not any(b.load for b in ring.values())
 
 
@@ -135,6 +135,6 @@
     tell(bench, [1.0] * 4)
     bench.list(UpdateKind.CHANGES, [Listing(0, READY, size=size)])
     tell(bench, [1.0] * 4)
-    assert {b.size for b in bench.agent._ring} == {1.0}
-    assert {round(b.load, 6) for b in bench.agent._ring} == {1.0}
+    assert {b.size for b in bench.agent._ready} == {1.0}
+    assert {round(b.load, 6) for b in bench.agent._ready} == {1.0}
     assert len({bench.serve(n, 30.0) for n in range(40)}) == 4
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -131,14 +131,14 @@
         settings(cold=COLD),
         entries=[Listing(i, READY, boot_time=999_500.0 if i < 4 else 0.0) for i in range(7)],
     )
-    assert all(bench.agent._is_cold(bench.now, b) for b in bench.agent._ring)
+    assert all(bench.agent._is_cold(bench.now, b) for b in bench.agent._ready)
     bench.list(UpdateKind.CHANGES, [Listing(5, READY, 999_700.0)])
-    assert {b.index for b in bench.agent._ring if not bench.agent._is_cold(bench.now, b)} == {4, 6}
+    assert {b.index for b in bench.agent._ready if not bench.agent._is_cold(bench.now, b)} == {4, 6}
     few = Bench(
         settings(cold=COLD),
         entries=[Listing(i, READY, boot_time=999_500.0 if i < 3 else 0.0) for i in range(7)],
     )
-    assert sum(few.agent._is_cold(few.now, b) for b in few.agent._ring) == 3
+    assert sum(few.agent._is_cold(few.now, b) for b in few.agent._ready) == 3
 
 
 def test_an_agent_that_stands_up_among_the_down_trusts_no_old_list_for_the_rest():
@@ -146,16 +146,16 @@
     # whose list was from before the loss and who had met others down, but not these.
     bench = Bench(settings(cold=COLD, kinds=((Idempotency.IDEMPOTENT, DedupScope.ALL),)), backends=8)
     refused = refuse(bench, 3)
-    assert len(refused) >= 2 and all(b.down for b in bench.agent._ring)
+    assert len(refused) >= 2 and all(b.down for b in bench.agent._ready)
     # Nor the registry's word, which knows of no death for seconds (seed 2004 of drawn losses: 78 shots in one second, by
     # agents that had a list of the registry's by then, to a backend that had started meanwhile).
     bench.list(UpdateKind.CHANGES, [])
-    assert all(b.down for b in bench.agent._ring)
+    assert all(b.down for b in bench.agent._ready)
     met = Bench(settings(cold=COLD), backends=8)
     for n in range(8):
         met.serve(n, 20.0)
     refused = refuse(met, 1)
-    assert {b.index for b in met.agent._ring if b.down} == refused  # most of what it met answers
+    assert {b.index for b in met.agent._ready if b.down} == refused  # most of what it met answers
 
 
 def test_no_order_of_returns_gives_a_cold_backend_more_than_its_part_of_what_all_agents_are_asked():
@@ -172,7 +172,7 @@
         answers(bench, 3, many, 120.0)
         for _, b, _ in bench.port.sent:
             came[b] = came.get(b, 0) + 1
-    users = [[b.index for b in bench.agent._ring[: bench.agent._most()]] for bench in benches]
+    users = [[b.index for b in bench.agent._ready[: bench.agent._most()]] for bench in benches]
     for b, times in came.items():
         fair = sum(many * 3 / len(used) for many, used in zip(asked, users, strict=True) if b in used)
         part = 0.2 + 0.8 * 3000 / COLD
@@ -243,7 +243,7 @@
     for seed in range(30):
         bench = Bench(settings(cold=COLD), seed=seed)
         all_cold(bench, 1)
-        (b,) = bench.agent._ring
+        (b,) = bench.agent._ready
         bench.agent._refused(bench.now, b)
         b.credit = 0.4
         token = bench.submit("first")
@@ -260,7 +260,7 @@
     for n in range(100):
         bench.move(100.0)
         bench.submit(n)
-    credit = {b.index: b.credit for b in bench.agent._ring}
+    credit = {b.index: b.credit for b in bench.agent._ready}
     assert bench.agent._bare and credit[0] <= 0.5
 
 
@@ -270,7 +270,7 @@
     answers(bench, 3, 30, 100.0)
     agent = bench.agent
     agent._lanes = 1e3
-    for b, figure in zip(agent._ring, (50.0, 100.0, 100.0, 400.0), strict=True):
+    for b, figure in zip(agent._ready, (50.0, 100.0, 100.0, 400.0), strict=True):
         b.latency_ms[0] = figure
     earns = list(agent._shares(bench.now, 0.0).values())
     asked = agent._asked / agent._asked_for
@@ -278,7 +278,7 @@
         asked
         * (1 + RARE / (1 + asked * agent._fall))
         / 4
-        * agent._capacity(bench.now, agent._ring[0])
+        * agent._capacity(bench.now, agent._ready[0])
         * agent._when_few
     )
     assert earns[0] == pytest.approx(MOST_EARNS * even)  # 0.47 of the paces, no more than that
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -81,10 +81,10 @@
 def test_what_others_say_of_a_backend_not_met_yet_makes_it_as_warm_as_it_is_and_no_lists_word_is_overruled():
     bench = Bench(settings(cold=20_000.0))
     bench.list(UpdateKind.CACHED, [Listing(i, READY, 0.0) for i in range(4)])
-    for b in bench.agent._ring:
+    for b in bench.agent._ready:
         bench.agent._refused(bench.now, b)
     bench.move(10_000)
-    here = bench.agent._ring[0]
+    here = bench.agent._ready[0]
     assert bench.agent._capacity(bench.now, here) == pytest.approx(
         0.2
     ) and here in bench.agent.recently_started(bench.now)
