--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -191,7 +191,7 @@
 
     def used_backends(self) -> set[int] | None:
         """The backends that this agent uses, as far as it uses only some; None: any may be next."""
-        return None if self._warm_keys else {b.index for b in self._ready[: self._most()]}
+        return None if self._warm_keys else {b.index for b in self._ready[: self._subset_size()]}
 
     def apply_shared(self, now: float, told: SharedEstimates) -> None:
         """What others' word makes of own figures: turns move, trials come sooner, nothing is ejected."""
@@ -235,7 +235,7 @@
             self.counts["late or used up"] += 1
             self.give_up(now, call)
             return
-        b = self._choose(now, call)
+        b = self._choose_backend(now, call)
         if b is not None:
             self._send(now, call, b)
             return
@@ -280,7 +280,7 @@
     def forget(self, call: Call) -> None:
         self._live.pop(call, None)
 
-    def spend(self) -> bool:
+    def spend_budget(self) -> bool:
         """Take one further shot out of the budget; none while shots are slow in general."""
         if self._budget < 1 or self._fullness > FULL_SHARE / 2:
             return False
@@ -304,7 +304,7 @@
         """Place what stands in line, dearest first, until one finds no room."""
         while self._line:
             call = self._line[0]
-            b = self._choose(now, call) if call.may_send(now) else None
+            b = self._choose_backend(now, call) if call.may_send(now) else None
             if b is None:
                 return
             call.waiting = False
@@ -320,7 +320,7 @@
         # Guards against a client timeout that falls between two looks at the line.
         return min(call.taken + PATIENCE * call.target.slo, call.until - 2 * self._look)
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
         """The next turn in the pool of the API call's SLO."""
         t = call.target.index
         if call.pinned_to is not None:
@@ -351,7 +351,7 @@
             if b is not None:
                 return b
         awake = [b for b in pool if now >= b.backoff_until]
-        most = self._most()
+        most = self._subset_size()
         used = awake[:most]
         if self._tells and most < len(self._ready):
             first = set(self._ready[:most])
@@ -368,7 +368,7 @@
                 self._ready.append(worst)
         return self._turn(now, call, used)
 
-    def _most(self) -> int:
+    def _subset_size(self) -> int:
         """How many backends this agent uses."""
         most = max(self._least_used, int(FRESH * self._taken))
         return max(2, ceil(CLOSER * most)) if self._bare else most
@@ -381,7 +381,7 @@
         b = self._turn(now, call, [b for b in self._ready if not b.ejected_until[t]] or self._ready)
         if b is None:
             return None
-        b.finish_tag = max(b.finish_tag, self._clock) + self._usual(b, call.target) / b.size
+        b.finish_tag = max(b.finish_tag, self._clock) + self._expected_ms(b, call.target) / b.size
         return b.index
 
     def _full(self, now: float, call: Call) -> bool:
@@ -391,7 +391,7 @@
         if self._by_list:
             # Guards against lists that run far behind: what they say counts beside slow shots of its own.
             felt = self._fullness > FULL_SHARE / 2
-            return felt and self._admit < 1 and self._chance() >= self._admit ** (1 / call.room)
+            return felt and self._admit < 1 and self._random() >= self._admit ** (1 / call.room)
         # Room is kept for the dearest only as far as shots are slow: with all in time, all may fill it.
         kept = (1 - call.room) * min(1.0, self._fullness / FULL_SHARE)
         bound = self._bound * (1 - kept)
@@ -453,7 +453,7 @@
 
     def _use(self, now: float, b: Backend, call: Call) -> float:
         """What a turn there costs."""
-        usual = call.target.base if self._warm_keys and self._tells else self._usual(b, call.target)
+        usual = call.target.base if self._warm_keys and self._tells else self._expected_ms(b, call.target)
         if self._tells and self._level:
             usual /= max(FLOOR, 1 - b.load / self._level)
         return call.work * usual / (b.size * self._ramp(now, b))
@@ -462,7 +462,7 @@
         """When its turn is due. Where the load is told, that follows what a turn costs by now."""
         return max(self._clock, b.finish_tag + self._use(now, b, call)) if self._tells else b.finish_tag
 
-    def _usual(self, b: Backend, target: Target) -> float:
+    def _expected_ms(self, b: Backend, target: Target) -> float:
         """How long a shot takes there, in ms: what its turn costs, so that time in use rotates evenly.
 
         Guards against many agents with a shot or two out each: none sees by its own shots in flight that a
@@ -498,7 +498,7 @@
                         b.latency_ms = [MISS * t.slo for t in self._targets]
                     self._sample(now, call, shot, AttemptEnd.TIMED_OUT, now - shot.sent)
             if not call.done and call.out == 1:
-                self._second(now, call)
+                self._hedge(now, call)
         self._expire(now)
         self.pump(now)
         due = inf
@@ -512,7 +512,7 @@
                     )
         self._watch(now, due)
 
-    def _second(self, now: float, call: Call) -> None:
+    def _hedge(self, now: float, call: Call) -> None:
         """Send a copy beside a late shot, or call the shot off to send another."""
         last = call.shots[-1]
         if last.called_off or call.streaming or call.offer.kind is Idempotency.NON_IDEMPOTENT:
@@ -522,10 +522,10 @@
         if now >= call.taken + call.target.slo or len(call.shots) >= self.max_attempts:
             return
         if self.may_hedge:
-            b = self._choose(now, call) if call.may_send(now) else None
-            if b is not None and b is not last.backend and self.spend():
+            b = self._choose_backend(now, call) if call.may_send(now) else None
+            if b is not None and b is not last.backend and self.spend_budget():
                 self._send(now, call, b)
-        elif self._may_cancel and call.offer.kind is Idempotency.IDEMPOTENT and self.spend():
+        elif self._may_cancel and call.offer.kind is Idempotency.IDEMPOTENT and self.spend_budget():
             last.called_off = True
             self._port.cancel(call.token, last.number)
 
@@ -540,7 +540,7 @@
         self._over[customer] = min(BUDGET_MAX * 2, self._over[customer] + 1)
         return self._over[customer] > BUDGET_MAX
 
-    def _chance(self) -> float:
+    def _random(self) -> float:
         self._drawn += 1
         # The product takes apart what neighbouring seeds and counters have in common in a CRC.
         return crc32(f"{self._seed}:{self._drawn}".encode()) * 2654435761 % 2**32 / 2**32
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -58,7 +58,7 @@
             call.__class__ = Reckless
         return call
 
-    def spend(self) -> bool:
+    def spend_budget(self) -> bool:
         return True
 
 
@@ -70,7 +70,7 @@
         call.__class__ = Forgetful
         return call
 
-    def spend(self) -> bool:
+    def spend_budget(self) -> bool:
         return True
 
 
@@ -87,7 +87,7 @@
 class FloodsCold(Balancer):
     """Sends all it can to whichever backend started last."""
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
         usable = [b for b in self._ready if call.may_use(b)]
         return max(usable, key=lambda b: b.boot_time) if usable else None
 
@@ -116,9 +116,9 @@
         self._stood = now
         super().start(now)
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
         cold = [b for b in self._ready if call.may_use(b) and self._is_cold(now, b)]
-        return cold[0] if cold and now < self._stood + self._cold else super()._choose(now, call)
+        return cold[0] if cold and now < self._stood + self._cold else super()._choose_backend(now, call)
 
 
 class _Holding:
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -24,7 +24,7 @@
 class Baseline(Balancer):
     """No bound in flight, no ejection, no rest, no second copies, no credit; all ready backends alike."""
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
         usable = [b for b in self._ready if call.may_use(b)]
         fresh = [b for b in usable if all(s.backend is not b for s in call.shots)]
         return self.pick(now, call, fresh or usable) if usable else None
@@ -35,16 +35,16 @@
     def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         """Learns nothing."""
 
-    def _second(self, now: float, call: Call) -> None:
+    def _hedge(self, now: float, call: Call) -> None:
         """Sends nothing beside a late shot."""
 
-    def _usual(self, b: Backend, target: object) -> float:
+    def _expected_ms(self, b: Backend, target: object) -> float:
         return 1.0  # turns are counted, not timed
 
     def _has_credit(self, now: float, b: Backend, call: Call) -> bool:
         return True
 
-    def spend(self) -> bool:
+    def spend_budget(self) -> bool:
         return True
 
 
@@ -69,8 +69,8 @@
     """The less loaded of two drawn at random."""
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
-        first = among[int(self._chance() * len(among))]
-        second = among[int(self._chance() * len(among))]
+        first = among[int(self._random() * len(among))]
+        second = among[int(self._random() * len(among))]
         return min(first, second, key=lambda b: b.inflight)
 
 
@@ -157,13 +157,13 @@
 
     truth: Truth | None = None  # handed in before the first API call
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
         assert self.truth is not None
         work = self.truth.work(self.offers.index(call.offer)) * call.work
         left = min(call.target.slo, call.until - call.taken) - (now - call.taken)
         best, first = None, left if not call.shots else inf
         # Of as many as other agents use: connections are scarce, and backends turn away what comes over too many.
-        for b in self._ready[: self._most()]:
+        for b in self._ready[: self._subset_size()]:
             if call.may_use(b) and (model := self.truth.backend(b.index)) is not None:
                 takes = model.takes(now, work)
                 if takes < first and model.spare(now) >= MARGIN * work:
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -183,7 +183,7 @@
         if complete:
             to.finish(self, now)
         elif not self.done and not self.out and not self.streaming:
-            if shot.ran and not shot.called_off and not to.spend():
+            if shot.ran and not shot.called_off and not to.spend_budget():
                 to.give_up(now, self)
             else:
                 to.place(now, self)
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -73,8 +73,8 @@
 
         That is its part of what this agent is asked, and so over all agents; a quick one's is larger.
         """
-        used, t = self._ready[: self._most()], self._targets[0]
-        pace = {b: b.size / self._usual(b, t) for b in used}
+        used, t = self._ready[: self._subset_size()], self._targets[0]
+        pace = {b: b.size / self._expected_ms(b, t) for b in used}
         asked, paces, sizes = self._asked / self._asked_for, sum(pace.values()), sum(b.size for b in used)
         # Guards against the first to be listed, which would get all that is asked: by Little's law none gets
         # more than `lanes` shots in flight, of all agents, until the fleet is seen to hold them.
@@ -88,7 +88,7 @@
         for b in used:
             # What has answered nothing as it is now may be the slowest there is.
             part, met = self._capacity(now, b), b.latency_ms[0] is not None and not b.down
-            took = self._usual(b, t) / (part if b.latency_ms[0] is None else 1.0)
+            took = self._expected_ms(b, t) / (part if b.latency_ms[0] is None else 1.0)
             share = min(pace[b] / paces, MOST_EARNS * b.size / sizes) * (self._when_few if met else 1.0)
             earns[b] = min(asked * share * part, self._lanes * b.size / (took * by_all))
         return earns
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -63,7 +63,7 @@
             # Of a crowd that it can't get through, each comes as late as an agent may go without asking.
             took = max(0.0, now - self._asked_at)
             span = max(self._ask_first, min(max(self._ask_wait, SPREAD * took), self._ask_most - took))
-            self._port.wake(now + span * (1 + self._chance()) / 2, "ask")
+            self._port.wake(now + span * (1 + self._random()) / 2, "ask")
             self._ask_wait = 2 * span
             return
         if news is not UpdateKind.CACHED:
@@ -75,7 +75,7 @@
                 self._remember(now, b, e)
                 b.finish_tag = self._clock
                 if self._tells:
-                    b.finish_tag -= self._chance() * min(t.slo for t in self._targets) * FULL_AT
+                    b.finish_tag -= self._random() * min(t.slo for t in self._targets) * FULL_AT
                 b.credit = self._first_credit() if e.boot_time else 0.0
                 b.started_at = e.boot_time
             elif e.boot_time > b.boot_time:
@@ -108,7 +108,7 @@
         self._ready = [b for b in self._ready if b.state is ListedState.READY]
         for b in self._backends.values():
             if b.state is ListedState.READY and b.index not in known:
-                self._ready.insert(int(self._chance() * (len(self._ready) + 1)), b)
+                self._ready.insert(int(self._random() * (len(self._ready) + 1)), b)
         self._mean = mean = sum(b.weight for b in self._ready) / len(self._ready) if self._ready else 1.0
         for b in self._ready:
             # Guards against a list of changes, whose few raw sizes would mix with shares of the mean.
@@ -187,4 +187,4 @@
 
     def _first_credit(self) -> float:
         # Guards against agents that hear of a cold backend together, earn alike, and all send in one instant.
-        return self._chance() - 0.5  # nothing in the mean
+        return self._random() - 0.5  # nothing in the mean
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -172,7 +172,7 @@
         answers(bench, 3, many, 120.0)
         for _, b, _ in bench.port.sent:
             came[b] = came.get(b, 0) + 1
-    users = [[b.index for b in bench.agent._ready[: bench.agent._most()]] for bench in benches]
+    users = [[b.index for b in bench.agent._ready[: bench.agent._subset_size()]] for bench in benches]
     for b, times in came.items():
         fair = sum(many * 3 / len(used) for many, used in zip(asked, users, strict=True) if b in used)
         part = 0.2 + 0.8 * 3000 / COLD
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -191,7 +191,7 @@
     if plant == "draining":
         monkeypatch.setattr(Call, "may_use", lambda self, b: True)
         monkeypatch.setattr(
-            Balancer, "_choose", lambda self, now, call: next(iter(self._backends.values()), None)
+            Balancer, "_choose_backend", lambda self, now, call: next(iter(self._backends.values()), None)
         )
     elif plant == "twice":
         monkeypatch.setattr(Call, "may_send", lambda self, now: not self.done)
