--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -163,7 +163,7 @@
         self._trials = min(1.0, self._trials + min(TRIALS, part))
         self._taken = 1 + self._taken * max(0.0, 1 - (now - self._taken_at) / self._hold)
         self._taken_at = now
-        self.place(now, call)
+        self.dispatch(now, call)
         return call
 
     def _worth(self, offer: Offer) -> float:
@@ -229,7 +229,7 @@
 
     # Placing a shot.
 
-    def place(self, now: float, call: Call) -> None:
+    def dispatch(self, now: float, call: Call) -> None:
         """Send the API call on, put it in line, or answer it at once."""
         if not call.may_send(now) or (not call.offer.late_counts and now >= call.taken + call.target.slo):
             self.counts["late or used up"] += 1
@@ -300,7 +300,7 @@
             self.give_up(now, self._line[-1])
         self._watch(now, inf)
 
-    def pump(self, now: float) -> None:
+    def drain_queue(self, now: float) -> None:
         """Place what stands in line, dearest first, until one finds no room."""
         while self._line:
             call = self._line[0]
@@ -500,7 +500,7 @@
             if not call.done and call.out == 1:
                 self._hedge(now, call)
         self._expire(now)
-        self.pump(now)
+        self.drain_queue(now)
         due = inf
         for call in self._live:
             for shot in call.shots:
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -109,7 +109,7 @@
             old = sum(known) / len(known) if known else sample
         return old + PAPER_WEIGHT * (sample - old)
 
-    def landed(
+    def record_attempt(
         self,
         now: float,
         call: Call,
@@ -118,7 +118,7 @@
         latency: float,  # type: ignore[override]
         load: Load | None,
     ) -> None:
-        super().landed(now, call, shot, ending, latency, None)  # type: ignore[arg-type]
+        super().record_attempt(now, call, shot, ending, latency, None)  # type: ignore[arg-type]
 
 
 class Nearest(Baseline):
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -149,10 +149,10 @@
         self.streaming = True
         if latency is not None and shot.out and not shot.passing:
             shot.ran = shot.passing = True
-            to.landed(now, self, shot, AttemptEnd.FULFILLED, latency, load)
+            to.record_attempt(now, self, shot, AttemptEnd.FULFILLED, latency, load)
             to.call_off(self, shot)
         shot.overdue = True
-        to.pump(now)
+        to.drain_queue(now)
 
     def on_client_left(self, now: float) -> None:
         """The client has gone; nothing more is owed."""
@@ -176,17 +176,17 @@
         self.out -= 1
         to = self._to
         if not shot.passing:
-            to.landed(now, self, shot, ending, latency, load)
+            to.record_attempt(now, self, shot, ending, latency, load)
         elif ending is not AttemptEnd.FULFILLED and ending is not AttemptEnd.CANCELLED:
             # What broke under way may be any backend's; it ejects like a break, and narrows no bound.
-            to.broke(now, self, shot)
+            to.record_late_failure(now, self, shot)
         if complete:
             to.finish(self, now)
         elif not self.done and not self.out and not self.streaming:
             if shot.ran and not shot.called_off and not to.spend_budget():
                 to.give_up(now, self)
             else:
-                to.place(now, self)
-        to.pump(now)
+                to.dispatch(now, self)
+        to.drain_queue(now)
         if self.closed:
             to.forget(self)
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -33,7 +33,7 @@
 
     # Learning from what came back.
 
-    def landed(
+    def record_attempt(
         self, now: float, call: Call, shot: Shot, ending: AttemptEnd, latency: float, load: Load | None
     ) -> None:
         """Book the end of a shot."""
@@ -87,7 +87,7 @@
             b.backoff_until = now + min(self._hold, target.typical * 2**b.fast_failures)
             b.fast_failures += 1
 
-    def broke(self, now: float, call: Call, shot: Shot) -> None:
+    def record_late_failure(self, now: float, call: Call, shot: Shot) -> None:
         """A shot broke whose answer had begun and was booked."""
         shot.backend.failure_rate += TYPICAL * (1 - shot.backend.failure_rate)
         self._sample(now, call, shot, AttemptEnd.RESET, 0.0)
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -131,7 +131,7 @@
         self._bound = max(self._least, self._bound)
         if self._dark:
             self._doubt(now, self._ready, True)
-        self.pump(now)
+        self.drain_queue(now)
 
     def _weigh(self, now: float, news: UpdateKind) -> None:
         """What the list says of the fleet: how much it holds, how old that is, and the share to admit.
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -75,10 +75,10 @@
 def test_a_fault_inside_an_agent_is_told_as_one(monkeypatch):
     from lupinreach.balance import Balancer
 
-    kept = Balancer.place
+    kept = Balancer.dispatch
     monkeypatch.setattr(
         Balancer,
-        "place",
+        "dispatch",
         lambda self, now, call: kept(self, now, call) if call.token._id != b"9.0" else 1 / 0,
     )
     breaches, records = judged(world(seconds=1))
