--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -26,7 +26,7 @@
     Settings,
     SharedEstimates,
 )
-from lupinreach.policy.calls import EASE, FULL_AT, Call, Offer, Target
+from lupinreach.policy.calls import EASE, FULL_AT, Call, ProductTerms, Target
 from lupinreach.policy.cold import FIRST_BOUND, ColdCredit
 from lupinreach.policy.learning import FULL_SHARE, LEAST_ROOM, MISS, TYPICAL, Learning
 from lupinreach.policy.membership import Membership
@@ -64,7 +64,7 @@
         slos = sorted({p.slo for p in settings.products})
         self._slos = tuple(slos)
         self._targets = [Target(i, slo) for i, slo in enumerate(slos)]
-        self.offers = [Offer(p, self._targets[slos.index(p.slo)]) for p in settings.products]
+        self.product_terms = [ProductTerms(p, self._targets[slos.index(p.slo)]) for p in settings.products]
         given = [s for s in slos if s > 0] or [min(p.timeout for p in settings.products) / MISS]
         for t in self._targets:
             t.slo = t.slo or given[0]
@@ -144,17 +144,17 @@
 
     def submit(self, now: float, ask: IncomingCall) -> Call:
         """Take an API call; it gets exactly one final answer."""
-        offer = self.offers[ask.product]
+        terms = self.product_terms[ask.product]
         work = 1.0
         if ask.cost:
             self._cost += TYPICAL * (ask.cost - self._cost) if self._cost else ask.cost
             work = ask.cost / self._cost
-        room = LEAST_ROOM + (1 - LEAST_ROOM) * self._worth(offer) / max(map(self._worth, self.offers))
+        room = LEAST_ROOM + (1 - LEAST_ROOM) * self._worth(terms) / max(map(self._worth, self.product_terms))
         if self._over_share(ask.customer):
             room *= LEAST_ROOM
         if self._tells:
             # Guards against clients that come again at once, many times, with little time left.
-            left = (ask.until - now) / offer.target.slo
+            left = (ask.until - now) / terms.target.slo
             room *= (LEAST_ROOM if ask.is_retry else 1.0) * min(1.0, max(LEAST_LEFT, left))
         call = Call(self, now, ask, work, room)
         self._fresh += work
@@ -166,9 +166,9 @@
         self.dispatch(now, call)
         return call
 
-    def _worth(self, offer: Offer) -> float:
+    def _worth(self, terms: ProductTerms) -> float:
         """Billed value for the work that an API call takes, as far as known."""
-        return offer.value if self._by_work else offer.value / (offer.target.typical or offer.target.slo)
+        return terms.value if self._by_work else terms.value / (terms.target.typical or terms.target.slo)
 
     def on_timer(self, now: float, mark: str) -> None:
         if mark == "ask":
@@ -231,7 +231,7 @@
 
     def dispatch(self, now: float, call: Call) -> None:
         """Send the API call on, put it in line, or answer it at once."""
-        if not call.may_send(now) or (not call.offer.late_counts and now >= call.taken + call.target.slo):
+        if not call.may_send(now) or (not call.terms.accepts_late and now >= call.arrived + call.target.slo):
             self.counts["late or used up"] += 1
             self.give_up(now, call)
             return
@@ -318,7 +318,7 @@
 
     def _stands_until(self, call: Call) -> float:
         # Guards against a client timeout that falls between two looks at the line.
-        return min(call.taken + PATIENCE * call.target.slo, call.until - 2 * self._look)
+        return min(call.arrived + PATIENCE * call.target.slo, call.until - 2 * self._look)
 
     def _choose_backend(self, now: float, call: Call) -> Backend | None:
         """The next turn in the pool of the API call's SLO."""
@@ -333,7 +333,7 @@
         if tried and any(b not in tried for b in usable):
             usable = [b for b in usable if b not in tried]
         pool = [b for b in usable if not b.ejected_until[t]]
-        if self._trials >= 1 and call.offer.kind is not Idempotency.NON_IDEMPOTENT and not call.shots:
+        if self._trials >= 1 and call.terms.kind is not Idempotency.NON_IDEMPOTENT and not call.shots:
             for b in usable:
                 if (
                     b.ejected_until[t]
@@ -515,17 +515,17 @@
     def _hedge(self, now: float, call: Call) -> None:
         """Send a copy beside a late shot, or call the shot off to send another."""
         last = call.shots[-1]
-        if last.called_off or call.streaming or call.offer.kind is Idempotency.NON_IDEMPOTENT:
+        if last.called_off or call.streaming or call.terms.kind is Idempotency.NON_IDEMPOTENT:
             return
         if now < last.sent + LATE_AT * call.target.slo:
             return
-        if now >= call.taken + call.target.slo or len(call.shots) >= self.max_attempts:
+        if now >= call.arrived + call.target.slo or len(call.shots) >= self.max_attempts:
             return
         if self.may_hedge:
             b = self._choose_backend(now, call) if call.may_send(now) else None
             if b is not None and b is not last.backend and self.spend_budget():
                 self._send(now, call, b)
-        elif self._may_cancel and call.offer.kind is Idempotency.IDEMPOTENT and self.spend_budget():
+        elif self._may_cancel and call.terms.kind is Idempotency.IDEMPOTENT and self.spend_budget():
             last.called_off = True
             self._port.cancel(call.token, last.number)
 
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -33,7 +33,7 @@
     __slots__ = ()
 
     def may_send(self, now: float) -> bool:
-        if self.offer.kind is not Idempotency.DEDUPLICATED:
+        if self.terms.kind is not Idempotency.DEDUPLICATED:
             return Call.may_send(self, now)
         return not self.done and now < self.until and len(self.shots) < self._to.max_attempts and not self.out
 
@@ -43,7 +43,7 @@
 
     def submit(self, now: float, ask: IncomingCall) -> Call:
         call = super().submit(now, ask)
-        if call.offer.kind is Idempotency.NON_IDEMPOTENT:
+        if call.terms.kind is Idempotency.NON_IDEMPOTENT:
             call.__class__ = Reckless
         return call
 
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -159,8 +159,8 @@
 
     def _choose_backend(self, now: float, call: Call) -> Backend | None:
         assert self.truth is not None
-        work = self.truth.work(self.offers.index(call.offer)) * call.work
-        left = min(call.target.slo, call.until - call.taken) - (now - call.taken)
+        work = self.truth.work(self.product_terms.index(call.terms)) * call.work
+        left = min(call.target.slo, call.until - call.arrived) - (now - call.arrived)
         best, first = None, left if not call.shots else inf
         # Of as many as other agents use: connections are scarce, and backends turn away what comes over too many.
         for b in self._ready[: self._subset_size()]:
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -43,17 +43,17 @@
         return latency > min(FULL_AT * self.slo, max(EASE * self.ease, LEAST_SLOW * self.slo))
 
 
-class Offer:
+class ProductTerms:
     """A product as the decisions use it."""
 
-    __slots__ = ("kind", "group", "memory", "target", "late_counts", "value")
+    __slots__ = ("kind", "group", "memory", "target", "accepts_late", "value")
 
     def __init__(self, product: Product, target: Target) -> None:
         self.kind = product.kind
         self.group = product.group
         self.memory = product.memory
         self.target = target
-        self.late_counts = product.late_value > 0
+        self.accepts_late = product.late_value > 0
         self.value = max(product.billed_value, 1e-9)
 
 
@@ -63,10 +63,10 @@
     __slots__ = (
         "_to",
         "token",
-        "offer",
+        "terms",
         "target",
         "until",
-        "taken",
+        "arrived",
         "key",
         "work",
         "room",
@@ -81,10 +81,10 @@
     def __init__(self, to: Balancer, now: float, ask: IncomingCall, work: float, room: float) -> None:
         self._to = to
         self.token = ask.token
-        self.offer = to.offers[ask.product]
-        self.target = self.offer.target
+        self.terms = to.product_terms[ask.product]
+        self.target = self.terms.target
         self.until = ask.until
-        self.taken = now
+        self.arrived = now
         self.key = ask.key
         self.work = work
         self.room = room
@@ -109,19 +109,19 @@
             return False
         if (self.out and not to.may_hedge) or (self.pinned_to is not None and self.shots):
             return False
-        if self.offer.kind is Idempotency.NON_IDEMPOTENT:
+        if self.terms.kind is Idempotency.NON_IDEMPOTENT:
             return not any(s.ran for s in self.shots)
-        if self.offer.kind is Idempotency.DEDUPLICATED:
+        if self.terms.kind is Idempotency.DEDUPLICATED:
             first = min((s.sent for s in self.shots if s.ran), default=None)
-            return first is None or now + to.step < first + self.offer.memory
+            return first is None or now + to.step < first + self.terms.memory
         return True
 
     def may_use(self, b: Backend) -> bool:
         """If a shot that `may_send` allows may go to this backend."""
         if b.state is not ListedState.READY or (self.pinned_to is not None and b.index != self.pinned_to):
             return False
-        if self.offer.kind is Idempotency.DEDUPLICATED and self.offer.group is not DedupScope.ALL:
-            zone = self.offer.group is DedupScope.ZONE
+        if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is not DedupScope.ALL:
+            zone = self.terms.group is DedupScope.ZONE
             for s in self.shots:
                 if s.ran and (s.backend.zone != b.zone if zone else s.backend.cell != b.cell):
                     return False
@@ -129,9 +129,9 @@
 
     def may_rate_limit(self) -> bool:
         """If telling the client that trying again is harmless would be true."""
-        if self.offer.kind is Idempotency.IDEMPOTENT:
+        if self.terms.kind is Idempotency.IDEMPOTENT:
             return True
-        if self.offer.kind is Idempotency.DEDUPLICATED and self.offer.group is DedupScope.ALL:
+        if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is DedupScope.ALL:
             return True
         return not any(s.ran for s in self.shots)
 
