--- a/benchmarks/recovery_parts.py
+++ b/benchmarks/recovery_parts.py
@@ -41,12 +41,12 @@
 
 
 def earns_by_warm_ones_alone() -> None:
-    Balancer._shares = lambda self, now, passed: {}  # type: ignore[method-assign]
+    Balancer._cold_credit_rates = lambda self, now, passed: {}  # type: ignore[method-assign]
 
 
 def in_step() -> None:
     returning.SPREAD = 0.0
-    Balancer._first_credit = lambda self: 0.0  # type: ignore[method-assign]
+    Balancer._initial_credit = lambda self: 0.0  # type: ignore[method-assign]
 
 
 def no_word_of_who_stands() -> None:
--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -79,8 +79,8 @@
         self._most_retry_after = limits.max_retry_after if limits.retry_after else 0.0
         self._hold = HOLD * given[-1]
         self._look = max(settings.step, LOOK * given[0])
-        self._fall = rules.fall
-        self._cold = rules.cold or 1.0
+        self._fall_ms = rules.fall
+        self._cold_ms = rules.cold or 1.0
         self._when_few = max(1.0, rules.fall_multiple * FALL_USE)
         self._start = rules.start_capacity
         self._must_ask = settings.must_ask
@@ -93,9 +93,9 @@
         self._ready: list[Backend] = []  # the ready ones, in an order of this agent's own
         self._warm_keys = settings.warm_keys
         self._clock = 0.0  # the turn that was last given
-        self._flight = 0
-        self._fullness = 0.0  # smoothed share of shots, to backends in the pools, slower than FULL_AT
-        self._bound = self._least = 1.0  # shots that this agent may have out in all, and the least of that
+        self._inflight = 0
+        self._slow_share = 0.0  # smoothed share of shots, to backends in the pools, slower than FULL_AT
+        self._limit = self._least = 1.0  # shots that this agent may have out in all, and the least of that
         self._narrowed_at = self._felt_at = self._sent_at = 0.0
         self._span = SPAN * given[-1]
         self._agents = settings.agents
@@ -104,13 +104,15 @@
         self._gap = self._listed_at = 0.0  # between two lists, smoothed
         self._level = 0.0  # of load, from which on a backend has no room until the next list
         self._mean = 0.0  # of the sizes as listed; 0 = none seen
-        self._admit = 1.0  # share of the API calls that go on, in place of the bound where `_by_list`
+        self._admitted = 1.0  # share of the API calls that go on, in place of the bound where `_by_list`
         self._by_list = False  # agents outnumber backends, so that the list tells more than own shots
         self._load = 0.0  # mean load of the middle half of the ready backends
-        self._crowd = 0.0  # mean reported in flight for a backend's size
+        self._reported = 0.0  # mean reported in flight for a backend's size
         self._peak = 0  # most shots out since the bound was last narrowed
-        self._live: dict[Call, None] = {}  # API calls with shots out; each leaves when its last shot ended
-        self._line: list[Call] = []  # API calls waiting for room; each leaves after its patience at last
+        self._open_calls: dict[
+            Call, None
+        ] = {}  # API calls with shots out; each leaves when its last shot ended
+        self._queue: list[Call] = []  # API calls waiting for room; each leaves after its patience at last
         self._cost = 0.0  # mean cost hint; 0 = none seen
         self._budget = BUDGET_MAX / 2
         self._trials = 1.0
@@ -120,12 +122,15 @@
         self._rate = 0.0  # work (API calls of mean cost) per ms to a warm backend, smoothed over `fall`
         self._earned_at = 0.0
         self._fresh = 0.0  # work taken since then
-        self._asked, self._asked_for = 0.0, 0.0  # work taken over `fall`, smoothed, and ms that it stands for
+        self._demand, self._demand_ms = (
+            0.0,
+            0.0,
+        )  # work taken over `fall`, smoothed, and ms that it stands for
         self._dark = True  # nothing heard of the directory yet
-        self._bare = False  # hardly one of the ready ones is warm
-        self._lanes = FIRST_BOUND  # shots in flight that each of mean size may then hold, of all agents
+        self._mostly_cold = False  # hardly one of the ready ones is warm
+        self._cold_limit = FIRST_BOUND  # shots in flight that each of mean size may then hold, of all agents
         self._looks_at = inf  # when the next look is due
-        self._recalled: dict[
+        self._restored: dict[
             int, BackendSnapshot
         ] = {}  # by name; each leaves as it is listed, all as a list comes
         # For the operators, beside the front's own counters; grows with nothing.
@@ -150,7 +155,7 @@
             self._cost += TYPICAL * (ask.cost - self._cost) if self._cost else ask.cost
             work = ask.cost / self._cost
         room = LEAST_ROOM + (1 - LEAST_ROOM) * self._worth(terms) / max(map(self._worth, self.product_terms))
-        if self._over_share(ask.customer):
+        if self._is_over_share(ask.customer):
             room *= LEAST_ROOM
         if self._tells:
             # Guards against clients that come again at once, many times, with little time left.
@@ -265,7 +270,7 @@
             self.forget(call)
         if call.waiting:
             call.waiting = False
-            self._line.remove(call)
+            self._queue.remove(call)
         if not call.streaming:
             self.call_off(call)
 
@@ -278,11 +283,11 @@
                     self._port.cancel(call.token, s.number)
 
     def forget(self, call: Call) -> None:
-        self._live.pop(call, None)
+        self._open_calls.pop(call, None)
 
     def spend_budget(self) -> bool:
         """Take one further shot out of the budget; none while shots are slow in general."""
-        if self._budget < 1 or self._fullness > FULL_SHARE / 2:
+        if self._budget < 1 or self._slow_share > FULL_SHARE / 2:
             return False
         self._budget -= 1
         return True
@@ -294,26 +299,26 @@
         most waits end in an answer. Guards against calls held only to be turned away.
         """
         call.waiting = True
-        insort(self._line, call, key=lambda c: -c.room)
+        insort(self._queue, call, key=lambda c: -c.room)
         pace = self._pace() or call.target.slo
-        if len(self._line) > max(1.0, self._flight * PATIENCE * call.target.slo / pace):
-            self.give_up(now, self._line[-1])
+        if len(self._queue) > max(1.0, self._inflight * PATIENCE * call.target.slo / pace):
+            self.give_up(now, self._queue[-1])
         self._watch(now, inf)
 
     def drain_queue(self, now: float) -> None:
         """Place what stands in line, dearest first, until one finds no room."""
-        while self._line:
-            call = self._line[0]
+        while self._queue:
+            call = self._queue[0]
             b = self._choose_backend(now, call) if call.may_send(now) else None
             if b is None:
                 return
             call.waiting = False
-            del self._line[0]
+            del self._queue[0]
             self._send(now, call, b)
 
     def _expire(self, now: float) -> None:
         """Answer what has stood in line too long."""
-        for call in [c for c in self._line if now >= self._stands_until(c) or not c.may_send(now)]:
+        for call in [c for c in self._queue if now >= self._stands_until(c) or not c.may_send(now)]:
             self.give_up(now, call)
 
     def _stands_until(self, call: Call) -> float:
@@ -342,7 +347,7 @@
                     and self._has_credit(now, b, call)
                 ):
                     return b
-        self._earn(now)
+        self._earn_credit(now)
         pool = pool or usable
         if self._warm_keys and call.key is not None:
             homes = self._homes(pool, call.key)
@@ -371,13 +376,13 @@
     def _subset_size(self) -> int:
         """How many backends this agent uses."""
         most = max(self._least_used, int(FRESH * self._taken))
-        return max(2, ceil(CLOSER * most)) if self._bare else most
+        return max(2, ceil(CLOSER * most)) if self._mostly_cold else most
 
     def choose_for_upload(self, now: float, product: int) -> int | None:
         """The backend that a request too long to be kept goes ahead to; its last byte makes it a shot."""
         call = Call(self, now, IncomingCall(None, product, inf), 1.0, 1.0)
         t = call.target.index
-        self._earn(now)
+        self._earn_credit(now)
         b = self._turn(now, call, [b for b in self._ready if not b.ejected_until[t]] or self._ready)
         if b is None:
             return None
@@ -386,16 +391,16 @@
 
     def _full(self, now: float, call: Call) -> bool:
         """If the bound in flight leaves no room for a shot of this API call now."""
-        if self._tells and self._load < 1 and self._fullness <= FULL_SHARE:
+        if self._tells and self._load < 1 and self._slow_share <= FULL_SHARE:
             return False
         if self._by_list:
             # Guards against lists that run far behind: what they say counts beside slow shots of its own.
-            felt = self._fullness > FULL_SHARE / 2
-            return felt and self._admit < 1 and self._random() >= self._admit ** (1 / call.room)
+            felt = self._slow_share > FULL_SHARE / 2
+            return felt and self._admitted < 1 and self._random() >= self._admitted ** (1 / call.room)
         # Room is kept for the dearest only as far as shots are slow: with all in time, all may fill it.
-        kept = (1 - call.room) * min(1.0, self._fullness / FULL_SHARE)
-        bound = self._bound * (1 - kept)
-        return self._flight >= max(1.0, bound) or (bound < 1 and now < self._sent_at + self._pace() / bound)
+        kept = (1 - call.room) * min(1.0, self._slow_share / FULL_SHARE)
+        bound = self._limit * (1 - kept)
+        return self._inflight >= max(1.0, bound) or (bound < 1 and now < self._sent_at + self._pace() / bound)
 
     def _homes(self, pool: list[Backend], key: int) -> list[Backend]:
         """The backends of the pool that a key is at home at, the same at all agents, by size."""
@@ -408,7 +413,7 @@
     def _turn(self, now: float, call: Call, among: list[Backend]) -> Backend | None:
         """The next turn among these backends, one that is crowded only if all are."""
         best = None
-        crowd = CROWDED * self._flight / max(1, len(self._ready))
+        crowd = CROWDED * self._inflight / max(1, len(self._ready))
         for b in among:
             silent = b.inflight and now - b.silent_since > FULL_AT * call.target.slo
             if silent or now < b.backoff_until or not self._has_credit(now, b, call):
@@ -433,9 +438,9 @@
         if not b.inflight:
             b.silent_since = now
         b.inflight += 1
-        self._flight += 1
+        self._inflight += 1
         self._sent_at = now
-        self._peak = max(self._peak, self._flight)
+        self._peak = max(self._peak, self._inflight)
         if self._tells:
             self._clock = b.finish_tag = self._due(now, b, call)
         else:
@@ -447,7 +452,7 @@
             b.credit -= call.work
         else:
             b.sent_work += call.work
-        self._live[call] = None
+        self._open_calls[call] = None
         self._watch(now, now + LATE_AT * call.target.slo)
         self._port.send(call.token, b.index, call.until)
 
@@ -475,14 +480,14 @@
 
     def _watch(self, now: float, due: float) -> None:
         """Be woken when that is due, or soon while a line stands, whose room comes at no known time."""
-        if self._line:
+        if self._queue:
             due = min(due, now + self._look)
         if due < self._looks_at:
             self._looks_at = due
             self._port.wake(due, "look")
 
     def _sweep(self, now: float) -> None:
-        for call in list(self._live):
+        for call in list(self._open_calls):
             slo = call.target.slo
             for shot in call.shots:
                 if shot.out and not shot.overdue and now >= shot.sent + slo:
@@ -492,7 +497,7 @@
                     # Where the list tells what is held, silence says that a backend hangs or is cut off,
                     # not that too much is out. Guards against an idle fleet refused for want of room.
                     shot.lost = self._tells and not self._by_list and b.silent_since <= shot.sent
-                    self._flight -= shot.lost
+                    self._inflight -= shot.lost
                     if b.silent_since <= shot.sent and now - shot.sent > SILENT * usual:
                         # Nothing at all came back since, nor ever takes as long: one such shot says enough.
                         b.latency_ms = [MISS * t.slo for t in self._targets]
@@ -502,7 +507,7 @@
         self._expire(now)
         self.drain_queue(now)
         due = inf
-        for call in self._live:
+        for call in self._open_calls:
             for shot in call.shots:
                 if shot.out and not shot.overdue:
                     late = shot.sent + LATE_AT * call.target.slo
@@ -529,7 +534,7 @@
             last.called_off = True
             self._port.cancel(call.token, last.number)
 
-    def _over_share(self, customer: int) -> bool:
+    def _is_over_share(self, customer: int) -> bool:
         """If this customer has asked this agent for more than its share of what the agent was asked."""
         if not self._fractions:
             return False
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -118,7 +118,7 @@
 
     def _choose_backend(self, now: float, call: Call) -> Backend | None:
         cold = [b for b in self._ready if call.may_use(b) and self._is_cold(now, b)]
-        return cold[0] if cold and now < self._stood + self._cold else super()._choose_backend(now, call)
+        return cold[0] if cold and now < self._stood + self._cold_ms else super()._choose_backend(now, call)
 
 
 class _Holding:
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -20,12 +20,12 @@
     # Cold backends.
 
     def _is_cold(self, now: float, b: Backend) -> bool:
-        return b.down or b.started_at > 0 and now < b.started_at + self._cold
+        return b.down or b.started_at > 0 and now < b.started_at + self._cold_ms
 
     def _capacity(self, now: float, b: Backend) -> float:
         """The part of its capacity that a backend surely has by now."""
         age = 0.0 if b.down else max(0.0, now - b.started_at)
-        return min(1.0, self._start + (1 - self._start) * age / self._cold)
+        return min(1.0, self._start + (1 - self._start) * age / self._cold_ms)
 
     def _ramp(self, now: float, b: Backend) -> float:
         """A fresh or returning backend counts for less in the choice, by its age."""
@@ -34,7 +34,7 @@
             ramp *= max(self._start, (now - b.restored_at) / self._hold)
         return ramp
 
-    def _earn(self, now: float) -> None:
+    def _earn_credit(self, now: float) -> None:
         """Credit cold backends with their part of what a warm one is sent.
 
         Guards against pushing over a backend that has just started: summed over agents, what the backend gets
@@ -44,8 +44,8 @@
         if passed < self.step:
             return
         self._earned_at = now
-        keep = max(0.0, 1 - passed / self._fall)
-        self._asked, self._asked_for = self._asked * keep + self._fresh, self._asked_for * keep + passed
+        keep = max(0.0, 1 - passed / self._fall_ms)
+        self._demand, self._demand_ms = self._demand * keep + self._fresh, self._demand_ms * keep + passed
         self._fresh = 0.0
         warm = [b for b in self._ready if not self._is_cold(now, b)]
         if warm:
@@ -55,45 +55,45 @@
                 b.sent_work = 0.0
             rate = self._rate * keep + (1 - keep) * sent / passed
             # Falls slowly: guards against losing the rate, and with it all credit, while the warm ones fail.
-            self._rate = max(rate, self._rate * (1 - passed / self._cold))
+            self._rate = max(rate, self._rate * (1 - passed / self._cold_ms))
         few = self._tells or len(warm) < KEEP * len(self._ready)
         rate = self._rate * (self._when_few if few else 1.0)
-        self._bare = len(warm) < KEEP**2 * len(self._ready)
-        self._lanes = self._lanes if self._bare else FIRST_BOUND
-        earns = self._shares(now, passed) if self._bare else None
+        self._mostly_cold = len(warm) < KEEP**2 * len(self._ready)
+        self._cold_limit = self._cold_limit if self._mostly_cold else FIRST_BOUND
+        earns = self._cold_credit_rates(now, passed) if self._mostly_cold else None
         for b in earns or self._ready:
             if self._is_cold(now, b):
                 earned = earns[b] if earns else rate * b.size * self._capacity(now, b)
                 # Guards against agents that have all saved up by the time that it stands again.
-                most = AHEAD if b.down and earns else max(earned * self._fall / 2, 1.0)
+                most = AHEAD if b.down and earns else max(earned * self._fall_ms / 2, 1.0)
                 b.credit = min(most, b.credit + earned * passed)
 
-    def _shares(self, now: float, passed: float) -> dict[Backend, float]:
+    def _cold_credit_rates(self, now: float, passed: float) -> dict[Backend, float]:
         """What each backend that this agent uses earns a ms while no warm one tells what one is sent.
 
         That is its part of what this agent is asked, and so over all agents; a quick one's is larger.
         """
         used, t = self._ready[: self._subset_size()], self._targets[0]
         pace = {b: b.size / self._expected_ms(b, t) for b in used}
-        asked, paces, sizes = self._asked / self._asked_for, sum(pace.values()), sum(b.size for b in used)
+        asked, paces, sizes = self._demand / self._demand_ms, sum(pace.values()), sum(b.size for b in used)
         # Guards against the first to be listed, which would get all that is asked: by Little's law none gets
         # more than `lanes` shots in flight, of all agents, until the fleet is seen to hold them.
-        grown, slow = 1 + WIDEN * passed / self._fall, self._fullness / FULL_SHARE
-        self._lanes *= grown if slow < 0.5 else 1 / grown if slow > 1 else 1.0
-        self._lanes = max(FIRST_BOUND, min(BEYOND, self._lanes))
+        grown, slow = 1 + WIDEN * passed / self._fall_ms, self._slow_share / FULL_SHARE
+        self._cold_limit *= grown if slow < 0.5 else 1 / grown if slow > 1 else 1.0
+        self._cold_limit = max(FIRST_BOUND, min(BEYOND, self._cold_limit))
         # Guards against credit by the mean for an agent that is asked now and then: half of it would lapse. It sends no more
         # than it is asked, so what all send stays under that; and none of this counts before the fleet is seen to hold it.
-        asked *= max(1.0, min(1 + RARE / (1 + asked * self._fall), self._lanes / FIRST_BOUND))
+        asked *= max(1.0, min(1 + RARE / (1 + asked * self._fall_ms), self._cold_limit / FIRST_BOUND))
         by_all, earns = self._agents * len(used) / max(1, len(self._ready)), {}
         for b in used:
             # What has answered nothing as it is now may be the slowest there is.
             part, met = self._capacity(now, b), b.latency_ms[0] is not None and not b.down
             took = self._expected_ms(b, t) / (part if b.latency_ms[0] is None else 1.0)
             share = min(pace[b] / paces, MOST_EARNS * b.size / sizes) * (self._when_few if met else 1.0)
-            earns[b] = min(asked * share * part, self._lanes * b.size / (took * by_all))
+            earns[b] = min(asked * share * part, self._cold_limit * b.size / (took * by_all))
         return earns
 
     def _has_credit(self, now: float, b: Backend, call: Call) -> bool:
         # Where what each agent earns of each backend is a shot in half a minute, half a shot ahead lets all
         # of them together send what they earn, from the first moment on.
-        return not self._is_cold(now, b) or b.credit + (AHEAD if self._bare else 0.0) >= call.work
+        return not self._is_cold(now, b) or b.credit + (AHEAD if self._mostly_cold else 0.0) >= call.work
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -39,14 +39,14 @@
         """Book the end of a shot."""
         b = shot.backend
         b.inflight -= 1
-        self._flight -= not shot.lost
+        self._inflight -= not shot.lost
         target = call.target
         failed = ending is not AttemptEnd.FULFILLED
         if shot.trial:
             b.trial = None
         if ending is AttemptEnd.REFUSED:
             # Its credit is spent: guards against agents that have all saved it up by the time it is back.
-            self._refused(now, b)
+            self._mark_down(now, b)
         elif ending not in NO_SIGN:
             b.has_responded = True
             if b.down:
@@ -73,12 +73,14 @@
         if load is not None and load.in_flight is not None:
             # A report spots extremes and ranks nothing: agents that rank by late reports herd.
             crowd = load.in_flight / b.size
-            self._crowd += TYPICAL * (crowd - self._crowd) if self._crowd else crowd
+            self._reported += TYPICAL * (crowd - self._reported) if self._reported else crowd
             # Guards against counts of one or two, which stray to twice their mean by chance and would rest
             # the fastest backends of a fleet that has little out.
-            if crowd > self._crowd + max((LOADED - 1) * self._crowd, STRAY * sqrt(self._crowd / b.size)):
+            if crowd > self._reported + max(
+                (LOADED - 1) * self._reported, STRAY * sqrt(self._reported / b.size)
+            ):
                 # As long as what is over the mean takes to be worked off.
-                b.backoff_until = max(b.backoff_until, now + (crowd / self._crowd - 1) * target.typical)
+                b.backoff_until = max(b.backoff_until, now + (crowd / self._reported - 1) * target.typical)
         if not failed:
             b.silent_since = now
             b.fast_failures = 0
@@ -103,7 +105,7 @@
         # But with hardly a warm one left it is the cold that tell, each by what it would have taken warm.
         cold = self._is_cold(now, b)
         aged = self._capacity(now, b) if cold else 1.0
-        tells = (not cold or self._bare) and ending not in CUT_OFF and ending not in SPOILT
+        tells = (not cold or self._mostly_cold) and ending not in CUT_OFF and ending not in SPOILT
         if tells and not shot.lost and not b.ejected_until[own.index]:
             self._learn_bound(now, failed or own.slow(latency * aged))
         latency /= max(1.0, call.work)  # guards against a long API call that ejects a sound backend
@@ -141,18 +143,18 @@
         # An agent with a shot or two a second must not need twenty of them to see that the fleet is full.
         weight = min(SUDDEN, max(SOON, (now - self._felt_at) / self._span))
         self._felt_at = now
-        self._fullness += weight * (slow - self._fullness)
-        if self._fullness > FULL_SHARE:
+        self._slow_share += weight * (slow - self._slow_share)
+        if self._slow_share > FULL_SHARE:
             if now >= self._narrowed_at + self._pace():
                 self._narrowed_at = now
-                excess = self._fullness - FULL_SHARE
-                self._bound = min(self._bound, self._peak) * (1 - NARROW * excess)
-                self._peak = self._flight
-        elif self._tells and self._flight > self._bound:
-            self._bound = self._flight
-        elif self._flight + 1 >= self._bound * (1 - LEAST_ROOM):
-            self._bound += min(self._bound, 1 / self._bound)
-        self._bound = max(self._least, self._bound)
+                excess = self._slow_share - FULL_SHARE
+                self._limit = min(self._limit, self._peak) * (1 - NARROW * excess)
+                self._peak = self._inflight
+        elif self._tells and self._inflight > self._limit:
+            self._limit = self._inflight
+        elif self._inflight + 1 >= self._limit * (1 - LEAST_ROOM):
+            self._limit += min(self._limit, 1 / self._limit)
+        self._limit = max(self._least, self._limit)
 
     def _pace(self) -> float:
         """What the slowest product usually takes, 0 = none seen."""
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -40,11 +40,11 @@
             return False
         for t, (typical, recent, ease, base) in zip(self._targets, learnt.slo_latencies, strict=True):
             t.typical, t.recent, t.ease, t.base = typical, recent or t.recent, ease or t.ease, base or t.base
-        self._recalled = {met.name: met for met in learnt.backends}
+        self._restored = {met.name: met for met in learnt.backends}
         return True
 
     def _remember(self, now: float, b: Backend, e: Listing) -> None:
-        met = self._recalled.pop(e.name, None)
+        met = self._restored.pop(e.name, None)
         if met is None or met.boot_time != e.boot_time or e.state is not ListedState.READY:
             return
         b.latency_ms, b.failure_rate = list(met.latencies_ms), met.failure_rate
@@ -76,7 +76,7 @@
                 b.finish_tag = self._clock
                 if self._tells:
                     b.finish_tag -= self._random() * min(t.slo for t in self._targets) * FULL_AT
-                b.credit = self._first_credit() if e.boot_time else 0.0
+                b.credit = self._initial_credit() if e.boot_time else 0.0
                 b.started_at = e.boot_time
             elif e.boot_time > b.boot_time:
                 if e.boot_time > b.started_at:
@@ -98,7 +98,7 @@
         for b in [b for b in self._backends.values() if b.state is ListedState.REMOVED and not b.inflight]:
             del self._backends[b.index]
         if news is not UpdateKind.CACHED:
-            self._recalled.clear()
+            self._restored.clear()
             if self._dark:
                 self._dark = False
                 for b in self._backends.values():
@@ -128,7 +128,7 @@
         # Guards against a backend whose load is up to one or two agents.
         self._least_used = max(FEW if self._tells else 2, ceil(SHARED_BY * len(self._ready) / self._agents))
         self._least = FIRST_BOUND * max(1, len(self._ready)) / self._agents
-        self._bound = max(self._least, self._bound)
+        self._limit = max(self._least, self._limit)
         if self._dark:
             self._doubt(now, self._ready, True)
         self.drain_queue(now)
@@ -157,7 +157,7 @@
             excess = (2 * self._load - before - min(AIM * t.slo / t.base for t in self._targets)) / 2
             answered = self._gap / max(t.base for t in self._targets)  # by a core, alone, until the next list
             step = min(GROW, max(CUT, 1 - excess / answered))
-            self._admit = min(1.0, max(LEAST_ADMIT, self._admit * step))
+            self._admitted = min(1.0, max(LEAST_ADMIT, self._admitted * step))
 
     def _restarted(self, b: Backend, left: float = inf) -> None:
         """What was known of the old process says nothing of the new one; credit no more than what is left of it.
@@ -167,9 +167,9 @@
         b.latency_ms = [None] * len(self._targets)
         b.ejected_until = [0.0] * len(self._targets)
         b.backoff_until, b.fast_failures = 0.0, 0
-        b.credit, b.up_since = min(left, self._first_credit()), 0.0
+        b.credit, b.up_since = min(left, self._initial_credit()), 0.0
 
-    def _refused(self, now: float, b: Backend) -> None:
+    def _mark_down(self, now: float, b: Backend) -> None:
         """No process listens there: what comes from it next is a fresh one's, whatever the list says."""
         b.down, b.presumed_down, b.up_since, b.refused_at = True, False, 0.0, now
         self._doubt(now, [o for o in self._ready if o.has_responded or o.down], False)
@@ -185,6 +185,6 @@
                 if not b.has_responded and not self._is_cold(now, b):
                     b.down, b.presumed_down, b.refused_at = True, by_list, now
 
-    def _first_credit(self) -> float:
+    def _initial_credit(self) -> float:
         # Guards against agents that hear of a cold backend together, earn alike, and all send in one instant.
         return self._random() - 0.5  # nothing in the mean
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -296,7 +296,7 @@
 
 def test_spoilt_answers_leave_the_bound_alone():
     answer, _, agent = run(one_call(says(b"HTTP/1.1 2x0 OK\r\n\r\n"), look(**PAY)))
-    assert status(answer) == 502 and agent.balancer._fullness == 0.0 and agent.balancer._flight == 0
+    assert status(answer) == 502 and agent.balancer._slow_share == 0.0 and agent.balancer._inflight == 0
 
 
 def test_an_address_that_changes_hands_takes_no_connection_with_it():
@@ -335,12 +335,12 @@
                 patch.setattr("lupinreach.net.call.read_load", lambda _: 1 / 0)
                 assert status(await site.ask(look())) == 500
                 await site.settled()
-            assert agent.counters.others["fault: api call"] == 1 and agent.balancer._flight == 0
+            assert agent.counters.others["fault: api call"] == 1 and agent.balancer._inflight == 0
             with monkeypatch.context() as patch:  # before the shot has begun
                 patch.setattr(agent.directory, "place", lambda _: 1 / 0)
                 assert status(await site.ask(look())) == 500
                 await site.settled()
-            assert agent.counters.others["fault: api call"] == 2 and agent.balancer._flight == 0
+            assert agent.counters.others["fault: api call"] == 2 and agent.balancer._inflight == 0
             assert "ZeroDivisionError" in os.read(site.sink, 65536).decode()
             assert status(await site.ask(look())) == 200
 
@@ -1025,7 +1025,7 @@
             await site.settled()
             others = site.agent.counters.others
             assert (others["load reports"], others["load reports ignored"]) == (1, 3)
-            assert site.agent.balancer._crowd == 2.0
+            assert site.agent.balancer._reported == 2.0
 
     run(work())
 
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -57,8 +57,8 @@
         assert (b.inflight, b.credit, b.sent_work, b.trial) == (0, 0.0, 0.0, None)
     assert [t.typical for t in new.agent._targets] == [t.typical for t in old.agent._targets]
     blank, _ = fresh(entries)
-    assert (new.agent._bound, new.agent._admit) == (blank.agent._bound, blank.agent._admit)
-    assert not new.agent._recalled
+    assert (new.agent._limit, new.agent._admitted) == (blank.agent._limit, blank.agent._admitted)
+    assert not new.agent._restored
 
 
 def test_a_restarted_a_draining_and_an_unknown_backend_start_afresh():
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -181,7 +181,7 @@
         bench.move(50)
         while bench.calls[n].out:
             bench.answer(n, 2.0, AttemptEnd.UNREACHABLE)
-    assert bench.agent._fullness < FULL_SHARE
+    assert bench.agent._slow_share < FULL_SHARE
 
 
 def test_a_failed_directory_is_asked_again_with_a_growing_wait():
@@ -229,7 +229,7 @@
         cold += at > 1
         bench.move(60.0)
         bench.answer(n, 50.0 if at < 2 else 0.9 * SLO)
-    assert cold > 20 and bench.agent._fullness < 0.01
+    assert cold > 20 and bench.agent._slow_share < 0.01
 
 
 def test_a_cold_backend_gets_a_part_of_what_a_warm_one_gets():
@@ -294,7 +294,7 @@
         if n >= 16 and bench.calls[n - 16].out:
             bench.answer(n - 16, 390.0, number=0)
         bench.move(10)
-    assert bench.agent._fullness > FULL_SHARE
+    assert bench.agent._slow_share > FULL_SHARE
     assert any(a[0] == "rate-limited" for a in bench.port.answers)
     assert 0 < bench.port.retry_after[0] <= SLO
 
@@ -332,8 +332,8 @@
 def test_over_share_counts_against_the_customer_that_asks_too_much():
     given = settings(customers=(Customer("a", 0.5), Customer("b", 0.5)))
     agent = Bench(given).agent
-    over = [agent._over_share(0) for _ in range(60)]
-    assert over[0] is False and over[-1] is True and agent._over_share(1) is False
+    over = [agent._is_over_share(0) for _ in range(60)]
+    assert over[0] is False and over[-1] is True and agent._is_over_share(1) is False
 
 
 def test_tables_are_empty_once_all_is_answered():
@@ -341,7 +341,7 @@
     for n in range(200):
         bench.serve(n, 30.0)
     bench.list(UpdateKind.FULL, [Listing(0, READY)])
-    assert not bench.agent._live and not bench.agent._line
+    assert not bench.agent._open_calls and not bench.agent._queue
     assert [b.state for b in bench.agent._backends.values()] == [ListedState.READY]
 
 
@@ -416,10 +416,10 @@
 def test_connections_that_break_say_nothing_of_too_much_out():
     # Found on the long day: breaks at three backends of seven narrowed the bound from 22 shots to 7.
     bench = Bench(settings(kinds=((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),)))
-    before = bench.agent._bound
+    before = bench.agent._limit
     for n in range(40):
         bench.serve(n, 20.0, AttemptEnd.RESET if n % 2 else AttemptEnd.FULFILLED)
-    assert bench.agent._fullness == 0.0 and bench.agent._bound >= before
+    assert bench.agent._slow_share == 0.0 and bench.agent._limit >= before
 
 
 def test_breaks_that_come_from_any_backend_alike_eject_none_and_those_of_one_eject_it():
@@ -448,10 +448,10 @@
     agent = bench.agent
     for n in range(200):
         bench.serve(n, 5.0 if n < 100 else 25.0)
-    assert agent._fullness == 0.0 and agent._targets[0].ease < 10.0
+    assert agent._slow_share == 0.0 and agent._targets[0].ease < 10.0
     for n in range(200, 260):
         bench.serve(n, 60.0)
-    assert agent._fullness > FULL_SHARE  # a fifth of the SLO is slow where API calls took so little
+    assert agent._slow_share > FULL_SHARE  # a fifth of the SLO is slow where API calls took so little
 
 
 def test_an_api_call_that_ends_in_line_is_forgotten():
@@ -459,11 +459,11 @@
     bench = Bench(settings())
     agent = bench.agent
     first, second = bench.submit("a"), bench.submit("b")
-    agent._bound = agent._least = 1.0  # full with the second
+    agent._limit = agent._least = 1.0  # full with the second
     bench.answer("a", 50.0, AttemptEnd.REJECTED)
-    assert agent._line == [first]
+    assert agent._queue == [first]
     bench.move(100.0)
-    assert first.closed and list(agent._live) == [second]
+    assert first.closed and list(agent._open_calls) == [second]
 
 
 def test_a_bound_under_one_shot_paces_the_shots_and_grows_back_without_a_jump():
@@ -472,14 +472,14 @@
     agent = bench.agent
     for n in range(40):
         bench.serve(n, 100.0)
-    agent._bound, agent._fullness = 0.25, 0.0
+    agent._limit, agent._slow_share = 0.25, 0.0
     before = len(bench.port.sent)
     for n in range(10):
         bench.submit(("paced", n))
         bench.move(20.0)
         if bench.calls[("paced", n)].out:
             bench.answer(("paced", n), 20.0)
-    assert len(bench.port.sent) - before <= 2 and agent._bound <= 0.5
+    assert len(bench.port.sent) - before <= 2 and agent._limit <= 0.5
 
 
 def test_a_look_is_asked_for_when_it_is_due_and_not_before():
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -234,7 +234,7 @@
             assert site.agent.counters.open == 1
             assert len(await reader.readexactly(400_000)) == 400_000
             await site.settled()
-            assert b.latency_ms[0] < 200 and not b.ejected_until[0] and not balancer._live
+            assert b.latency_ms[0] < 200 and not b.ejected_until[0] and not balancer._open_calls
             assert site.agent.counters.shots == {"served": 1}
             writer.close()
 
@@ -346,7 +346,7 @@
             counters = site.agent.counters
             assert counters.others["requests sent ahead"] == 1 and counters.written == 1
             assert counters.outcomes[Outcome.FULFILLED]["pay"] == 1 and site.agent.serving.kept.held == 0
-            assert site.agent.pool.open <= 1 and not site.agent.balancer._live
+            assert site.agent.pool.open <= 1 and not site.agent.balancer._open_calls
 
     run(work())
 
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -57,12 +57,12 @@
     # is cold said nothing: 500 API calls a second turned away by the bound with 50 shots out on 60 backends.
     bench = Bench(settings(cold=COLD))
     all_cold(bench)
-    bench.agent._fullness, bench.agent._bound = 0.7, 1.0
+    bench.agent._slow_share, bench.agent._limit = 0.7, 1.0
     answers(bench, 12, 30, 0.3 * 400.0)
-    assert bench.agent._fullness < 0.2 and bench.agent._bound > 1.5
-    bench.agent._fullness = 0.0
+    assert bench.agent._slow_share < 0.2 and bench.agent._limit > 1.5
+    bench.agent._slow_share = 0.0
     answers(bench, 6, 30, 1.9 * 400.0)
-    assert bench.agent._fullness > 0.2
+    assert bench.agent._slow_share > 0.2
 
 
 def test_what_is_asked_is_measured_from_the_first_second():
@@ -71,15 +71,15 @@
     for n in range(20):
         bench.move(50.0)
         bench.submit(n)
-    bench.agent._earn(bench.now + 1)
-    assert bench.agent._asked / bench.agent._asked_for == pytest.approx(20 / 1000, rel=0.05)
+    bench.agent._earn_credit(bench.now + 1)
+    assert bench.agent._demand / bench.agent._demand_ms == pytest.approx(20 / 1000, rel=0.05)
 
 
 def test_one_that_refused_is_cold_from_its_next_answer_until_the_list_knows_better():
     bench = Bench(settings(cold=COLD))
     bench.list(UpdateKind.FULL, [Listing(i, READY) for i in range(4)])
     b = bench.agent._backends[2]
-    bench.agent._refused(bench.now, b)
+    bench.agent._mark_down(bench.now, b)
     assert bench.agent._is_cold(bench.now, b) and bench.agent._capacity(bench.now, b) == 0.2
     bench.move(5000.0)
     number = 0
@@ -189,11 +189,11 @@
     for bench in benches:
         all_cold(bench, 1)
         answers(bench, 3, 30, took)
-        grown = exp(WIDEN * 3000.0 / bench.agent._fall)
-        assert FIRST_BOUND <= bench.agent._lanes <= FIRST_BOUND * grown
-    earned = sum(sum(bench.agent._shares(bench.now, 0.0).values()) for bench in benches)
-    asked = sum(bench.agent._asked / bench.agent._asked_for for bench in benches)
-    assert earned * took <= max(bench.agent._lanes for bench in benches) * 1.3  # figures are smoothed
+        grown = exp(WIDEN * 3000.0 / bench.agent._fall_ms)
+        assert FIRST_BOUND <= bench.agent._cold_limit <= FIRST_BOUND * grown
+    earned = sum(sum(bench.agent._cold_credit_rates(bench.now, 0.0).values()) for bench in benches)
+    asked = sum(bench.agent._demand / bench.agent._demand_ms for bench in benches)
+    assert earned * took <= max(bench.agent._cold_limit for bench in benches) * 1.3  # figures are smoothed
     assert sum(len(bench.port.sent) for bench in benches) <= grown * FIRST_BOUND * 3000.0 / took + agents / 2
     assert earned < 0.1 * asked
 
@@ -202,13 +202,13 @@
     bench = Bench(settings(cold=COLD, agents=20))
     all_cold(bench, 1)
     answers(bench, 1, 10, 60.0)
-    bench.agent._lanes, lanes = FIRST_BOUND, []
+    bench.agent._cold_limit, lanes = FIRST_BOUND, []
     for fullness, times in ((0.0, 3), (0.25, 1), (0.9, 9)):
-        bench.agent._fullness = fullness
+        bench.agent._slow_share = fullness
         for _ in range(times):
-            bench.agent._shares(bench.now, 300.0)
-        lanes.append(bench.agent._lanes)
-    grown = 1 + WIDEN * 300.0 / bench.agent._fall
+            bench.agent._cold_credit_rates(bench.now, 300.0)
+        lanes.append(bench.agent._cold_limit)
+    grown = 1 + WIDEN * 300.0 / bench.agent._fall_ms
     assert lanes == pytest.approx([FIRST_BOUND * grown**3, FIRST_BOUND * grown**3, FIRST_BOUND])
 
 
@@ -244,7 +244,7 @@
         bench = Bench(settings(cold=COLD), seed=seed)
         all_cold(bench, 1)
         (b,) = bench.agent._ready
-        bench.agent._refused(bench.now, b)
+        bench.agent._mark_down(bench.now, b)
         b.credit = 0.4
         token = bench.submit("first")
         bench.move(30.0)
@@ -256,12 +256,12 @@
     # Found on power-old-list (seed 41): agents that stood a second before the backends had all saved up for each: 1.18.
     bench = Bench(settings(cold=COLD))
     all_cold(bench)
-    bench.agent._refused(bench.now, bench.agent._backends[0])
+    bench.agent._mark_down(bench.now, bench.agent._backends[0])
     for n in range(100):
         bench.move(100.0)
         bench.submit(n)
     credit = {b.index: b.credit for b in bench.agent._ready}
-    assert bench.agent._bare and credit[0] <= 0.5
+    assert bench.agent._mostly_cold and credit[0] <= 0.5
 
 
 def test_a_quick_backend_earns_more_than_its_part_and_a_slow_one_less_of_the_same_sum():
@@ -269,14 +269,14 @@
     all_cold(bench)
     answers(bench, 3, 30, 100.0)
     agent = bench.agent
-    agent._lanes = 1e3
+    agent._cold_limit = 1e3
     for b, figure in zip(agent._ready, (50.0, 100.0, 100.0, 400.0), strict=True):
         b.latency_ms[0] = figure
-    earns = list(agent._shares(bench.now, 0.0).values())
-    asked = agent._asked / agent._asked_for
+    earns = list(agent._cold_credit_rates(bench.now, 0.0).values())
+    asked = agent._demand / agent._demand_ms
     even = (
         asked
-        * (1 + RARE / (1 + asked * agent._fall))
+        * (1 + RARE / (1 + asked * agent._fall_ms))
         / 4
         * agent._capacity(bench.now, agent._ready[0])
         * agent._when_few
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -82,7 +82,7 @@
     bench = Bench(settings(cold=20_000.0))
     bench.list(UpdateKind.CACHED, [Listing(i, READY, 0.0) for i in range(4)])
     for b in bench.agent._ready:
-        bench.agent._refused(bench.now, b)
+        bench.agent._mark_down(bench.now, b)
     bench.move(10_000)
     here = bench.agent._ready[0]
     assert bench.agent._capacity(bench.now, here) == pytest.approx(
