--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -27,11 +27,11 @@
     SharedEstimates,
 )
 from lupinreach.policy.calls import EASE, FULL_AT, Call, ProductTerms, Target
-from lupinreach.policy.cold import FIRST_BOUND, ColdCredit
-from lupinreach.policy.learning import FULL_SHARE, LEAST_ROOM, MISS, TYPICAL, Learning
+from lupinreach.policy.cold import INITIAL_LIMIT, ColdCredit
+from lupinreach.policy.learning import LEAST_ROOM, MISS, SLOW_SHARE_LIMIT, TYPICAL, Learning
 from lupinreach.policy.membership import Membership
 
-HOLD = 4.0  # x longest SLO: from an ejection to the trial
+EJECTION_SLOS = 4.0  # x longest SLO: from an ejection to the trial
 MOST_SHARE = 4.0  # x what shots usually take: a backend this many times quicker gets no further turns for it
 CROWDED = 1.0  # x mean in flight for a backend's size: above it the backend's turn is skipped
 FRESH = 0.25  # backends that an agent uses for each API call that it takes within a hold, but at least
@@ -40,11 +40,11 @@
 CALM = 1.5  # stays at the first while that holds so many API calls a core, or the level; then all take turns
 FLOOR = 0.05  # of a turn's pace, for a backend that holds more than the level
 SPAN = 4.0  # x longest SLO: evidence of slow shots older than that counts for nothing, yet
-PATIENCE = 0.1  # x SLO: how long an API call stands in line
-LATE_AT = 0.8  # x SLO: a shot out for longer gets company, or is called off where copies are not allowed
+QUEUE_WAIT_SLOS = 0.1  # x SLO: how long an API call stands in line
+LATE_SLOS = 0.8  # x SLO: a shot out for longer gets company, or is called off where copies are not allowed
 BUDGET = 0.05  # further shots that may repeat work, for each API call taken
 BUDGET_MAX = 10.0  # the most of them that may be saved up
-TRIALS = 0.05  # trials for each API call taken
+TRIALS_PER_CALL = 0.05  # trials for each API call taken
 RETRY_AFTER = 0.25  # x SLO: when a rate-limited client is told to come back
 SILENT = 4.0  # x the backend's figure: a lone shot out for longer than that and its SLO ejects
 LEAST_LEFT = 0.1  # x SLO: less time left narrows an API call's room no further
@@ -77,7 +77,7 @@
         self.step = settings.step
         self._may_cancel = limits.may_cancel
         self._most_retry_after = limits.max_retry_after if limits.retry_after else 0.0
-        self._hold = HOLD * given[-1]
+        self._hold = EJECTION_SLOS * given[-1]
         self._look = max(settings.step, LOOK * given[0])
         self._fall_ms = rules.fall
         self._cold_ms = rules.cold or 1.0
@@ -128,7 +128,9 @@
         )  # work taken over `fall`, smoothed, and ms that it stands for
         self._dark = True  # nothing heard of the directory yet
         self._mostly_cold = False  # hardly one of the ready ones is warm
-        self._cold_limit = FIRST_BOUND  # shots in flight that each of mean size may then hold, of all agents
+        self._cold_limit = (
+            INITIAL_LIMIT  # shots in flight that each of mean size may then hold, of all agents
+        )
         self._looks_at = inf  # when the next look is due
         self._restored: dict[
             int, BackendSnapshot
@@ -164,8 +166,8 @@
         call = Call(self, now, ask, work, room)
         self._fresh += work
         self._budget = min(BUDGET_MAX, self._budget + BUDGET)
-        part = TRIALS if self._trial_rate is None else self._trial_rate * (now - self._taken_at)
-        self._trials = min(1.0, self._trials + min(TRIALS, part))
+        part = TRIALS_PER_CALL if self._trial_rate is None else self._trial_rate * (now - self._taken_at)
+        self._trials = min(1.0, self._trials + min(TRIALS_PER_CALL, part))
         self._taken = 1 + self._taken * max(0.0, 1 - (now - self._taken_at) / self._hold)
         self._taken_at = now
         self.dispatch(now, call)
@@ -287,7 +289,7 @@
 
     def spend_budget(self) -> bool:
         """Take one further shot out of the budget; none while shots are slow in general."""
-        if self._budget < 1 or self._slow_share > FULL_SHARE / 2:
+        if self._budget < 1 or self._slow_share > SLOW_SHARE_LIMIT / 2:
             return False
         self._budget -= 1
         return True
@@ -301,7 +303,7 @@
         call.waiting = True
         insort(self._queue, call, key=lambda c: -c.room)
         pace = self._pace() or call.target.slo
-        if len(self._queue) > max(1.0, self._inflight * PATIENCE * call.target.slo / pace):
+        if len(self._queue) > max(1.0, self._inflight * QUEUE_WAIT_SLOS * call.target.slo / pace):
             self.give_up(now, self._queue[-1])
         self._watch(now, inf)
 
@@ -323,7 +325,7 @@
 
     def _stands_until(self, call: Call) -> float:
         # Guards against a client timeout that falls between two looks at the line.
-        return min(call.arrived + PATIENCE * call.target.slo, call.until - 2 * self._look)
+        return min(call.arrived + QUEUE_WAIT_SLOS * call.target.slo, call.until - 2 * self._look)
 
     def _choose_backend(self, now: float, call: Call) -> Backend | None:
         """The next turn in the pool of the API call's SLO."""
@@ -391,14 +393,14 @@
 
     def _full(self, now: float, call: Call) -> bool:
         """If the bound in flight leaves no room for a shot of this API call now."""
-        if self._tells and self._load < 1 and self._slow_share <= FULL_SHARE:
+        if self._tells and self._load < 1 and self._slow_share <= SLOW_SHARE_LIMIT:
             return False
         if self._by_list:
             # Guards against lists that run far behind: what they say counts beside slow shots of its own.
-            felt = self._slow_share > FULL_SHARE / 2
+            felt = self._slow_share > SLOW_SHARE_LIMIT / 2
             return felt and self._admitted < 1 and self._random() >= self._admitted ** (1 / call.room)
         # Room is kept for the dearest only as far as shots are slow: with all in time, all may fill it.
-        kept = (1 - call.room) * min(1.0, self._slow_share / FULL_SHARE)
+        kept = (1 - call.room) * min(1.0, self._slow_share / SLOW_SHARE_LIMIT)
         bound = self._limit * (1 - kept)
         return self._inflight >= max(1.0, bound) or (bound < 1 and now < self._sent_at + self._pace() / bound)
 
@@ -453,7 +455,7 @@
         else:
             b.sent_work += call.work
         self._open_calls[call] = None
-        self._watch(now, now + LATE_AT * call.target.slo)
+        self._watch(now, now + LATE_SLOS * call.target.slo)
         self._port.send(call.token, b.index, call.until)
 
     def _use(self, now: float, b: Backend, call: Call) -> float:
@@ -510,7 +512,7 @@
         for call in self._open_calls:
             for shot in call.shots:
                 if shot.out and not shot.overdue:
-                    late = shot.sent + LATE_AT * call.target.slo
+                    late = shot.sent + LATE_SLOS * call.target.slo
                     # A copy that found no room or no budget yet may find it until the SLO.
                     due = min(
                         due, late if now < late else shot.sent + call.target.slo, max(late, now + self._look)
@@ -522,7 +524,7 @@
         last = call.shots[-1]
         if last.called_off or call.streaming or call.terms.kind is Idempotency.NON_IDEMPOTENT:
             return
-        if now < last.sent + LATE_AT * call.target.slo:
+        if now < last.sent + LATE_SLOS * call.target.slo:
             return
         if now >= call.arrived + call.target.slo or len(call.shots) >= self.max_attempts:
             return
--- a/lupinreach/ops/returning.py
+++ b/lupinreach/ops/returning.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from lupinreach.balance import HOLD
+from lupinreach.balance import EJECTION_SLOS
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.life import Life, Own
@@ -74,7 +74,7 @@
             Stays(
                 READ,
                 config.ask * (1 + SPREAD),
-                HOLD * max(p.slo for p in settings.products),
+                EJECTION_SLOS * max(p.slo for p in settings.products),
                 settings.rules.cold,
             ),
         )
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from lupinreach.balance import HOLD
+from lupinreach.balance import EJECTION_SLOS
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.counts import Counts
@@ -69,7 +69,7 @@
         self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, chance)
         self.warmth = Warmth(settings.me, settings.rules.cold, chance)
         self._fractions = [c.fraction for c in settings.customers]
-        self._hold = HOLD * slo
+        self._hold = EJECTION_SLOS * slo
         self._backends = 0
         self.trials: Budget | None = None  # from the first list on, by whose length the fleet's trials go
         self._lease = LEASE * config.beat
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -4,13 +4,13 @@
 
 from lupinreach.known import Backend
 from lupinreach.policy.calls import Call
-from lupinreach.policy.learning import FULL_SHARE, KEEP
+from lupinreach.policy.learning import KEEP, SLOW_SHARE_LIMIT
 
 BEYOND = 1e3  # x mean size: no weight is as large
-FIRST_BOUND = 2.0  # shots in flight that a backend of mean size is given before anything is known
-MOST_EARNS = 1.5  # x its part by size: a quick backend of a fleet without a warm one
-WIDEN = 2.0  # e-folds within `fall` of what each of them may hold, while shots come well in time
-RARE = 4.0  # x its part, at most: what an agent with hardly an API call within `fall` earns more
+INITIAL_LIMIT = 2.0  # shots in flight that a backend of mean size is given before anything is known
+MAX_CREDIT = 1.5  # x its part by size: a quick backend of a fleet without a warm one
+LIMIT_GROWTH = 2.0  # e-folds within `fall` of what each of them may hold, while shots come well in time
+RARE_BOOST = 4.0  # x its part, at most: what an agent with hardly an API call within `fall` earns more
 AHEAD = 0.5  # API calls: half of what first credits are spread over
 
 
@@ -59,7 +59,7 @@
         few = self._tells or len(warm) < KEEP * len(self._ready)
         rate = self._rate * (self._when_few if few else 1.0)
         self._mostly_cold = len(warm) < KEEP**2 * len(self._ready)
-        self._cold_limit = self._cold_limit if self._mostly_cold else FIRST_BOUND
+        self._cold_limit = self._cold_limit if self._mostly_cold else INITIAL_LIMIT
         earns = self._cold_credit_rates(now, passed) if self._mostly_cold else None
         for b in earns or self._ready:
             if self._is_cold(now, b):
@@ -78,18 +78,18 @@
         asked, paces, sizes = self._demand / self._demand_ms, sum(pace.values()), sum(b.size for b in used)
         # Guards against the first to be listed, which would get all that is asked: by Little's law none gets
         # more than `lanes` shots in flight, of all agents, until the fleet is seen to hold them.
-        grown, slow = 1 + WIDEN * passed / self._fall_ms, self._slow_share / FULL_SHARE
+        grown, slow = 1 + LIMIT_GROWTH * passed / self._fall_ms, self._slow_share / SLOW_SHARE_LIMIT
         self._cold_limit *= grown if slow < 0.5 else 1 / grown if slow > 1 else 1.0
-        self._cold_limit = max(FIRST_BOUND, min(BEYOND, self._cold_limit))
+        self._cold_limit = max(INITIAL_LIMIT, min(BEYOND, self._cold_limit))
         # Guards against credit by the mean for an agent that is asked now and then: half of it would lapse. It sends no more
         # than it is asked, so what all send stays under that; and none of this counts before the fleet is seen to hold it.
-        asked *= max(1.0, min(1 + RARE / (1 + asked * self._fall_ms), self._cold_limit / FIRST_BOUND))
+        asked *= max(1.0, min(1 + RARE_BOOST / (1 + asked * self._fall_ms), self._cold_limit / INITIAL_LIMIT))
         by_all, earns = self._agents * len(used) / max(1, len(self._ready)), {}
         for b in used:
             # What has answered nothing as it is now may be the slowest there is.
             part, met = self._capacity(now, b), b.latency_ms[0] is not None and not b.down
             took = self._expected_ms(b, t) / (part if b.latency_ms[0] is None else 1.0)
-            share = min(pace[b] / paces, MOST_EARNS * b.size / sizes) * (self._when_few if met else 1.0)
+            share = min(pace[b] / paces, MAX_CREDIT * b.size / sizes) * (self._when_few if met else 1.0)
             earns[b] = min(asked * share * part, self._cold_limit * b.size / (took * by_all))
         return earns
 
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -23,7 +23,7 @@
 TYPICAL = 0.02  # weight of the newest sample in what an SLO's API calls usually take, and how many are spoilt
 SOON = 0.05  # weight of the newest shot in the share of slow ones
 SUDDEN = 0.5  # one shot never weighs more than this
-FULL_SHARE = 1 / 3  # share of shots slower than FULL_AT from which the agent's own bound narrows
+SLOW_SHARE_LIMIT = 1 / 3  # share of shots slower than FULL_AT from which the agent's own bound narrows
 NARROW = 0.3  # how far the bound narrows, for a share of slow shots that is over by 1
 LEAST_ROOM = 0.5  # share of the bound that the API calls of least value may fill; the dearest fill it all
 
@@ -144,10 +144,10 @@
         weight = min(SUDDEN, max(SOON, (now - self._felt_at) / self._span))
         self._felt_at = now
         self._slow_share += weight * (slow - self._slow_share)
-        if self._slow_share > FULL_SHARE:
+        if self._slow_share > SLOW_SHARE_LIMIT:
             if now >= self._narrowed_at + self._pace():
                 self._narrowed_at = now
-                excess = self._slow_share - FULL_SHARE
+                excess = self._slow_share - SLOW_SHARE_LIMIT
                 self._limit = min(self._limit, self._peak) * (1 - NARROW * excess)
                 self._peak = self._inflight
         elif self._tells and self._inflight > self._limit:
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -7,7 +7,7 @@
 from lupinreach.known import Backend
 from lupinreach.model import BackendSnapshot, ListedState, Listing, PolicySnapshot, UpdateKind
 from lupinreach.policy.calls import FULL_AT
-from lupinreach.policy.cold import BEYOND, FIRST_BOUND
+from lupinreach.policy.cold import BEYOND, INITIAL_LIMIT
 from lupinreach.policy.learning import KEEP, NEWEST
 
 SHARED_BY = 8.0  # so many that each backend is used by as many agents, and 2
@@ -127,7 +127,7 @@
         # shared among the agents, are not what chokes it.
         # Guards against a backend whose load is up to one or two agents.
         self._least_used = max(FEW if self._tells else 2, ceil(SHARED_BY * len(self._ready) / self._agents))
-        self._least = FIRST_BOUND * max(1, len(self._ready)) / self._agents
+        self._least = INITIAL_LIMIT * max(1, len(self._ready)) / self._agents
         self._limit = max(self._least, self._limit)
         if self._dark:
             self._doubt(now, self._ready, True)
@@ -180,7 +180,7 @@
         Guards against a list from before a power loss, by which the rest of the fleet is warm. What an old
         list says counts until the registry speaks; refusals count beside its word: it learns late of a death.
         """
-        if sum(self._is_cold(now, b) for b in known) >= max(FIRST_BOUND, KEEP * len(known)):
+        if sum(self._is_cold(now, b) for b in known) >= max(INITIAL_LIMIT, KEEP * len(known)):
             for b in self._ready:
                 if not b.has_responded and not self._is_cold(now, b):
                     b.down, b.presumed_down, b.refused_at = True, by_list, now
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -5,7 +5,7 @@
 
 from helpers import DRAINING, READY, Bench, crowd, settings
 
-from lupinreach.balance import FULL_SHARE, HOLD, LATE_AT, PATIENCE, TRIALS
+from lupinreach.balance import EJECTION_SLOS, LATE_SLOS, QUEUE_WAIT_SLOS, SLOW_SHARE_LIMIT, TRIALS_PER_CALL
 from lupinreach.model import (
     AttemptEnd,
     Customer,
@@ -67,8 +67,8 @@
 
 def until_trial(bench, backend, latency):
     """Serve API calls until they have earned a trial and this backend has had it."""
-    bench.move(HOLD * SLO)
-    for n in range(int(1 / TRIALS) + 1):
+    bench.move(EJECTION_SLOS * SLO)
+    for n in range(int(1 / TRIALS_PER_CALL) + 1):
         bench.submit(("earn", n))
         at = bench.sent_to(("earn", n))[0]
         took = latency if at == backend else 50.0
@@ -100,7 +100,7 @@
         settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL), (Idempotency.IDEMPOTENT, DedupScope.ALL)))
     )
     misses(bench, 2)
-    bench.move(HOLD * SLO)
+    bench.move(EJECTION_SLOS * SLO)
     assert bench.serve("once", 50.0, product=0) != 2
     assert bench.serve("again", 50.0, product=1) == 2
 
@@ -181,7 +181,7 @@
         bench.move(50)
         while bench.calls[n].out:
             bench.answer(n, 2.0, AttemptEnd.UNREACHABLE)
-    assert bench.agent._slow_share < FULL_SHARE
+    assert bench.agent._slow_share < SLOW_SHARE_LIMIT
 
 
 def test_a_failed_directory_is_asked_again_with_a_growing_wait():
@@ -294,7 +294,7 @@
         if n >= 16 and bench.calls[n - 16].out:
             bench.answer(n - 16, 390.0, number=0)
         bench.move(10)
-    assert bench.agent._slow_share > FULL_SHARE
+    assert bench.agent._slow_share > SLOW_SHARE_LIMIT
     assert any(a[0] == "rate-limited" for a in bench.port.answers)
     assert 0 < bench.port.retry_after[0] <= SLO
 
@@ -313,8 +313,8 @@
     bench = Bench(settings(), backends=1)
     for n in range(3):
         bench.submit(n)
-    bench.submit("short", left=PATIENCE * SLO - 5.0)
-    bench.move(PATIENCE * SLO - 5.0)
+    bench.submit("short", left=QUEUE_WAIT_SLOS * SLO - 5.0)
+    bench.move(QUEUE_WAIT_SLOS * SLO - 5.0)
     assert not bench.sent_to("short") and [t for _, t in bench.port.answers].count("short") == 1
 
 
@@ -451,7 +451,7 @@
     assert agent._slow_share == 0.0 and agent._targets[0].ease < 10.0
     for n in range(200, 260):
         bench.serve(n, 60.0)
-    assert agent._slow_share > FULL_SHARE  # a fifth of the SLO is slow where API calls took so little
+    assert agent._slow_share > SLOW_SHARE_LIMIT  # a fifth of the SLO is slow where API calls took so little
 
 
 def test_an_api_call_that_ends_in_line_is_forgotten():
@@ -485,7 +485,7 @@
 def test_a_look_is_asked_for_when_it_is_due_and_not_before():
     bench = Bench(settings())
     bench.submit("a")
-    assert [at - bench.now for at, _ in bench.port.wakes] == [LATE_AT * SLO]
+    assert [at - bench.now for at, _ in bench.port.wakes] == [LATE_SLOS * SLO]
 
 
 def test_a_restarted_agent_that_knows_only_gone_backends_answers_at_once_and_serves_on_the_first_news():
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -7,7 +7,7 @@
 from helpers import READY, Bench, crowd, settings
 
 from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, UpdateKind
-from lupinreach.policy.cold import FIRST_BOUND, MOST_EARNS, RARE, WIDEN
+from lupinreach.policy.cold import INITIAL_LIMIT, LIMIT_GROWTH, MAX_CREDIT, RARE_BOOST
 from lupinreach.trial import play, spec
 
 COLD = 20_000.0
@@ -176,7 +176,7 @@
     for b, times in came.items():
         fair = sum(many * 3 / len(used) for many, used in zip(asked, users, strict=True) if b in used)
         part = 0.2 + 0.8 * 3000 / COLD
-        assert times <= fair * part * 1.5 * MOST_EARNS + sum(b in used for used in users)
+        assert times <= fair * part * 1.5 * MAX_CREDIT + sum(b in used for used in users)
     assert sum(came.values()) > 0.2 * 0.5 * 3 * sum(asked) and start < benches[0].now
 
 
@@ -189,12 +189,14 @@
     for bench in benches:
         all_cold(bench, 1)
         answers(bench, 3, 30, took)
-        grown = exp(WIDEN * 3000.0 / bench.agent._fall_ms)
-        assert FIRST_BOUND <= bench.agent._cold_limit <= FIRST_BOUND * grown
+        grown = exp(LIMIT_GROWTH * 3000.0 / bench.agent._fall_ms)
+        assert INITIAL_LIMIT <= bench.agent._cold_limit <= INITIAL_LIMIT * grown
     earned = sum(sum(bench.agent._cold_credit_rates(bench.now, 0.0).values()) for bench in benches)
     asked = sum(bench.agent._demand / bench.agent._demand_ms for bench in benches)
     assert earned * took <= max(bench.agent._cold_limit for bench in benches) * 1.3  # figures are smoothed
-    assert sum(len(bench.port.sent) for bench in benches) <= grown * FIRST_BOUND * 3000.0 / took + agents / 2
+    assert (
+        sum(len(bench.port.sent) for bench in benches) <= grown * INITIAL_LIMIT * 3000.0 / took + agents / 2
+    )
     assert earned < 0.1 * asked
 
 
@@ -202,14 +204,14 @@
     bench = Bench(settings(cold=COLD, agents=20))
     all_cold(bench, 1)
     answers(bench, 1, 10, 60.0)
-    bench.agent._cold_limit, lanes = FIRST_BOUND, []
+    bench.agent._cold_limit, lanes = INITIAL_LIMIT, []
     for fullness, times in ((0.0, 3), (0.25, 1), (0.9, 9)):
         bench.agent._slow_share = fullness
         for _ in range(times):
             bench.agent._cold_credit_rates(bench.now, 300.0)
         lanes.append(bench.agent._cold_limit)
-    grown = 1 + WIDEN * 300.0 / bench.agent._fall_ms
-    assert lanes == pytest.approx([FIRST_BOUND * grown**3, FIRST_BOUND * grown**3, FIRST_BOUND])
+    grown = 1 + LIMIT_GROWTH * 300.0 / bench.agent._fall_ms
+    assert lanes == pytest.approx([INITIAL_LIMIT * grown**3, INITIAL_LIMIT * grown**3, INITIAL_LIMIT])
 
 
 def test_an_agent_that_is_asked_now_and_then_earns_more_once_the_fleet_is_seen_to_hold_it():
@@ -276,12 +278,12 @@
     asked = agent._demand / agent._demand_ms
     even = (
         asked
-        * (1 + RARE / (1 + asked * agent._fall_ms))
+        * (1 + RARE_BOOST / (1 + asked * agent._fall_ms))
         / 4
         * agent._capacity(bench.now, agent._ready[0])
         * agent._when_few
     )
-    assert earns[0] == pytest.approx(MOST_EARNS * even)  # 0.47 of the paces, no more than that
+    assert earns[0] == pytest.approx(MAX_CREDIT * even)  # 0.47 of the paces, no more than that
     assert earns[3] == pytest.approx(4 * even * 0.25 / 4.25) and sum(earns) <= 4 * even
 
 
