--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -68,8 +68,8 @@
         given = [s for s in slos if s > 0] or [min(p.timeout for p in settings.products) / MISS]
         for t in self._targets:
             t.slo = t.slo or given[0]
-            t.base = t.slo * FULL_AT / EASE
-            t.recent = t.ease = t.slo * FULL_AT / EASE
+            t.idle = t.slo * FULL_AT / EASE
+            t.recent = t.low = t.slo * FULL_AT / EASE
         self._by_work = settings.value_by_work
         limits, rules = settings.limits, settings.rules
         self.max_attempts = limits.max_attempts
@@ -301,7 +301,7 @@
         most waits end in an answer. Guards against calls held only to be turned away.
         """
         call.waiting = True
-        insort(self._queue, call, key=lambda c: -c.room)
+        insort(self._queue, call, key=lambda c: -c.limit_share)
         pace = self._pace() or call.target.slo
         if len(self._queue) > max(1.0, self._inflight * QUEUE_WAIT_SLOS * call.target.slo / pace):
             self.give_up(now, self._queue[-1])
@@ -398,9 +398,9 @@
         if self._by_list:
             # Guards against lists that run far behind: what they say counts beside slow shots of its own.
             felt = self._slow_share > SLOW_SHARE_LIMIT / 2
-            return felt and self._admitted < 1 and self._random() >= self._admitted ** (1 / call.room)
+            return felt and self._admitted < 1 and self._random() >= self._admitted ** (1 / call.limit_share)
         # Room is kept for the dearest only as far as shots are slow: with all in time, all may fill it.
-        kept = (1 - call.room) * min(1.0, self._slow_share / SLOW_SHARE_LIMIT)
+        kept = (1 - call.limit_share) * min(1.0, self._slow_share / SLOW_SHARE_LIMIT)
         bound = self._limit * (1 - kept)
         return self._inflight >= max(1.0, bound) or (bound < 1 and now < self._sent_at + self._pace() / bound)
 
@@ -460,7 +460,7 @@
 
     def _use(self, now: float, b: Backend, call: Call) -> float:
         """What a turn there costs."""
-        usual = call.target.base if self._warm_keys and self._tells else self._expected_ms(b, call.target)
+        usual = call.target.idle if self._warm_keys and self._tells else self._expected_ms(b, call.target)
         if self._tells and self._level:
             usual /= max(FLOOR, 1 - b.load / self._level)
         return call.work * usual / (b.size * self._ramp(now, b))
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -27,20 +27,20 @@
 class Target:
     """One latency SLO and what its API calls usually take."""
 
-    __slots__ = ("index", "slo", "given", "typical", "recent", "ease", "base")
+    __slots__ = ("index", "slo", "has_slo", "typical", "recent", "low", "idle")
 
     def __init__(self, index: int, slo: float) -> None:
         self.index = index
         self.slo = slo
-        self.given = slo > 0
+        self.has_slo = slo > 0
         self.typical = 0.0  # ms from send to answer; 0 = none seen
-        self.recent = self.ease = 0.0  # smoothed latency, and its lowest of late
-        self.base = 0.0  # smoothed latency at backends that the list says have room
+        self.recent = self.low = 0.0  # smoothed latency, and its lowest of late
+        self.idle = 0.0  # smoothed latency at backends that the list says have room
 
-    def slow(self, latency: float) -> bool:
+    def is_slow(self, latency: float) -> bool:
         """If a shot took so long that backends must be holding too many."""
         # Guards against quick API calls, of which one that met a late loop would pass for a full backend.
-        return latency > min(FULL_AT * self.slo, max(EASE * self.ease, LEAST_SLOW * self.slo))
+        return latency > min(FULL_AT * self.slo, max(EASE * self.low, LEAST_SLOW * self.slo))
 
 
 class ProductTerms:
@@ -69,7 +69,7 @@
         "arrived",
         "key",
         "work",
-        "room",
+        "limit_share",
         "shots",
         "out",
         "done",
@@ -87,7 +87,7 @@
         self.arrived = now
         self.key = ask.key
         self.work = work
-        self.room = room
+        self.limit_share = room
         self.shots: list[Shot] = []
         self.out = 0
         self.done = False
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -66,8 +66,8 @@
             target.typical += TYPICAL * (latency - target.typical) if target.typical else latency
             target.recent += SOON * (latency - target.recent)
             if shot.load < 1 and self._tells:
-                target.base += SOON * (min(latency, target.slo) - target.base)
-            target.ease = min(target.ease * (1 + TYPICAL**2), target.recent)
+                target.idle += SOON * (min(latency, target.slo) - target.idle)
+            target.low = min(target.low * (1 + TYPICAL**2), target.recent)
         if not shot.overdue:
             self._sample(now, call, shot, ending, latency)
         if load is not None and load.in_flight is not None:
@@ -107,7 +107,7 @@
         aged = self._capacity(now, b) if cold else 1.0
         tells = (not cold or self._mostly_cold) and ending not in CUT_OFF and ending not in SPOILT
         if tells and not shot.lost and not b.ejected_until[own.index]:
-            self._learn_bound(now, failed or own.slow(latency * aged))
+            self._learn_bound(now, failed or own.is_slow(latency * aged))
         latency /= max(1.0, call.work)  # guards against a long API call that ejects a sound backend
         for t in self._targets:
             scale = t.typical / own.typical if own.typical and t.typical else t.slo / own.slo
@@ -127,7 +127,7 @@
                     b.ejected_until[i] = now + self._hold
                 continue
             figure = b.latency_ms[i] = sample if old is None and not failed else self._mix(old, t, sample)
-            if not t.given:
+            if not t.has_slo:
                 figures = sorted(f for o in self._ready if (f := o.latency_ms[i]) is not None) or [figure]
                 t.slo = DEFAULT_SLO * figures[len(figures) // 2]
             if figure > t.slo:
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -27,7 +27,7 @@
         return PolicySnapshot(
             self._slos,
             self._tells,
-            tuple((t.typical, t.recent, t.ease, t.base) for t in self._targets),
+            tuple((t.typical, t.recent, t.low, t.idle) for t in self._targets),
             tuple(
                 BackendSnapshot(b.name, b.boot_time, b.weight, tuple(b.latency_ms), b.failure_rate)
                 for b in self._ready
@@ -39,7 +39,7 @@
         if learnt.slos != self._slos or learnt.live_weights is not self._tells:
             return False
         for t, (typical, recent, ease, base) in zip(self._targets, learnt.slo_latencies, strict=True):
-            t.typical, t.recent, t.ease, t.base = typical, recent or t.recent, ease or t.ease, base or t.base
+            t.typical, t.recent, t.low, t.idle = typical, recent or t.recent, ease or t.low, base or t.idle
         self._restored = {met.name: met for met in learnt.backends}
         return True
 
@@ -154,8 +154,8 @@
         self._by_list = self._agents > len(self._ready)
         if self._gap:
             # By the trend, half of the excess at a time: guards against a share that swings with late lists.
-            excess = (2 * self._load - before - min(AIM * t.slo / t.base for t in self._targets)) / 2
-            answered = self._gap / max(t.base for t in self._targets)  # by a core, alone, until the next list
+            excess = (2 * self._load - before - min(AIM * t.slo / t.idle for t in self._targets)) / 2
+            answered = self._gap / max(t.idle for t in self._targets)  # by a core, alone, until the next list
             step = min(GROW, max(CUT, 1 - excess / answered))
             self._admitted = min(1.0, max(LEAST_ADMIT, self._admitted * step))
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -448,7 +448,7 @@
     agent = bench.agent
     for n in range(200):
         bench.serve(n, 5.0 if n < 100 else 25.0)
-    assert agent._slow_share == 0.0 and agent._targets[0].ease < 10.0
+    assert agent._slow_share == 0.0 and agent._targets[0].low < 10.0
     for n in range(200, 260):
         bench.serve(n, 60.0)
     assert agent._slow_share > SLOW_SHARE_LIMIT  # a fifth of the SLO is slow where API calls took so little
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -111,11 +111,11 @@
 def test_first_tries_go_before_repeats_and_before_what_has_little_time_left():
     # Found at big-2: clients that came again at once got most of a fleet that was short of room.
     bench = live(agents=100)
-    room = bench.submit("first").room
-    assert bench.submit("again", is_retry=True).room == room / 2
-    assert bench.submit("short", left=100.0).room == pytest.approx(room / 4)
+    room = bench.submit("first").limit_share
+    assert bench.submit("again", is_retry=True).limit_share == room / 2
+    assert bench.submit("short", left=100.0).limit_share == pytest.approx(room / 4)
     plain = Bench(settings())
-    assert plain.submit("again", is_retry=True).room == plain.submit("first").room
+    assert plain.submit("again", is_retry=True).limit_share == plain.submit("first").limit_share
 
 
 def test_the_word_for_weights_is_read_and_checked():
