--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -279,7 +279,7 @@
     def call_off(self, call: Call, but: Shot | None = None) -> None:
         """Call off what is still out."""
         if self._may_cancel:
-            for s in call.shots:
+            for s in call.attempts:
                 if s.out and not s.called_off and s is not but:
                     s.called_off = True
                     self._port.cancel(call.token, s.number)
@@ -335,12 +335,12 @@
             return next((b for b in self._ready if call.may_use(b)), None)
         if self._full(now, call):
             return None
-        tried = {s.backend for s in call.shots}
+        tried = {s.backend for s in call.attempts}
         usable = [b for b in self._ready if call.may_use(b)] if tried else self._ready
         if tried and any(b not in tried for b in usable):
             usable = [b for b in usable if b not in tried]
         pool = [b for b in usable if not b.ejected_until[t]]
-        if self._trials >= 1 and call.terms.kind is not Idempotency.NON_IDEMPOTENT and not call.shots:
+        if self._trials >= 1 and call.terms.kind is not Idempotency.NON_IDEMPOTENT and not call.attempts:
             for b in usable:
                 if (
                     b.ejected_until[t]
@@ -430,12 +430,12 @@
 
     def _send(self, now: float, call: Call, b: Backend) -> None:
         t = call.target.index
-        shot = Shot(len(call.shots), b, now)
+        shot = Shot(len(call.attempts), b, now)
         if b.ejected_until[t] and now >= b.ejected_until[t] and b.trial is None:
             b.trial = shot
             shot.trial = True
             self._trials -= 1
-        call.shots.append(shot)
+        call.attempts.append(shot)
         call.out += 1
         if not b.inflight:
             b.silent_since = now
@@ -491,42 +491,44 @@
     def _sweep(self, now: float) -> None:
         for call in list(self._open_calls):
             slo = call.target.slo
-            for shot in call.shots:
-                if shot.out and not shot.overdue and now >= shot.sent + slo:
+            for shot in call.attempts:
+                if shot.out and not shot.overdue and now >= shot.sent_at + slo:
                     # Guards against backends that take work and answer nothing: evidence before it ends.
                     shot.overdue = True
                     b, usual = shot.backend, shot.backend.latency_ms[call.target.index] or 0.0
                     # Where the list tells what is held, silence says that a backend hangs or is cut off,
                     # not that too much is out. Guards against an idle fleet refused for want of room.
-                    shot.lost = self._tells and not self._by_list and b.silent_since <= shot.sent
+                    shot.lost = self._tells and not self._by_list and b.silent_since <= shot.sent_at
                     self._inflight -= shot.lost
-                    if b.silent_since <= shot.sent and now - shot.sent > SILENT * usual:
+                    if b.silent_since <= shot.sent_at and now - shot.sent_at > SILENT * usual:
                         # Nothing at all came back since, nor ever takes as long: one such shot says enough.
                         b.latency_ms = [MISS * t.slo for t in self._targets]
-                    self._sample(now, call, shot, AttemptEnd.TIMED_OUT, now - shot.sent)
+                    self._sample(now, call, shot, AttemptEnd.TIMED_OUT, now - shot.sent_at)
             if not call.done and call.out == 1:
                 self._hedge(now, call)
         self._expire(now)
         self.drain_queue(now)
         due = inf
         for call in self._open_calls:
-            for shot in call.shots:
+            for shot in call.attempts:
                 if shot.out and not shot.overdue:
-                    late = shot.sent + LATE_SLOS * call.target.slo
+                    late = shot.sent_at + LATE_SLOS * call.target.slo
                     # A copy that found no room or no budget yet may find it until the SLO.
                     due = min(
-                        due, late if now < late else shot.sent + call.target.slo, max(late, now + self._look)
+                        due,
+                        late if now < late else shot.sent_at + call.target.slo,
+                        max(late, now + self._look),
                     )
         self._watch(now, due)
 
     def _hedge(self, now: float, call: Call) -> None:
         """Send a copy beside a late shot, or call the shot off to send another."""
-        last = call.shots[-1]
+        last = call.attempts[-1]
         if last.called_off or call.streaming or call.terms.kind is Idempotency.NON_IDEMPOTENT:
             return
-        if now < last.sent + LATE_SLOS * call.target.slo:
+        if now < last.sent_at + LATE_SLOS * call.target.slo:
             return
-        if now >= call.arrived + call.target.slo or len(call.shots) >= self.max_attempts:
+        if now >= call.arrived + call.target.slo or len(call.attempts) >= self.max_attempts:
             return
         if self.may_hedge:
             b = self._choose_backend(now, call) if call.may_send(now) else None
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -24,7 +24,7 @@
 
     def may_send(self, now: float) -> bool:
         to = self._to
-        return not self.done and now < self.until and len(self.shots) < to.max_attempts and not self.out
+        return not self.done and now < self.until and len(self.attempts) < to.max_attempts and not self.out
 
 
 class Forgetful(Call):
@@ -35,7 +35,9 @@
     def may_send(self, now: float) -> bool:
         if self.terms.kind is not Idempotency.DEDUPLICATED:
             return Call.may_send(self, now)
-        return not self.done and now < self.until and len(self.shots) < self._to.max_attempts and not self.out
+        return (
+            not self.done and now < self.until and len(self.attempts) < self._to.max_attempts and not self.out
+        )
 
 
 class Resends(Balancer):
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -26,7 +26,7 @@
 
     def _choose_backend(self, now: float, call: Call) -> Backend | None:
         usable = [b for b in self._ready if call.may_use(b)]
-        fresh = [b for b in usable if all(s.backend is not b for s in call.shots)]
+        fresh = [b for b in usable if all(s.backend is not b for s in call.attempts)]
         return self.pick(now, call, fresh or usable) if usable else None
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
@@ -161,7 +161,7 @@
         assert self.truth is not None
         work = self.truth.work(self.product_terms.index(call.terms)) * call.work
         left = min(call.target.slo, call.until - call.arrived) - (now - call.arrived)
-        best, first = None, left if not call.shots else inf
+        best, first = None, left if not call.attempts else inf
         # Of as many as other agents use: connections are scarce, and backends turn away what comes over too many.
         for b in self._ready[: self._subset_size()]:
             if call.may_use(b) and (model := self.truth.backend(b.index)) is not None:
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -78,7 +78,7 @@
     __slots__ = (
         "number",
         "backend",
-        "sent",
+        "sent_at",
         "load",
         "out",
         "ran",
@@ -92,7 +92,7 @@
     def __init__(self, number: int, backend: Backend, sent: float) -> None:
         self.number = number
         self.backend = backend
-        self.sent = sent
+        self.sent_at = sent
         self.load = backend.load  # at sending
         self.out = True
         self.ran = True  # may have run, until its ending proves that it didn't
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -228,7 +228,7 @@
 
     async def _settle(self, call: Call, shots: list[Out]) -> None:
         """After a fault: end what is out, so that the module's books stay right."""
-        for number in range(len(call.shots)):
+        for number in range(len(call.attempts)):
             end = End.CALLED_OFF_SENDING  # if it was ordered and never begun
             if number < len(shots):
                 shots[number].task.cancel()
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -70,7 +70,7 @@
         "key",
         "work",
         "limit_share",
-        "shots",
+        "attempts",
         "out",
         "done",
         "streaming",
@@ -88,7 +88,7 @@
         self.key = ask.key
         self.work = work
         self.limit_share = room
-        self.shots: list[Shot] = []
+        self.attempts: list[Shot] = []
         self.out = 0
         self.done = False
         self.streaming = False
@@ -105,14 +105,14 @@
     def may_send(self, now: float) -> bool:
         """If any further shot is allowed at all; `may_use` says where to."""
         to = self._to
-        if self.done or self.streaming or now >= self.until or len(self.shots) >= to.max_attempts:
+        if self.done or self.streaming or now >= self.until or len(self.attempts) >= to.max_attempts:
             return False
-        if (self.out and not to.may_hedge) or (self.pinned_to is not None and self.shots):
+        if (self.out and not to.may_hedge) or (self.pinned_to is not None and self.attempts):
             return False
         if self.terms.kind is Idempotency.NON_IDEMPOTENT:
-            return not any(s.ran for s in self.shots)
+            return not any(s.ran for s in self.attempts)
         if self.terms.kind is Idempotency.DEDUPLICATED:
-            first = min((s.sent for s in self.shots if s.ran), default=None)
+            first = min((s.sent_at for s in self.attempts if s.ran), default=None)
             return first is None or now + to.step < first + self.terms.memory
         return True
 
@@ -122,7 +122,7 @@
             return False
         if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is not DedupScope.ALL:
             zone = self.terms.group is DedupScope.ZONE
-            for s in self.shots:
+            for s in self.attempts:
                 if s.ran and (s.backend.zone != b.zone if zone else s.backend.cell != b.cell):
                     return False
         return True
@@ -133,7 +133,7 @@
             return True
         if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is DedupScope.ALL:
             return True
-        return not any(s.ran for s in self.shots)
+        return not any(s.ran for s in self.attempts)
 
     # What happens to the API call.
 
@@ -145,7 +145,7 @@
         With a latency, that is the shot's, to its first bytes: what comes after is transfer and says nothing
         of how full the backend is. Without one, all of it is the shot's.
         """
-        shot, to = self.shots[number], self._to
+        shot, to = self.attempts[number], self._to
         self.streaming = True
         if latency is not None and shot.out and not shot.passing:
             shot.ran = shot.passing = True
@@ -168,7 +168,7 @@
         load: Load | None = None,
     ) -> None:
         """A shot has ended."""
-        shot = self.shots[number]
+        shot = self.attempts[number]
         if not shot.out:
             return
         shot.out = False
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -50,9 +50,9 @@
         elif ending not in NO_SIGN:
             b.has_responded = True
             if b.down:
-                b.down, b.started_at = False, shot.sent
+                b.down, b.started_at = False, shot.sent_at
                 self._restarted(b, b.credit)
-            b.up_since = b.up_since or shot.sent
+            b.up_since = b.up_since or shot.sent_at
         if (
             ending in (AttemptEnd.UNSENT, AttemptEnd.CANCELLED)
             or (shot.overdue and failed)
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -47,7 +47,7 @@
     at = set()
     for n in range(30):
         tell(bench, [rng.uniform(0.0, 1.2) for _ in range(6)])
-        at.add(bench.submit(n, key=77).shots[0].backend.index)
+        at.add(bench.submit(n, key=77).attempts[0].backend.index)
         bench.move(30.0)
         bench.answer(n, 30.0)
     assert len(at) == 1
@@ -55,12 +55,12 @@
     tell(bench, [9.0 if i == home else 0.4 for i in range(6)], times=3)
     others = Counter()
     for n in range(100, 120):
-        others[bench.submit(n, key=77).shots[0].backend.index] += 1
+        others[bench.submit(n, key=77).attempts[0].backend.index] += 1
         bench.move(30.0)
         bench.answer(n, 30.0)
     assert others[home] <= 4 and len(others) > 2
     tell(bench, [0.4] * 6)
-    assert bench.submit("back", key=77).shots[0].backend.index == home
+    assert bench.submit("back", key=77).attempts[0].backend.index == home
 
 
 def test_a_loaded_backend_gets_fewer_turns_and_none_is_flooded():
@@ -83,7 +83,7 @@
     def refused(first):
         before = len(bench.port.answers)
         for n in range(first, first + 40):
-            if bench.submit(n).shots:
+            if bench.submit(n).attempts:
                 bench.move(350.0)  # slow, within the SLO: the agent feels it too
                 bench.answer(n, 350.0)
         return len(bench.port.answers) - before
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -116,7 +116,7 @@
             bench.calls[token] = None
             call = bench.submit(token, product, left, key=token % 3, is_retry=token % 4 == 0)
             for number in range(len(self.plain[token].shots)):
-                assert call.shots[number].number == number
+                assert call.attempts[number].number == number
         elif what < 0.75:
             out = [(t, n) for t, c in self.plain.items() for n, s in enumerate(c.shots) if s.ending is None]
             if out:
