--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -14,7 +14,7 @@
 from math import ceil, inf, log
 from zlib import crc32
 
-from lupinreach.known import Backend, Shot
+from lupinreach.known import Attempt, Backend
 from lupinreach.model import (
     AttemptEnd,
     BackendSnapshot,
@@ -267,21 +267,21 @@
         if call.done:
             return
         call.done = True
-        if not call.out:
+        if not call.pending:
             # Guards against one whose last shot ended before it stood in line: no ending would remove it.
             self.forget(call)
-        if call.waiting:
-            call.waiting = False
+        if call.queued:
+            call.queued = False
             self._queue.remove(call)
         if not call.streaming:
             self.call_off(call)
 
-    def call_off(self, call: Call, but: Shot | None = None) -> None:
+    def call_off(self, call: Call, but: Attempt | None = None) -> None:
         """Call off what is still out."""
         if self._may_cancel:
             for s in call.attempts:
-                if s.out and not s.called_off and s is not but:
-                    s.called_off = True
+                if s.pending and not s.cancelled and s is not but:
+                    s.cancelled = True
                     self._port.cancel(call.token, s.number)
 
     def forget(self, call: Call) -> None:
@@ -300,7 +300,7 @@
         The line is never longer than what the API calls out now make room for within the patience, so that
         most waits end in an answer. Guards against calls held only to be turned away.
         """
-        call.waiting = True
+        call.queued = True
         insort(self._queue, call, key=lambda c: -c.limit_share)
         pace = self._pace() or call.target.slo
         if len(self._queue) > max(1.0, self._inflight * QUEUE_WAIT_SLOS * call.target.slo / pace):
@@ -314,7 +314,7 @@
             b = self._choose_backend(now, call) if call.may_send(now) else None
             if b is None:
                 return
-            call.waiting = False
+            call.queued = False
             del self._queue[0]
             self._send(now, call, b)
 
@@ -430,13 +430,13 @@
 
     def _send(self, now: float, call: Call, b: Backend) -> None:
         t = call.target.index
-        shot = Shot(len(call.attempts), b, now)
+        attempt = Attempt(len(call.attempts), b, now)
         if b.ejected_until[t] and now >= b.ejected_until[t] and b.trial is None:
-            b.trial = shot
-            shot.trial = True
+            b.trial = attempt
+            attempt.trial = True
             self._trials -= 1
-        call.attempts.append(shot)
-        call.out += 1
+        call.attempts.append(attempt)
+        call.pending += 1
         if not b.inflight:
             b.silent_since = now
         b.inflight += 1
@@ -491,32 +491,34 @@
     def _sweep(self, now: float) -> None:
         for call in list(self._open_calls):
             slo = call.target.slo
-            for shot in call.attempts:
-                if shot.out and not shot.overdue and now >= shot.sent_at + slo:
+            for attempt in call.attempts:
+                if attempt.pending and not attempt.overdue and now >= attempt.sent_at + slo:
                     # Guards against backends that take work and answer nothing: evidence before it ends.
-                    shot.overdue = True
-                    b, usual = shot.backend, shot.backend.latency_ms[call.target.index] or 0.0
+                    attempt.overdue = True
+                    b, usual = attempt.backend, attempt.backend.latency_ms[call.target.index] or 0.0
                     # Where the list tells what is held, silence says that a backend hangs or is cut off,
                     # not that too much is out. Guards against an idle fleet refused for want of room.
-                    shot.lost = self._tells and not self._by_list and b.silent_since <= shot.sent_at
-                    self._inflight -= shot.lost
-                    if b.silent_since <= shot.sent_at and now - shot.sent_at > SILENT * usual:
+                    attempt.uncounted = (
+                        self._tells and not self._by_list and b.silent_since <= attempt.sent_at
+                    )
+                    self._inflight -= attempt.uncounted
+                    if b.silent_since <= attempt.sent_at and now - attempt.sent_at > SILENT * usual:
                         # Nothing at all came back since, nor ever takes as long: one such shot says enough.
                         b.latency_ms = [MISS * t.slo for t in self._targets]
-                    self._sample(now, call, shot, AttemptEnd.TIMED_OUT, now - shot.sent_at)
-            if not call.done and call.out == 1:
+                    self._sample(now, call, attempt, AttemptEnd.TIMED_OUT, now - attempt.sent_at)
+            if not call.done and call.pending == 1:
                 self._hedge(now, call)
         self._expire(now)
         self.drain_queue(now)
         due = inf
         for call in self._open_calls:
-            for shot in call.attempts:
-                if shot.out and not shot.overdue:
-                    late = shot.sent_at + LATE_SLOS * call.target.slo
+            for attempt in call.attempts:
+                if attempt.pending and not attempt.overdue:
+                    late = attempt.sent_at + LATE_SLOS * call.target.slo
                     # A copy that found no room or no budget yet may find it until the SLO.
                     due = min(
                         due,
-                        late if now < late else shot.sent_at + call.target.slo,
+                        late if now < late else attempt.sent_at + call.target.slo,
                         max(late, now + self._look),
                     )
         self._watch(now, due)
@@ -524,7 +526,7 @@
     def _hedge(self, now: float, call: Call) -> None:
         """Send a copy beside a late shot, or call the shot off to send another."""
         last = call.attempts[-1]
-        if last.called_off or call.streaming or call.terms.kind is Idempotency.NON_IDEMPOTENT:
+        if last.cancelled or call.streaming or call.terms.kind is Idempotency.NON_IDEMPOTENT:
             return
         if now < last.sent_at + LATE_SLOS * call.target.slo:
             return
@@ -535,7 +537,7 @@
             if b is not None and b is not last.backend and self.spend_budget():
                 self._send(now, call, b)
         elif self._may_cancel and call.terms.kind is Idempotency.IDEMPOTENT and self.spend_budget():
-            last.called_off = True
+            last.cancelled = True
             self._port.cancel(call.token, last.number)
 
     def _is_over_share(self, customer: int) -> bool:
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -60,7 +60,7 @@
         self.ejected_until: list[float] = [
             0.0
         ] * targets  # per SLO: 0 = in the pool, else when a trial is due
-        self.trial: Shot | None = None
+        self.trial: Attempt | None = None
         self.silent_since = 0.0  # with shots out: the last answer, or the first send after it
         self.inflight = 0
         self.backoff_until = 0.0  # after a quick failure no turn until then
@@ -72,7 +72,7 @@
         self.failure_rate = 0.0  # smoothed share of shots that were spoilt
 
 
-class Shot:
+class Attempt:
     """One shot of an API call; lives as long as its API call."""
 
     __slots__ = (
@@ -80,13 +80,13 @@
         "backend",
         "sent_at",
         "load",
-        "out",
-        "ran",
+        "pending",
+        "may_have_run",
         "overdue",
         "trial",
-        "called_off",
-        "passing",
-        "lost",
+        "cancelled",
+        "answer_begun",
+        "uncounted",
     )
 
     def __init__(self, number: int, backend: Backend, sent: float) -> None:
@@ -94,10 +94,12 @@
         self.backend = backend
         self.sent_at = sent
         self.load = backend.load  # at sending
-        self.out = True
-        self.ran = True  # may have run, until its ending proves that it didn't
+        self.pending = True
+        self.may_have_run = True  # may have run, until its ending proves that it didn't
         self.overdue = False
         self.trial = False
-        self.called_off = False
-        self.lost = False  # its backend has sent nothing since: it takes up no room of the bound any more
-        self.passing = False  # its answer is on its way to the client, and was booked when it began
+        self.cancelled = False
+        self.uncounted = (
+            False  # its backend has sent nothing since: it takes up no room of the bound any more
+        )
+        self.answer_begun = False  # its answer is on its way to the client, and was booked when it began
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lupinreach.known import Backend, Shot
+from lupinreach.known import Attempt, Backend
 from lupinreach.model import (
     NEVER_RAN,
     AttemptEnd,
@@ -71,10 +71,10 @@
         "work",
         "limit_share",
         "attempts",
-        "out",
+        "pending",
         "done",
         "streaming",
-        "waiting",
+        "queued",
         "pinned_to",
     )
 
@@ -88,17 +88,17 @@
         self.key = ask.key
         self.work = work
         self.limit_share = room
-        self.attempts: list[Shot] = []
-        self.out = 0
+        self.attempts: list[Attempt] = []
+        self.pending = 0
         self.done = False
         self.streaming = False
-        self.waiting = False
+        self.queued = False
         self.pinned_to = ask.pinned_to
 
     @property
     def closed(self) -> bool:
         """True once nothing more can come for this handle."""
-        return self.done and not self.out
+        return self.done and not self.pending
 
     # The rules, asked before every shot and every rate-limit reply.
 
@@ -107,12 +107,12 @@
         to = self._to
         if self.done or self.streaming or now >= self.until or len(self.attempts) >= to.max_attempts:
             return False
-        if (self.out and not to.may_hedge) or (self.pinned_to is not None and self.attempts):
+        if (self.pending and not to.may_hedge) or (self.pinned_to is not None and self.attempts):
             return False
         if self.terms.kind is Idempotency.NON_IDEMPOTENT:
-            return not any(s.ran for s in self.attempts)
+            return not any(s.may_have_run for s in self.attempts)
         if self.terms.kind is Idempotency.DEDUPLICATED:
-            first = min((s.sent_at for s in self.attempts if s.ran), default=None)
+            first = min((s.sent_at for s in self.attempts if s.may_have_run), default=None)
             return first is None or now + to.step < first + self.terms.memory
         return True
 
@@ -123,7 +123,7 @@
         if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is not DedupScope.ALL:
             zone = self.terms.group is DedupScope.ZONE
             for s in self.attempts:
-                if s.ran and (s.backend.zone != b.zone if zone else s.backend.cell != b.cell):
+                if s.may_have_run and (s.backend.zone != b.zone if zone else s.backend.cell != b.cell):
                     return False
         return True
 
@@ -133,7 +133,7 @@
             return True
         if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is DedupScope.ALL:
             return True
-        return not any(s.ran for s in self.attempts)
+        return not any(s.may_have_run for s in self.attempts)
 
     # What happens to the API call.
 
@@ -145,13 +145,13 @@
         With a latency, that is the shot's, to its first bytes: what comes after is transfer and says nothing
         of how full the backend is. Without one, all of it is the shot's.
         """
-        shot, to = self.attempts[number], self._to
+        attempt, to = self.attempts[number], self._to
         self.streaming = True
-        if latency is not None and shot.out and not shot.passing:
-            shot.ran = shot.passing = True
-            to.record_attempt(now, self, shot, AttemptEnd.FULFILLED, latency, load)
-            to.call_off(self, shot)
-        shot.overdue = True
+        if latency is not None and attempt.pending and not attempt.answer_begun:
+            attempt.may_have_run = attempt.answer_begun = True
+            to.record_attempt(now, self, attempt, AttemptEnd.FULFILLED, latency, load)
+            to.call_off(self, attempt)
+        attempt.overdue = True
         to.drain_queue(now)
 
     def on_client_left(self, now: float) -> None:
@@ -168,22 +168,22 @@
         load: Load | None = None,
     ) -> None:
         """A shot has ended."""
-        shot = self.attempts[number]
-        if not shot.out:
+        attempt = self.attempts[number]
+        if not attempt.pending:
             return
-        shot.out = False
-        shot.ran = ending not in NEVER_RAN
-        self.out -= 1
+        attempt.pending = False
+        attempt.may_have_run = ending not in NEVER_RAN
+        self.pending -= 1
         to = self._to
-        if not shot.passing:
-            to.record_attempt(now, self, shot, ending, latency, load)
+        if not attempt.answer_begun:
+            to.record_attempt(now, self, attempt, ending, latency, load)
         elif ending is not AttemptEnd.FULFILLED and ending is not AttemptEnd.CANCELLED:
             # What broke under way may be any backend's; it ejects like a break, and narrows no bound.
-            to.record_late_failure(now, self, shot)
+            to.record_late_failure(now, self, attempt)
         if complete:
             to.finish(self, now)
-        elif not self.done and not self.out and not self.streaming:
-            if shot.ran and not shot.called_off and not to.spend_budget():
+        elif not self.done and not self.pending and not self.streaming:
+            if attempt.may_have_run and not attempt.cancelled and not to.spend_budget():
                 to.give_up(now, self)
             else:
                 to.dispatch(now, self)
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -4,7 +4,7 @@
 
 from math import sqrt
 
-from lupinreach.known import Backend, Shot
+from lupinreach.known import Attempt, Backend
 from lupinreach.model import AttemptEnd, Load
 from lupinreach.policy.calls import Call, Target
 
@@ -34,15 +34,15 @@
     # Learning from what came back.
 
     def record_attempt(
-        self, now: float, call: Call, shot: Shot, ending: AttemptEnd, latency: float, load: Load | None
+        self, now: float, call: Call, attempt: Attempt, ending: AttemptEnd, latency: float, load: Load | None
     ) -> None:
         """Book the end of a shot."""
-        b = shot.backend
+        b = attempt.backend
         b.inflight -= 1
-        self._inflight -= not shot.lost
+        self._inflight -= not attempt.uncounted
         target = call.target
         failed = ending is not AttemptEnd.FULFILLED
-        if shot.trial:
+        if attempt.trial:
             b.trial = None
         if ending is AttemptEnd.REFUSED:
             # Its credit is spent: guards against agents that have all saved it up by the time it is back.
@@ -50,26 +50,26 @@
         elif ending not in NO_SIGN:
             b.has_responded = True
             if b.down:
-                b.down, b.started_at = False, shot.sent_at
+                b.down, b.started_at = False, attempt.sent_at
                 self._restarted(b, b.credit)
-            b.up_since = b.up_since or shot.sent_at
+            b.up_since = b.up_since or attempt.sent_at
         if (
             ending in (AttemptEnd.UNSENT, AttemptEnd.CANCELLED)
-            or (shot.overdue and failed)
-            or shot.called_off
+            or (attempt.overdue and failed)
+            or attempt.cancelled
         ):
-            if shot.trial and b.ejected_until[target.index]:
-                b.ejected_until[target.index] = now + (self._hold if shot.overdue else 0.0)
+            if attempt.trial and b.ejected_until[target.index]:
+                b.ejected_until[target.index] = now + (self._hold if attempt.overdue else 0.0)
             return
         b.failure_rate += TYPICAL * ((ending in SPOILT) - b.failure_rate)
         if not failed:
             target.typical += TYPICAL * (latency - target.typical) if target.typical else latency
             target.recent += SOON * (latency - target.recent)
-            if shot.load < 1 and self._tells:
+            if attempt.load < 1 and self._tells:
                 target.idle += SOON * (min(latency, target.slo) - target.idle)
             target.low = min(target.low * (1 + TYPICAL**2), target.recent)
-        if not shot.overdue:
-            self._sample(now, call, shot, ending, latency)
+        if not attempt.overdue:
+            self._sample(now, call, attempt, ending, latency)
         if load is not None and load.in_flight is not None:
             # A report spots extremes and ranks nothing: agents that rank by late reports herd.
             crowd = load.in_flight / b.size
@@ -89,24 +89,24 @@
             b.backoff_until = now + min(self._hold, target.typical * 2**b.fast_failures)
             b.fast_failures += 1
 
-    def record_late_failure(self, now: float, call: Call, shot: Shot) -> None:
+    def record_late_failure(self, now: float, call: Call, attempt: Attempt) -> None:
         """A shot broke whose answer had begun and was booked."""
-        shot.backend.failure_rate += TYPICAL * (1 - shot.backend.failure_rate)
-        self._sample(now, call, shot, AttemptEnd.RESET, 0.0)
+        attempt.backend.failure_rate += TYPICAL * (1 - attempt.backend.failure_rate)
+        self._sample(now, call, attempt, AttemptEnd.RESET, 0.0)
 
-    def _sample(self, now: float, call: Call, shot: Shot, ending: AttemptEnd, latency: float) -> None:
+    def _sample(self, now: float, call: Call, attempt: Attempt, ending: AttemptEnd, latency: float) -> None:
         """One sample for the backend's figure of every SLO, scaled to what each SLO's API calls usually take.
 
         Guards against agents with little traffic that would learn of a slow backend once for each product.
         """
-        b, own, failed = shot.backend, call.target, ending is not AttemptEnd.FULFILLED
+        b, own, failed = attempt.backend, call.target, ending is not AttemptEnd.FULFILLED
         b.observed_at = now
         # Guards against a wave of cold backends, slow by their age, that would narrow what the warm ones get.
         # But with hardly a warm one left it is the cold that tell, each by what it would have taken warm.
         cold = self._is_cold(now, b)
         aged = self._capacity(now, b) if cold else 1.0
         tells = (not cold or self._mostly_cold) and ending not in CUT_OFF and ending not in SPOILT
-        if tells and not shot.lost and not b.ejected_until[own.index]:
+        if tells and not attempt.uncounted and not b.ejected_until[own.index]:
             self._learn_bound(now, failed or own.is_slow(latency * aged))
         latency /= max(1.0, call.work)  # guards against a long API call that ejects a sound backend
         for t in self._targets:
@@ -115,7 +115,7 @@
             i = t.index
             old = b.latency_ms[i]
             if b.ejected_until[i]:
-                if not shot.trial:
+                if not attempt.trial:
                     continue
                 if sample <= t.slo:
                     b.ejected_until[i] = 0.0
