--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -60,7 +60,7 @@
     def __init__(self, settings: Settings, seed: int, port: Port) -> None:
         self._port = port
         self._seed = seed
-        self._drawn = 0
+        self._draws = 0
         slos = sorted({p.slo for p in settings.products})
         self._slos = tuple(slos)
         self._targets = [Target(i, slo) for i, slo in enumerate(slos)]
@@ -70,68 +70,74 @@
             t.slo = t.slo or given[0]
             t.idle = t.slo * FULL_AT / EASE
             t.recent = t.low = t.slo * FULL_AT / EASE
-        self._by_work = settings.value_by_work
+        self._value_by_work = settings.value_by_work
         limits, rules = settings.limits, settings.rules
         self.max_attempts = limits.max_attempts
         self.may_hedge = limits.allow_hedging
         self.step = settings.step
         self._may_cancel = limits.may_cancel
-        self._most_retry_after = limits.max_retry_after if limits.retry_after else 0.0
-        self._hold = EJECTION_SLOS * given[-1]
-        self._look = max(settings.step, LOOK * given[0])
+        self._max_retry_after = limits.max_retry_after if limits.retry_after else 0.0
+        self._ejection_ms = EJECTION_SLOS * given[-1]
+        self._sweep_ms = max(settings.step, LOOK * given[0])
         self._fall_ms = rules.fall
         self._cold_ms = rules.cold or 1.0
-        self._when_few = max(1.0, rules.fall_multiple * FALL_USE)
-        self._start = rules.start_capacity
+        self._few_warm_boost = max(1.0, rules.fall_multiple * FALL_USE)
+        self._start_capacity = rules.start_capacity
         self._must_ask = settings.must_ask
-        self._ask_first, self._ask_most = ASK_FIRST * rules.ask_within, ASK_MOST * rules.ask_within
-        self._ask_wait = self._ask_first
-        self._asked_at = 0.0
+        self._relist_min, self._relist_max = ASK_FIRST * rules.ask_within, ASK_MOST * rules.ask_within
+        self._relist_wait = self._relist_min
+        self._requested_at = 0.0
         self._fractions = [c.fraction for c in settings.customers]
-        self._over = [0.0] * len(settings.customers)  # API calls beyond the share, drained by each one taken
+        self._excess = [0.0] * len(
+            settings.customers
+        )  # API calls beyond the share, drained by each one taken
         self._backends: dict[int, Backend] = {}  # emptied as the directory drops them
         self._ready: list[Backend] = []  # the ready ones, in an order of this agent's own
         self._warm_keys = settings.warm_keys
-        self._clock = 0.0  # the turn that was last given
+        self._vtime = 0.0  # the turn that was last given
         self._inflight = 0
         self._slow_share = 0.0  # smoothed share of shots, to backends in the pools, slower than FULL_AT
-        self._limit = self._least = 1.0  # shots that this agent may have out in all, and the least of that
-        self._narrowed_at = self._felt_at = self._sent_at = 0.0
-        self._span = SPAN * given[-1]
+        self._limit = self._min_limit = (
+            1.0  # shots that this agent may have out in all, and the least of that
+        )
+        self._narrowed_at = self._sampled_at = self._sent_at = 0.0
+        self._slow_window_ms = SPAN * given[-1]
         self._agents = settings.agents
-        self._least_used, self._exchange_at = 2, 0.0
-        self._tells = settings.live_weights
-        self._gap = self._listed_at = 0.0  # between two lists, smoothed
-        self._level = 0.0  # of load, from which on a backend has no room until the next list
-        self._mean = 0.0  # of the sizes as listed; 0 = none seen
+        self._min_subset, self._swap_at = 2, 0.0
+        self._by_load = settings.live_weights
+        self._list_gap = self._listed_at = 0.0  # between two lists, smoothed
+        self._full_load = 0.0  # of load, from which on a backend has no room until the next list
+        self._mean_weight = 0.0  # of the sizes as listed; 0 = none seen
         self._admitted = 1.0  # share of the API calls that go on, in place of the bound where `_by_list`
-        self._by_list = False  # agents outnumber backends, so that the list tells more than own shots
-        self._load = 0.0  # mean load of the middle half of the ready backends
+        self._limit_by_list = False  # agents outnumber backends, so that the list tells more than own shots
+        self._mean_load = 0.0  # mean load of the middle half of the ready backends
         self._reported = 0.0  # mean reported in flight for a backend's size
-        self._peak = 0  # most shots out since the bound was last narrowed
+        self._peak_inflight = 0  # most shots out since the bound was last narrowed
         self._open_calls: dict[
             Call, None
         ] = {}  # API calls with shots out; each leaves when its last shot ended
         self._queue: list[Call] = []  # API calls waiting for room; each leaves after its patience at last
-        self._cost = 0.0  # mean cost hint; 0 = none seen
+        self._mean_cost = 0.0  # mean cost hint; 0 = none seen
         self._budget = BUDGET_MAX / 2
-        self._trials = 1.0
-        self._trial_rate: float | None = None  # of the fleet's trials, a ms, where shared
-        self._told_over: frozenset[int] | None = None  # customers over their share, where counts are shared
-        self._taken = self._taken_at = 0.0  # API calls taken within a hold, smoothed
-        self._rate = 0.0  # work (API calls of mean cost) per ms to a warm backend, smoothed over `fall`
+        self._trial_budget = 1.0
+        self._fleet_trial_rate: float | None = None  # of the fleet's trials, a ms, where shared
+        self._fleet_over_share: frozenset[int] | None = (
+            None  # customers over their share, where counts are shared
+        )
+        self._recent_calls = self._submitted_at = 0.0  # API calls taken within a hold, smoothed
+        self._warm_rate = 0.0  # work (API calls of mean cost) per ms to a warm backend, smoothed over `fall`
         self._earned_at = 0.0
-        self._fresh = 0.0  # work taken since then
+        self._new_work = 0.0  # work taken since then
         self._demand, self._demand_ms = (
             0.0,
             0.0,
         )  # work taken over `fall`, smoothed, and ms that it stands for
-        self._dark = True  # nothing heard of the directory yet
+        self._no_list_yet = True  # nothing heard of the directory yet
         self._mostly_cold = False  # hardly one of the ready ones is warm
         self._cold_limit = (
             INITIAL_LIMIT  # shots in flight that each of mean size may then hold, of all agents
         )
-        self._looks_at = inf  # when the next look is due
+        self._sweep_at = inf  # when the next look is due
         self._restored: dict[
             int, BackendSnapshot
         ] = {}  # by name; each leaves as it is listed, all as a list comes
@@ -143,10 +149,10 @@
     def start(self, now: float) -> None:
         self._earned_at = now
         if self._must_ask:
-            self._ask(now)
+            self._request_list(now)
 
-    def _ask(self, now: float) -> None:
-        self._asked_at = now
+    def _request_list(self, now: float) -> None:
+        self._requested_at = now
         self._port.directory(True)
 
     def submit(self, now: float, ask: IncomingCall) -> Call:
@@ -154,35 +160,45 @@
         terms = self.product_terms[ask.product]
         work = 1.0
         if ask.cost:
-            self._cost += TYPICAL * (ask.cost - self._cost) if self._cost else ask.cost
-            work = ask.cost / self._cost
-        room = LEAST_ROOM + (1 - LEAST_ROOM) * self._worth(terms) / max(map(self._worth, self.product_terms))
+            self._mean_cost += TYPICAL * (ask.cost - self._mean_cost) if self._mean_cost else ask.cost
+            work = ask.cost / self._mean_cost
+        room = LEAST_ROOM + (1 - LEAST_ROOM) * self._value_rate(terms) / max(
+            map(self._value_rate, self.product_terms)
+        )
         if self._is_over_share(ask.customer):
             room *= LEAST_ROOM
-        if self._tells:
+        if self._by_load:
             # Guards against clients that come again at once, many times, with little time left.
             left = (ask.until - now) / terms.target.slo
             room *= (LEAST_ROOM if ask.is_retry else 1.0) * min(1.0, max(LEAST_LEFT, left))
         call = Call(self, now, ask, work, room)
-        self._fresh += work
+        self._new_work += work
         self._budget = min(BUDGET_MAX, self._budget + BUDGET)
-        part = TRIALS_PER_CALL if self._trial_rate is None else self._trial_rate * (now - self._taken_at)
-        self._trials = min(1.0, self._trials + min(TRIALS_PER_CALL, part))
-        self._taken = 1 + self._taken * max(0.0, 1 - (now - self._taken_at) / self._hold)
-        self._taken_at = now
+        part = (
+            TRIALS_PER_CALL
+            if self._fleet_trial_rate is None
+            else self._fleet_trial_rate * (now - self._submitted_at)
+        )
+        self._trial_budget = min(1.0, self._trial_budget + min(TRIALS_PER_CALL, part))
+        self._recent_calls = 1 + self._recent_calls * max(
+            0.0, 1 - (now - self._submitted_at) / self._ejection_ms
+        )
+        self._submitted_at = now
         self.dispatch(now, call)
         return call
 
-    def _worth(self, terms: ProductTerms) -> float:
+    def _value_rate(self, terms: ProductTerms) -> float:
         """Billed value for the work that an API call takes, as far as known."""
-        return terms.value if self._by_work else terms.value / (terms.target.typical or terms.target.slo)
+        return (
+            terms.value if self._value_by_work else terms.value / (terms.target.typical or terms.target.slo)
+        )
 
     def on_timer(self, now: float, mark: str) -> None:
         if mark == "ask":
-            self._ask(now)
+            self._request_list(now)
         elif mark == "look":
-            if now >= self._looks_at:
-                self._looks_at = inf
+            if now >= self._sweep_at:
+                self._sweep_at = inf
                 self._sweep(now)
 
     # Where agents share what they have met; without, nothing of this is called.
@@ -202,14 +218,14 @@
 
     def apply_shared(self, now: float, told: SharedEstimates) -> None:
         """What others' word makes of own figures: turns move, trials come sooner, nothing is ejected."""
-        self._told_over, self._trial_rate = told.over_share, told.trials_per_ms
+        self._fleet_over_share, self._fleet_trial_rate = told.over_share, told.trials_per_ms
         for b in self._ready:
             b.cost_factor = told.cost_factors.get(b.name, 1.0)
             stood = told.up_since.get(b.name, inf)
             if stood < (inf if b.down else b.started_at if b.started_at > b.boot_time else 0.0):
                 # Guards against a backend that this agent met late, or not yet, and would take for just started.
                 if b.down:
-                    self._restarted(b, b.credit)
+                    self._reset_backend(b, b.credit)
                 b.started_at, b.down, b.presumed_down = stood, False, False
             if b.name in told.trial_due and b.trial is None:
                 b.ejected_until = [min(h, now) for h in b.ejected_until]
@@ -246,18 +262,20 @@
         if b is not None:
             self._send(now, call, b)
             return
-        why = "empty list" if not self._ready else "bound full" if self._full(now, call) else "no turn"
+        why = "empty list" if not self._ready else "bound full" if self._at_limit(now, call) else "no turn"
         self.counts[why] += 1
-        refused = why == "bound full" and self._by_list  # a share has no room that a line could wait for
-        if now < self._stands_until(call) and self._ready and call.pinned_to is None and not refused:
-            self._wait(now, call)
+        refused = (
+            why == "bound full" and self._limit_by_list
+        )  # a share has no room that a line could wait for
+        if now < self._queued_until(call) and self._ready and call.pinned_to is None and not refused:
+            self._enqueue(now, call)
         else:
             self.give_up(now, call)
 
     def give_up(self, now: float, call: Call) -> None:
         """Give the final answer: rate-limited where that is true, else errored."""
         if call.may_rate_limit() and now < call.until:
-            self._port.rate_limit(call.token, min(RETRY_AFTER * call.target.slo, self._most_retry_after))
+            self._port.rate_limit(call.token, min(RETRY_AFTER * call.target.slo, self._max_retry_after))
         else:
             self._port.error(call.token)
         self.finish(call, now)
@@ -274,9 +292,9 @@
             call.queued = False
             self._queue.remove(call)
         if not call.streaming:
-            self.call_off(call)
+            self.cancel_pending(call)
 
-    def call_off(self, call: Call, but: Attempt | None = None) -> None:
+    def cancel_pending(self, call: Call, but: Attempt | None = None) -> None:
         """Call off what is still out."""
         if self._may_cancel:
             for s in call.attempts:
@@ -294,7 +312,7 @@
         self._budget -= 1
         return True
 
-    def _wait(self, now: float, call: Call) -> None:
+    def _enqueue(self, now: float, call: Call) -> None:
         """Put the API call in line, behind those at least as dear for their work.
 
         The line is never longer than what the API calls out now make room for within the patience, so that
@@ -302,10 +320,10 @@
         """
         call.queued = True
         insort(self._queue, call, key=lambda c: -c.limit_share)
-        pace = self._pace() or call.target.slo
+        pace = self._slowest_typical() or call.target.slo
         if len(self._queue) > max(1.0, self._inflight * QUEUE_WAIT_SLOS * call.target.slo / pace):
             self.give_up(now, self._queue[-1])
-        self._watch(now, inf)
+        self._schedule_sweep(now, inf)
 
     def drain_queue(self, now: float) -> None:
         """Place what stands in line, dearest first, until one finds no room."""
@@ -318,14 +336,14 @@
             del self._queue[0]
             self._send(now, call, b)
 
-    def _expire(self, now: float) -> None:
+    def _expire_queued(self, now: float) -> None:
         """Answer what has stood in line too long."""
-        for call in [c for c in self._queue if now >= self._stands_until(c) or not c.may_send(now)]:
+        for call in [c for c in self._queue if now >= self._queued_until(c) or not c.may_send(now)]:
             self.give_up(now, call)
 
-    def _stands_until(self, call: Call) -> float:
+    def _queued_until(self, call: Call) -> float:
         # Guards against a client timeout that falls between two looks at the line.
-        return min(call.arrived + QUEUE_WAIT_SLOS * call.target.slo, call.until - 2 * self._look)
+        return min(call.arrived + QUEUE_WAIT_SLOS * call.target.slo, call.until - 2 * self._sweep_ms)
 
     def _choose_backend(self, now: float, call: Call) -> Backend | None:
         """The next turn in the pool of the API call's SLO."""
@@ -333,14 +351,18 @@
         if call.pinned_to is not None:
             # It was chosen when the first of it went ahead: no room is found elsewhere, nor asked for again.
             return next((b for b in self._ready if call.may_use(b)), None)
-        if self._full(now, call):
+        if self._at_limit(now, call):
             return None
         tried = {s.backend for s in call.attempts}
         usable = [b for b in self._ready if call.may_use(b)] if tried else self._ready
         if tried and any(b not in tried for b in usable):
             usable = [b for b in usable if b not in tried]
         pool = [b for b in usable if not b.ejected_until[t]]
-        if self._trials >= 1 and call.terms.kind is not Idempotency.NON_IDEMPOTENT and not call.attempts:
+        if (
+            self._trial_budget >= 1
+            and call.terms.kind is not Idempotency.NON_IDEMPOTENT
+            and not call.attempts
+        ):
             for b in usable:
                 if (
                     b.ejected_until[t]
@@ -352,32 +374,32 @@
         self._earn_credit(now)
         pool = pool or usable
         if self._warm_keys and call.key is not None:
-            homes = self._homes(pool, call.key)
-            calm = max(self._level, CALM)
-            b = self._turn(now, call, homes[:1] if homes and homes[0].load <= calm else homes)
+            homes = self._key_homes(pool, call.key)
+            calm = max(self._full_load, CALM)
+            b = self._next_backend(now, call, homes[:1] if homes and homes[0].load <= calm else homes)
             if b is not None:
                 return b
         awake = [b for b in pool if now >= b.backoff_until]
         most = self._subset_size()
         used = awake[:most]
-        if self._tells and most < len(self._ready):
+        if self._by_load and most < len(self._ready):
             first = set(self._ready[:most])
             used = [b for b in awake if b in first]
         if len(used) < 2:
             # Guards against a set that ejection and rest empty; while two are left, no new connection.
-            used = awake[: self._least_used]
-        if len(used) < len(awake) and now >= self._exchange_at:
-            self._exchange_at = now + self._hold * EXCHANGE
+            used = awake[: self._min_subset]
+        if len(used) < len(awake) and now >= self._swap_at:
+            self._swap_at = now + self._ejection_ms * EXCHANGE
             worst = max(used, key=lambda b: b.latency_ms[t] or 0.0)
             if (worst.latency_ms[t] or 0.0) > sum(b.latency_ms[t] or 0.0 for b in used) / len(used):
                 # House custom: one is exchanged now and then, here the slowest for the next in order.
                 self._ready.remove(worst)
                 self._ready.append(worst)
-        return self._turn(now, call, used)
+        return self._next_backend(now, call, used)
 
     def _subset_size(self) -> int:
         """How many backends this agent uses."""
-        most = max(self._least_used, int(FRESH * self._taken))
+        most = max(self._min_subset, int(FRESH * self._recent_calls))
         return max(2, ceil(CLOSER * most)) if self._mostly_cold else most
 
     def choose_for_upload(self, now: float, product: int) -> int | None:
@@ -385,26 +407,28 @@
         call = Call(self, now, IncomingCall(None, product, inf), 1.0, 1.0)
         t = call.target.index
         self._earn_credit(now)
-        b = self._turn(now, call, [b for b in self._ready if not b.ejected_until[t]] or self._ready)
+        b = self._next_backend(now, call, [b for b in self._ready if not b.ejected_until[t]] or self._ready)
         if b is None:
             return None
-        b.finish_tag = max(b.finish_tag, self._clock) + self._expected_ms(b, call.target) / b.size
+        b.finish_tag = max(b.finish_tag, self._vtime) + self._expected_ms(b, call.target) / b.size
         return b.index
 
-    def _full(self, now: float, call: Call) -> bool:
+    def _at_limit(self, now: float, call: Call) -> bool:
         """If the bound in flight leaves no room for a shot of this API call now."""
-        if self._tells and self._load < 1 and self._slow_share <= SLOW_SHARE_LIMIT:
+        if self._by_load and self._mean_load < 1 and self._slow_share <= SLOW_SHARE_LIMIT:
             return False
-        if self._by_list:
+        if self._limit_by_list:
             # Guards against lists that run far behind: what they say counts beside slow shots of its own.
             felt = self._slow_share > SLOW_SHARE_LIMIT / 2
             return felt and self._admitted < 1 and self._random() >= self._admitted ** (1 / call.limit_share)
         # Room is kept for the dearest only as far as shots are slow: with all in time, all may fill it.
         kept = (1 - call.limit_share) * min(1.0, self._slow_share / SLOW_SHARE_LIMIT)
         bound = self._limit * (1 - kept)
-        return self._inflight >= max(1.0, bound) or (bound < 1 and now < self._sent_at + self._pace() / bound)
+        return self._inflight >= max(1.0, bound) or (
+            bound < 1 and now < self._sent_at + self._slowest_typical() / bound
+        )
 
-    def _homes(self, pool: list[Backend], key: int) -> list[Backend]:
+    def _key_homes(self, pool: list[Backend], key: int) -> list[Backend]:
         """The backends of the pool that a key is at home at, the same at all agents, by size."""
 
         def rank(b: Backend) -> float:
@@ -412,7 +436,7 @@
 
         return nlargest(HOMES, pool, key=rank)
 
-    def _turn(self, now: float, call: Call, among: list[Backend]) -> Backend | None:
+    def _next_backend(self, now: float, call: Call, among: list[Backend]) -> Backend | None:
         """The next turn among these backends, one that is crowded only if all are."""
         best = None
         crowd = CROWDED * self._inflight / max(1, len(self._ready))
@@ -423,7 +447,7 @@
             if b.inflight > crowd * b.size:
                 rank = (1, b.inflight / b.size)
             else:
-                rank = (0, self._due(now, b, call))
+                rank = (0, self._finish_time(now, b, call))
             if best is None or rank < best[0]:
                 best = (rank, b)
         return best[1] if best else None
@@ -434,7 +458,7 @@
         if b.ejected_until[t] and now >= b.ejected_until[t] and b.trial is None:
             b.trial = attempt
             attempt.trial = True
-            self._trials -= 1
+            self._trial_budget -= 1
         call.attempts.append(attempt)
         call.pending += 1
         if not b.inflight:
@@ -442,32 +466,34 @@
         b.inflight += 1
         self._inflight += 1
         self._sent_at = now
-        self._peak = max(self._peak, self._inflight)
-        if self._tells:
-            self._clock = b.finish_tag = self._due(now, b, call)
+        self._peak_inflight = max(self._peak_inflight, self._inflight)
+        if self._by_load:
+            self._vtime = b.finish_tag = self._finish_time(now, b, call)
         else:
-            use = self._use(now, b, call)
-            self._clock = max(self._clock, min(b.finish_tag, self._clock + use))
-            b.finish_tag = max(b.finish_tag, self._clock) + use
+            use = self._turn_cost(now, b, call)
+            self._vtime = max(self._vtime, min(b.finish_tag, self._vtime + use))
+            b.finish_tag = max(b.finish_tag, self._vtime) + use
         if self._is_cold(now, b):
             self.counts["cold shots"] += 1
             b.credit -= call.work
         else:
             b.sent_work += call.work
         self._open_calls[call] = None
-        self._watch(now, now + LATE_SLOS * call.target.slo)
+        self._schedule_sweep(now, now + LATE_SLOS * call.target.slo)
         self._port.send(call.token, b.index, call.until)
 
-    def _use(self, now: float, b: Backend, call: Call) -> float:
+    def _turn_cost(self, now: float, b: Backend, call: Call) -> float:
         """What a turn there costs."""
-        usual = call.target.idle if self._warm_keys and self._tells else self._expected_ms(b, call.target)
-        if self._tells and self._level:
-            usual /= max(FLOOR, 1 - b.load / self._level)
+        usual = call.target.idle if self._warm_keys and self._by_load else self._expected_ms(b, call.target)
+        if self._by_load and self._full_load:
+            usual /= max(FLOOR, 1 - b.load / self._full_load)
         return call.work * usual / (b.size * self._ramp(now, b))
 
-    def _due(self, now: float, b: Backend, call: Call) -> float:
+    def _finish_time(self, now: float, b: Backend, call: Call) -> float:
         """When its turn is due. Where the load is told, that follows what a turn costs by now."""
-        return max(self._clock, b.finish_tag + self._use(now, b, call)) if self._tells else b.finish_tag
+        return (
+            max(self._vtime, b.finish_tag + self._turn_cost(now, b, call)) if self._by_load else b.finish_tag
+        )
 
     def _expected_ms(self, b: Backend, target: Target) -> float:
         """How long a shot takes there, in ms: what its turn costs, so that time in use rotates evenly.
@@ -480,12 +506,12 @@
 
     # Looking at what is out.
 
-    def _watch(self, now: float, due: float) -> None:
+    def _schedule_sweep(self, now: float, due: float) -> None:
         """Be woken when that is due, or soon while a line stands, whose room comes at no known time."""
         if self._queue:
-            due = min(due, now + self._look)
-        if due < self._looks_at:
-            self._looks_at = due
+            due = min(due, now + self._sweep_ms)
+        if due < self._sweep_at:
+            self._sweep_at = due
             self._port.wake(due, "look")
 
     def _sweep(self, now: float) -> None:
@@ -499,7 +525,7 @@
                     # Where the list tells what is held, silence says that a backend hangs or is cut off,
                     # not that too much is out. Guards against an idle fleet refused for want of room.
                     attempt.uncounted = (
-                        self._tells and not self._by_list and b.silent_since <= attempt.sent_at
+                        self._by_load and not self._limit_by_list and b.silent_since <= attempt.sent_at
                     )
                     self._inflight -= attempt.uncounted
                     if b.silent_since <= attempt.sent_at and now - attempt.sent_at > SILENT * usual:
@@ -508,7 +534,7 @@
                     self._sample(now, call, attempt, AttemptEnd.TIMED_OUT, now - attempt.sent_at)
             if not call.done and call.pending == 1:
                 self._hedge(now, call)
-        self._expire(now)
+        self._expire_queued(now)
         self.drain_queue(now)
         due = inf
         for call in self._open_calls:
@@ -519,9 +545,9 @@
                     due = min(
                         due,
                         late if now < late else attempt.sent_at + call.target.slo,
-                        max(late, now + self._look),
+                        max(late, now + self._sweep_ms),
                     )
-        self._watch(now, due)
+        self._schedule_sweep(now, due)
 
     def _hedge(self, now: float, call: Call) -> None:
         """Send a copy beside a late shot, or call the shot off to send another."""
@@ -544,14 +570,14 @@
         """If this customer has asked this agent for more than its share of what the agent was asked."""
         if not self._fractions:
             return False
-        if self._told_over is not None:
-            return customer in self._told_over
+        if self._fleet_over_share is not None:
+            return customer in self._fleet_over_share
         for i, fraction in enumerate(self._fractions):
-            self._over[i] = max(0.0, self._over[i] - fraction)
-        self._over[customer] = min(BUDGET_MAX * 2, self._over[customer] + 1)
-        return self._over[customer] > BUDGET_MAX
+            self._excess[i] = max(0.0, self._excess[i] - fraction)
+        self._excess[customer] = min(BUDGET_MAX * 2, self._excess[customer] + 1)
+        return self._excess[customer] > BUDGET_MAX
 
     def _random(self) -> float:
-        self._drawn += 1
+        self._draws += 1
         # The product takes apart what neighbouring seeds and counters have in common in a CRC.
         return crc32(f"{self._seed}:{self._drawn}".encode()) * 2654435761 % 2**32 / 2**32
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -150,7 +150,7 @@
         if latency is not None and attempt.pending and not attempt.answer_begun:
             attempt.may_have_run = attempt.answer_begun = True
             to.record_attempt(now, self, attempt, AttemptEnd.FULFILLED, latency, load)
-            to.call_off(self, attempt)
+            to.cancel_pending(self, attempt)
         attempt.overdue = True
         to.drain_queue(now)
 
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -25,13 +25,13 @@
     def _capacity(self, now: float, b: Backend) -> float:
         """The part of its capacity that a backend surely has by now."""
         age = 0.0 if b.down else max(0.0, now - b.started_at)
-        return min(1.0, self._start + (1 - self._start) * age / self._cold_ms)
+        return min(1.0, self._start_capacity + (1 - self._start_capacity) * age / self._cold_ms)
 
     def _ramp(self, now: float, b: Backend) -> float:
         """A fresh or returning backend counts for less in the choice, by its age."""
         ramp = self._capacity(now, b) if self._is_cold(now, b) else 1.0
-        if b.restored_at and now < b.restored_at + self._hold:
-            ramp *= max(self._start, (now - b.restored_at) / self._hold)
+        if b.restored_at and now < b.restored_at + self._ejection_ms:
+            ramp *= max(self._start_capacity, (now - b.restored_at) / self._ejection_ms)
         return ramp
 
     def _earn_credit(self, now: float) -> None:
@@ -45,19 +45,19 @@
             return
         self._earned_at = now
         keep = max(0.0, 1 - passed / self._fall_ms)
-        self._demand, self._demand_ms = self._demand * keep + self._fresh, self._demand_ms * keep + passed
-        self._fresh = 0.0
+        self._demand, self._demand_ms = self._demand * keep + self._new_work, self._demand_ms * keep + passed
+        self._new_work = 0.0
         warm = [b for b in self._ready if not self._is_cold(now, b)]
         if warm:
             size = sum(b.size for b in warm)
             sent = sum(b.sent_work for b in warm) / size
             for b in warm:
                 b.sent_work = 0.0
-            rate = self._rate * keep + (1 - keep) * sent / passed
+            rate = self._warm_rate * keep + (1 - keep) * sent / passed
             # Falls slowly: guards against losing the rate, and with it all credit, while the warm ones fail.
-            self._rate = max(rate, self._rate * (1 - passed / self._cold_ms))
-        few = self._tells or len(warm) < KEEP * len(self._ready)
-        rate = self._rate * (self._when_few if few else 1.0)
+            self._warm_rate = max(rate, self._warm_rate * (1 - passed / self._cold_ms))
+        few = self._by_load or len(warm) < KEEP * len(self._ready)
+        rate = self._warm_rate * (self._few_warm_boost if few else 1.0)
         self._mostly_cold = len(warm) < KEEP**2 * len(self._ready)
         self._cold_limit = self._cold_limit if self._mostly_cold else INITIAL_LIMIT
         earns = self._cold_credit_rates(now, passed) if self._mostly_cold else None
@@ -89,7 +89,7 @@
             # What has answered nothing as it is now may be the slowest there is.
             part, met = self._capacity(now, b), b.latency_ms[0] is not None and not b.down
             took = self._expected_ms(b, t) / (part if b.latency_ms[0] is None else 1.0)
-            share = min(pace[b] / paces, MAX_CREDIT * b.size / sizes) * (self._when_few if met else 1.0)
+            share = min(pace[b] / paces, MAX_CREDIT * b.size / sizes) * (self._few_warm_boost if met else 1.0)
             earns[b] = min(asked * share * part, self._cold_limit * b.size / (took * by_all))
         return earns
 
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -51,7 +51,7 @@
             b.has_responded = True
             if b.down:
                 b.down, b.started_at = False, attempt.sent_at
-                self._restarted(b, b.credit)
+                self._reset_backend(b, b.credit)
             b.up_since = b.up_since or attempt.sent_at
         if (
             ending in (AttemptEnd.UNSENT, AttemptEnd.CANCELLED)
@@ -59,13 +59,13 @@
             or attempt.cancelled
         ):
             if attempt.trial and b.ejected_until[target.index]:
-                b.ejected_until[target.index] = now + (self._hold if attempt.overdue else 0.0)
+                b.ejected_until[target.index] = now + (self._ejection_ms if attempt.overdue else 0.0)
             return
         b.failure_rate += TYPICAL * ((ending in SPOILT) - b.failure_rate)
         if not failed:
             target.typical += TYPICAL * (latency - target.typical) if target.typical else latency
             target.recent += SOON * (latency - target.recent)
-            if attempt.load < 1 and self._tells:
+            if attempt.load < 1 and self._by_load:
                 target.idle += SOON * (min(latency, target.slo) - target.idle)
             target.low = min(target.low * (1 + TYPICAL**2), target.recent)
         if not attempt.overdue:
@@ -86,7 +86,7 @@
             b.fast_failures = 0
         elif latency < target.typical:
             # Guards against a backend that fails at once and, always idle, would draw every turn.
-            b.backoff_until = now + min(self._hold, target.typical * 2**b.fast_failures)
+            b.backoff_until = now + min(self._ejection_ms, target.typical * 2**b.fast_failures)
             b.fast_failures += 1
 
     def record_late_failure(self, now: float, call: Call, attempt: Attempt) -> None:
@@ -107,7 +107,7 @@
         aged = self._capacity(now, b) if cold else 1.0
         tells = (not cold or self._mostly_cold) and ending not in CUT_OFF and ending not in SPOILT
         if tells and not attempt.uncounted and not b.ejected_until[own.index]:
-            self._learn_bound(now, failed or own.is_slow(latency * aged))
+            self._adapt_limit(now, failed or own.is_slow(latency * aged))
         latency /= max(1.0, call.work)  # guards against a long API call that ejects a sound backend
         for t in self._targets:
             scale = t.typical / own.typical if own.typical and t.typical else t.slo / own.slo
@@ -121,19 +121,19 @@
                     b.ejected_until[i] = 0.0
                     b.latency_ms[i] = sample
                     b.restored_at = now
-                    b.finish_tag = self._clock  # what it stood at was counted by what it took before
+                    b.finish_tag = self._vtime  # what it stood at was counted by what it took before
                     self._port.log(f"backend {b.index} restored for SLO {t.slo:.0f} ms")
                 else:
-                    b.ejected_until[i] = now + self._hold
+                    b.ejected_until[i] = now + self._ejection_ms
                 continue
-            figure = b.latency_ms[i] = sample if old is None and not failed else self._mix(old, t, sample)
+            figure = b.latency_ms[i] = sample if old is None and not failed else self._smooth(old, t, sample)
             if not t.has_slo:
                 figures = sorted(f for o in self._ready if (f := o.latency_ms[i]) is not None) or [figure]
                 t.slo = DEFAULT_SLO * figures[len(figures) // 2]
             if figure > t.slo:
                 self._eject(now, b, t, ending in SPOILT)
 
-    def _learn_bound(self, now: float, slow: bool) -> None:
+    def _adapt_limit(self, now: float, slow: bool) -> None:
         """The agent's bound on all its shots: widen while answers come well in time, narrow when they don't.
 
         Guards against many agents with a shot or two each on every backend, where no backend's own bound can
@@ -141,26 +141,26 @@
         """
         # Counted by how many are late and not by how much, so that a few long ones don't narrow it.
         # An agent with a shot or two a second must not need twenty of them to see that the fleet is full.
-        weight = min(SUDDEN, max(SOON, (now - self._felt_at) / self._span))
-        self._felt_at = now
+        weight = min(SUDDEN, max(SOON, (now - self._sampled_at) / self._slow_window_ms))
+        self._sampled_at = now
         self._slow_share += weight * (slow - self._slow_share)
         if self._slow_share > SLOW_SHARE_LIMIT:
-            if now >= self._narrowed_at + self._pace():
+            if now >= self._narrowed_at + self._slowest_typical():
                 self._narrowed_at = now
                 excess = self._slow_share - SLOW_SHARE_LIMIT
-                self._limit = min(self._limit, self._peak) * (1 - NARROW * excess)
-                self._peak = self._inflight
-        elif self._tells and self._inflight > self._limit:
+                self._limit = min(self._limit, self._peak_inflight) * (1 - NARROW * excess)
+                self._peak_inflight = self._inflight
+        elif self._by_load and self._inflight > self._limit:
             self._limit = self._inflight
         elif self._inflight + 1 >= self._limit * (1 - LEAST_ROOM):
             self._limit += min(self._limit, 1 / self._limit)
-        self._limit = max(self._least, self._limit)
+        self._limit = max(self._min_limit, self._limit)
 
-    def _pace(self) -> float:
+    def _slowest_typical(self) -> float:
         """What the slowest product usually takes, 0 = none seen."""
         return max(t.typical for t in self._targets)
 
-    def _mix(self, old: float | None, t: Target, sample: float) -> float:
+    def _smooth(self, old: float | None, t: Target, sample: float) -> float:
         if old is None:
             others = [f for o in self._ready if (f := o.latency_ms[t.index]) is not None]
             old = sum(others) / len(others) if others else 0.0
@@ -180,5 +180,5 @@
             # Guards against a shared slowdown that empties the pool and floods the few that are left.
             b.latency_ms[i] = min(b.latency_ms[i] or 0.0, MISS * t.slo)
             return
-        b.ejected_until[i] = now + self._hold
+        b.ejected_until[i] = now + self._ejection_ms
         self._port.log(f"backend {b.index} ejected for SLO {t.slo:.0f} ms at {b.latency_ms[i]:.0f} ms")
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -26,7 +26,7 @@
         """What stays true for whoever asks next. Loads, bounds, credit, states and shots out don't."""
         return PolicySnapshot(
             self._slos,
-            self._tells,
+            self._by_load,
             tuple((t.typical, t.recent, t.low, t.idle) for t in self._targets),
             tuple(
                 BackendSnapshot(b.name, b.boot_time, b.weight, tuple(b.latency_ms), b.failure_rate)
@@ -36,19 +36,19 @@
 
     def restore(self, learnt: PolicySnapshot) -> bool:
         """Begin with that, before the first list; false, with nothing taken, if it means something else."""
-        if learnt.slos != self._slos or learnt.live_weights is not self._tells:
+        if learnt.slos != self._slos or learnt.live_weights is not self._by_load:
             return False
         for t, (typical, recent, ease, base) in zip(self._targets, learnt.slo_latencies, strict=True):
             t.typical, t.recent, t.low, t.idle = typical, recent or t.recent, ease or t.low, base or t.idle
         self._restored = {met.name: met for met in learnt.backends}
         return True
 
-    def _remember(self, now: float, b: Backend, e: Listing) -> None:
+    def _restore_backend(self, now: float, b: Backend, e: Listing) -> None:
         met = self._restored.pop(e.name, None)
         if met is None or met.boot_time != e.boot_time or e.state is not ListedState.READY:
             return
         b.latency_ms, b.failure_rate = list(met.latencies_ms), met.failure_rate
-        b.weight = met.weight if self._tells else 0.0
+        b.weight = met.weight if self._by_load else 0.0
         # What was too slow gets a trial, due at once, and no turn before it.
         b.ejected_until = [
             now if (f or 0.0) > t.slo else 0.0 for f, t in zip(b.latency_ms, self._targets, strict=True)
@@ -61,33 +61,33 @@
             # again in step: each agent comes back at its own time, within a span in which the directory gets
             # through what was ahead of this call and as much again.
             # Of a crowd that it can't get through, each comes as late as an agent may go without asking.
-            took = max(0.0, now - self._asked_at)
-            span = max(self._ask_first, min(max(self._ask_wait, SPREAD * took), self._ask_most - took))
+            took = max(0.0, now - self._requested_at)
+            span = max(self._relist_min, min(max(self._relist_wait, SPREAD * took), self._relist_max - took))
             self._port.wake(now + span * (1 + self._random()) / 2, "ask")
-            self._ask_wait = 2 * span
+            self._relist_wait = 2 * span
             return
         if news is not UpdateKind.CACHED:
-            self._ask_wait = self._ask_first
+            self._relist_wait = self._relist_min
         for e in entries:
             b = self._backends.get(e.backend)
             if b is None:
                 b = self._backends[e.backend] = Backend(e.backend, len(self._targets))
-                self._remember(now, b, e)
-                b.finish_tag = self._clock
-                if self._tells:
+                self._restore_backend(now, b, e)
+                b.finish_tag = self._vtime
+                if self._by_load:
                     b.finish_tag -= self._random() * min(t.slo for t in self._targets) * FULL_AT
                 b.credit = self._initial_credit() if e.boot_time else 0.0
                 b.started_at = e.boot_time
             elif e.boot_time > b.boot_time:
                 if e.boot_time > b.started_at:
-                    self._restarted(b)
+                    self._reset_backend(b)
                 b.started_at, b.down = e.boot_time, False
             b.name, b.zone, b.cell = e.name, e.zone, e.cell
             weight = e.size or 1.0
-            if self._tells and not 0 < weight < (self._mean * BEYOND or inf):
+            if self._by_load and not 0 < weight < (self._mean_weight * BEYOND or inf):
                 weight = b.weight or 1.0  # guards against one wrong weight that would be the highest for good
             # Guards against a load that is taken for a size: homes and credit would wander with it.
-            b.weight = max(b.weight, weight) if self._tells else weight
+            b.weight = max(b.weight, weight) if self._by_load else weight
             b.load = b.weight / weight - 1
             b.state, b.boot_time = e.state, max(b.boot_time, e.boot_time)
         if news is not UpdateKind.CHANGES:
@@ -99,8 +99,8 @@
             del self._backends[b.index]
         if news is not UpdateKind.CACHED:
             self._restored.clear()
-            if self._dark:
-                self._dark = False
+            if self._no_list_yet:
+                self._no_list_yet = False
                 for b in self._backends.values():
                     if b.presumed_down:  # what it does not name has not changed
                         b.down, b.presumed_down, b.started_at = False, False, b.boot_time
@@ -109,12 +109,14 @@
         for b in self._backends.values():
             if b.state is ListedState.READY and b.index not in known:
                 self._ready.insert(int(self._random() * (len(self._ready) + 1)), b)
-        self._mean = mean = sum(b.weight for b in self._ready) / len(self._ready) if self._ready else 1.0
+        self._mean_weight = mean = (
+            sum(b.weight for b in self._ready) / len(self._ready) if self._ready else 1.0
+        )
         for b in self._ready:
             # Guards against a list of changes, whose few raw sizes would mix with shares of the mean.
             b.size = b.weight / mean
-        if self._tells and self._ready:
-            self._weigh(now, news)
+        if self._by_load and self._ready:
+            self._update_load(now, news)
         for t in self._targets:
             held = sorted(
                 (b for b in self._ready if b.ejected_until[t.index]),
@@ -126,14 +128,14 @@
         # Guards against agents that stay narrow on a fleet that grows: two shots for each ready backend,
         # shared among the agents, are not what chokes it.
         # Guards against a backend whose load is up to one or two agents.
-        self._least_used = max(FEW if self._tells else 2, ceil(SHARED_BY * len(self._ready) / self._agents))
-        self._least = INITIAL_LIMIT * max(1, len(self._ready)) / self._agents
-        self._limit = max(self._least, self._limit)
-        if self._dark:
-            self._doubt(now, self._ready, True)
+        self._min_subset = max(FEW if self._by_load else 2, ceil(SHARED_BY * len(self._ready) / self._agents))
+        self._min_limit = INITIAL_LIMIT * max(1, len(self._ready)) / self._agents
+        self._limit = max(self._min_limit, self._limit)
+        if self._no_list_yet:
+            self._presume_down(now, self._ready, True)
         self.drain_queue(now)
 
-    def _weigh(self, now: float, news: UpdateKind) -> None:
+    def _update_load(self, now: float, news: UpdateKind) -> None:
         """What the list says of the fleet: how much it holds, how old that is, and the share to admit.
 
         Guards against hundreds of agents with a shot or two a second, each of which sees the fleet fill up
@@ -143,23 +145,27 @@
         middle = loads[
             len(loads) // 4 : -(len(loads) // 4) or None
         ]  # a few that hang say nothing of the fleet
-        before, self._load = self._load, sum(middle) / len(middle)
+        before, self._mean_load = self._mean_load, sum(middle) / len(middle)
         if news is UpdateKind.CHANGES and self._listed_at:
             gap = now - self._listed_at
-            self._gap += NEWEST * (gap - self._gap) if self._gap else gap
+            self._list_gap += NEWEST * (gap - self._list_gap) if self._list_gap else gap
         self._listed_at = now
         # What a backend would hold by the time the next list comes if all were sent alike (Little): one that
         # holds less has room for the difference. Guards against all agents that rush to what was idle then.
-        self._level = self._load * (1 + self._gap / (self._pace() or max(self._gap, 1.0)))
-        self._by_list = self._agents > len(self._ready)
-        if self._gap:
+        self._full_load = self._mean_load * (
+            1 + self._list_gap / (self._slowest_typical() or max(self._list_gap, 1.0))
+        )
+        self._limit_by_list = self._agents > len(self._ready)
+        if self._list_gap:
             # By the trend, half of the excess at a time: guards against a share that swings with late lists.
-            excess = (2 * self._load - before - min(AIM * t.slo / t.idle for t in self._targets)) / 2
-            answered = self._gap / max(t.idle for t in self._targets)  # by a core, alone, until the next list
+            excess = (2 * self._mean_load - before - min(AIM * t.slo / t.idle for t in self._targets)) / 2
+            answered = self._list_gap / max(
+                t.idle for t in self._targets
+            )  # by a core, alone, until the next list
             step = min(GROW, max(CUT, 1 - excess / answered))
             self._admitted = min(1.0, max(LEAST_ADMIT, self._admitted * step))
 
-    def _restarted(self, b: Backend, left: float = inf) -> None:
+    def _reset_backend(self, b: Backend, left: float = inf) -> None:
         """What was known of the old process says nothing of the new one; credit no more than what is left of it.
 
         Guards against shots that found out that it stands, and that the first answer would make unspent.
@@ -172,9 +178,9 @@
     def _mark_down(self, now: float, b: Backend) -> None:
         """No process listens there: what comes from it next is a fresh one's, whatever the list says."""
         b.down, b.presumed_down, b.up_since, b.refused_at = True, False, 0.0, now
-        self._doubt(now, [o for o in self._ready if o.has_responded or o.down], False)
+        self._presume_down(now, [o for o in self._ready if o.has_responded or o.down], False)
 
-    def _doubt(self, now: float, known: list[Backend], by_list: bool) -> None:
+    def _presume_down(self, now: float, known: list[Backend], by_list: bool) -> None:
         """Where most of what is known is down or cold, take what was never heard of for no better.
 
         Guards against a list from before a power loss, by which the rest of the fleet is warm. What an old
