--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -26,32 +26,39 @@
     Settings,
     SharedEstimates,
 )
-from lupinreach.policy.calls import EASE, FULL_AT, Call, ProductTerms, Target
+from lupinreach.policy.calls import SLOW_FACTOR, SLOW_SLOS, Call, ProductTerms, Target
 from lupinreach.policy.cold import INITIAL_LIMIT, ColdCredit
-from lupinreach.policy.learning import LEAST_ROOM, MISS, SLOW_SHARE_LIMIT, TYPICAL, Learning
+from lupinreach.policy.learning import MIN_LIMIT_SHARE, MISS_SLOS, SLOW_SHARE_LIMIT, SLOW_WEIGHT, Learning
 from lupinreach.policy.membership import Membership
 
 EJECTION_SLOS = 4.0  # x longest SLO: from an ejection to the trial
-MOST_SHARE = 4.0  # x what shots usually take: a backend this many times quicker gets no further turns for it
-CROWDED = 1.0  # x mean in flight for a backend's size: above it the backend's turn is skipped
-FRESH = 0.25  # backends that an agent uses for each API call that it takes within a hold, but at least
-EXCHANGE = 2.0  # x hold: the time between two exchanges of the slowest of them
-HOMES = 5  # backends that a key is at home at, where backends do less work for keys that they met: it
-CALM = 1.5  # stays at the first while that holds so many API calls a core, or the level; then all take turns
-FLOOR = 0.05  # of a turn's pace, for a backend that holds more than the level
-SPAN = 4.0  # x longest SLO: evidence of slow shots older than that counts for nothing, yet
+MAX_SPEEDUP = 4.0  # x what shots usually take: a backend this many times quicker gets no further turns for it
+CROWDED_FACTOR = 1.0  # x mean in flight for a backend's size: above it the backend's turn is skipped
+SUBSET_PER_CALL = (
+    0.25  # backends that an agent uses for each API call that it takes within a hold, but at least
+)
+SWAP_PERIODS = 2.0  # x hold: the time between two exchanges of the slowest of them
+HOMES_PER_KEY = 5  # backends that a key is at home at, where backends do less work for keys that they met: it
+CALM_LOAD = (
+    1.5  # stays at the first while that holds so many API calls a core, or the level; then all take turns
+)
+MIN_PACE = 0.05  # of a turn's pace, for a backend that holds more than the level
+SLOW_WINDOW_SLOS = 4.0  # x longest SLO: evidence of slow shots older than that counts for nothing, yet
 QUEUE_WAIT_SLOS = 0.1  # x SLO: how long an API call stands in line
 LATE_SLOS = 0.8  # x SLO: a shot out for longer gets company, or is called off where copies are not allowed
-BUDGET = 0.05  # further shots that may repeat work, for each API call taken
-BUDGET_MAX = 10.0  # the most of them that may be saved up
+RETRIES_PER_CALL = 0.05  # further shots that may repeat work, for each API call taken
+RETRY_BUDGET_MAX = 10.0  # the most of them that may be saved up
 TRIALS_PER_CALL = 0.05  # trials for each API call taken
-RETRY_AFTER = 0.25  # x SLO: when a rate-limited client is told to come back
-SILENT = 4.0  # x the backend's figure: a lone shot out for longer than that and its SLO ejects
-LEAST_LEFT = 0.1  # x SLO: less time left narrows an API call's room no further
-LOOK = 0.05  # x shortest SLO: the time between two looks at the line
-CLOSER = 0.5  # x backends that an agent uses: of such a fleet, so that it learns sooner which are quick
-FALL_USE = 0.5  # x fall_multiple: what cold backends earn while most are cold and can't be spared
-ASK_FIRST, ASK_MOST = 0.1, 0.9  # x ask_within: first and longest span in which the directory is asked again,
+RETRY_AFTER_SLOS = 0.25  # x SLO: when a rate-limited client is told to come back
+SILENT_FACTOR = 4.0  # x the backend's figure: a lone shot out for longer than that and its SLO ejects
+MIN_LEFT_SLOS = 0.1  # x SLO: less time left narrows an API call's room no further
+SWEEP_SLOS = 0.05  # x shortest SLO: the time between two looks at the line
+COLD_SUBSET = 0.5  # x backends that an agent uses: of such a fleet, so that it learns sooner which are quick
+FALL_FRACTION = 0.5  # x fall_multiple: what cold backends earn while most are cold and can't be spared
+RELIST_MIN, RELIST_MAX = (
+    0.1,
+    0.9,
+)  # x ask_within: first and longest span in which the directory is asked again,
 
 
 class Balancer(Learning, ColdCredit, Membership):
@@ -65,11 +72,11 @@
         self._slos = tuple(slos)
         self._targets = [Target(i, slo) for i, slo in enumerate(slos)]
         self.product_terms = [ProductTerms(p, self._targets[slos.index(p.slo)]) for p in settings.products]
-        given = [s for s in slos if s > 0] or [min(p.timeout for p in settings.products) / MISS]
+        given = [s for s in slos if s > 0] or [min(p.timeout for p in settings.products) / MISS_SLOS]
         for t in self._targets:
             t.slo = t.slo or given[0]
-            t.idle = t.slo * FULL_AT / EASE
-            t.recent = t.low = t.slo * FULL_AT / EASE
+            t.idle = t.slo * SLOW_SLOS / SLOW_FACTOR
+            t.recent = t.low = t.slo * SLOW_SLOS / SLOW_FACTOR
         self._value_by_work = settings.value_by_work
         limits, rules = settings.limits, settings.rules
         self.max_attempts = limits.max_attempts
@@ -78,13 +85,13 @@
         self._may_cancel = limits.may_cancel
         self._max_retry_after = limits.max_retry_after if limits.retry_after else 0.0
         self._ejection_ms = EJECTION_SLOS * given[-1]
-        self._sweep_ms = max(settings.step, LOOK * given[0])
+        self._sweep_ms = max(settings.step, SWEEP_SLOS * given[0])
         self._fall_ms = rules.fall
         self._cold_ms = rules.cold or 1.0
-        self._few_warm_boost = max(1.0, rules.fall_multiple * FALL_USE)
+        self._few_warm_boost = max(1.0, rules.fall_multiple * FALL_FRACTION)
         self._start_capacity = rules.start_capacity
         self._must_ask = settings.must_ask
-        self._relist_min, self._relist_max = ASK_FIRST * rules.ask_within, ASK_MOST * rules.ask_within
+        self._relist_min, self._relist_max = RELIST_MIN * rules.ask_within, RELIST_MAX * rules.ask_within
         self._relist_wait = self._relist_min
         self._requested_at = 0.0
         self._fractions = [c.fraction for c in settings.customers]
@@ -101,7 +108,7 @@
             1.0  # shots that this agent may have out in all, and the least of that
         )
         self._narrowed_at = self._sampled_at = self._sent_at = 0.0
-        self._slow_window_ms = SPAN * given[-1]
+        self._slow_window_ms = SLOW_WINDOW_SLOS * given[-1]
         self._agents = settings.agents
         self._min_subset, self._swap_at = 2, 0.0
         self._by_load = settings.live_weights
@@ -118,7 +125,7 @@
         ] = {}  # API calls with shots out; each leaves when its last shot ended
         self._queue: list[Call] = []  # API calls waiting for room; each leaves after its patience at last
         self._mean_cost = 0.0  # mean cost hint; 0 = none seen
-        self._budget = BUDGET_MAX / 2
+        self._budget = RETRY_BUDGET_MAX / 2
         self._trial_budget = 1.0
         self._fleet_trial_rate: float | None = None  # of the fleet's trials, a ms, where shared
         self._fleet_over_share: frozenset[int] | None = (
@@ -160,20 +167,20 @@
         terms = self.product_terms[ask.product]
         work = 1.0
         if ask.cost:
-            self._mean_cost += TYPICAL * (ask.cost - self._mean_cost) if self._mean_cost else ask.cost
+            self._mean_cost += SLOW_WEIGHT * (ask.cost - self._mean_cost) if self._mean_cost else ask.cost
             work = ask.cost / self._mean_cost
-        room = LEAST_ROOM + (1 - LEAST_ROOM) * self._value_rate(terms) / max(
+        room = MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * self._value_rate(terms) / max(
             map(self._value_rate, self.product_terms)
         )
         if self._is_over_share(ask.customer):
-            room *= LEAST_ROOM
+            room *= MIN_LIMIT_SHARE
         if self._by_load:
             # Guards against clients that come again at once, many times, with little time left.
             left = (ask.until - now) / terms.target.slo
-            room *= (LEAST_ROOM if ask.is_retry else 1.0) * min(1.0, max(LEAST_LEFT, left))
+            room *= (MIN_LIMIT_SHARE if ask.is_retry else 1.0) * min(1.0, max(MIN_LEFT_SLOS, left))
         call = Call(self, now, ask, work, room)
         self._new_work += work
-        self._budget = min(BUDGET_MAX, self._budget + BUDGET)
+        self._budget = min(RETRY_BUDGET_MAX, self._budget + RETRIES_PER_CALL)
         part = (
             TRIALS_PER_CALL
             if self._fleet_trial_rate is None
@@ -237,7 +244,7 @@
             b.state is ListedState.DRAINING
             or now < b.backoff_until
             or all(b.ejected_until)
-            or (b.inflight > 0 and now - b.silent_since > FULL_AT * least)
+            or (b.inflight > 0 and now - b.silent_since > SLOW_SLOS * least)
             for b in self._backends.values()
             if b.state is not ListedState.REMOVED
         )
@@ -275,7 +282,7 @@
     def give_up(self, now: float, call: Call) -> None:
         """Give the final answer: rate-limited where that is true, else errored."""
         if call.may_rate_limit() and now < call.until:
-            self._port.rate_limit(call.token, min(RETRY_AFTER * call.target.slo, self._max_retry_after))
+            self._port.rate_limit(call.token, min(RETRY_AFTER_SLOS * call.target.slo, self._max_retry_after))
         else:
             self._port.error(call.token)
         self.finish(call, now)
@@ -375,7 +382,7 @@
         pool = pool or usable
         if self._warm_keys and call.key is not None:
             homes = self._key_homes(pool, call.key)
-            calm = max(self._full_load, CALM)
+            calm = max(self._full_load, CALM_LOAD)
             b = self._next_backend(now, call, homes[:1] if homes and homes[0].load <= calm else homes)
             if b is not None:
                 return b
@@ -389,7 +396,7 @@
             # Guards against a set that ejection and rest empty; while two are left, no new connection.
             used = awake[: self._min_subset]
         if len(used) < len(awake) and now >= self._swap_at:
-            self._swap_at = now + self._ejection_ms * EXCHANGE
+            self._swap_at = now + self._ejection_ms * SWAP_PERIODS
             worst = max(used, key=lambda b: b.latency_ms[t] or 0.0)
             if (worst.latency_ms[t] or 0.0) > sum(b.latency_ms[t] or 0.0 for b in used) / len(used):
                 # House custom: one is exchanged now and then, here the slowest for the next in order.
@@ -399,8 +406,8 @@
 
     def _subset_size(self) -> int:
         """How many backends this agent uses."""
-        most = max(self._min_subset, int(FRESH * self._recent_calls))
-        return max(2, ceil(CLOSER * most)) if self._mostly_cold else most
+        most = max(self._min_subset, int(SUBSET_PER_CALL * self._recent_calls))
+        return max(2, ceil(COLD_SUBSET * most)) if self._mostly_cold else most
 
     def choose_for_upload(self, now: float, product: int) -> int | None:
         """The backend that a request too long to be kept goes ahead to; its last byte makes it a shot."""
@@ -434,14 +441,14 @@
         def rank(b: Backend) -> float:
             return log((crc32(b"%d:%d" % (b.name, key)) * 2654435761 % 2**32 + 1) / 2**32) / b.size
 
-        return nlargest(HOMES, pool, key=rank)
+        return nlargest(HOMES_PER_KEY, pool, key=rank)
 
     def _next_backend(self, now: float, call: Call, among: list[Backend]) -> Backend | None:
         """The next turn among these backends, one that is crowded only if all are."""
         best = None
-        crowd = CROWDED * self._inflight / max(1, len(self._ready))
+        crowd = CROWDED_FACTOR * self._inflight / max(1, len(self._ready))
         for b in among:
-            silent = b.inflight and now - b.silent_since > FULL_AT * call.target.slo
+            silent = b.inflight and now - b.silent_since > SLOW_SLOS * call.target.slo
             if silent or now < b.backoff_until or not self._has_credit(now, b, call):
                 continue
             if b.inflight > crowd * b.size:
@@ -486,7 +493,7 @@
         """What a turn there costs."""
         usual = call.target.idle if self._warm_keys and self._by_load else self._expected_ms(b, call.target)
         if self._by_load and self._full_load:
-            usual /= max(FLOOR, 1 - b.load / self._full_load)
+            usual /= max(MIN_PACE, 1 - b.load / self._full_load)
         return call.work * usual / (b.size * self._ramp(now, b))
 
     def _finish_time(self, now: float, b: Backend, call: Call) -> float:
@@ -502,7 +509,7 @@
         slow backend holds more than others, and even counts would drive it to the edge of its SLO.
         """
         figure = b.latency_ms[target.index]
-        return b.cost_factor * (target.recent if figure is None else max(figure, target.recent / MOST_SHARE))
+        return b.cost_factor * (target.recent if figure is None else max(figure, target.recent / MAX_SPEEDUP))
 
     # Looking at what is out.
 
@@ -528,9 +535,9 @@
                         self._by_load and not self._limit_by_list and b.silent_since <= attempt.sent_at
                     )
                     self._inflight -= attempt.uncounted
-                    if b.silent_since <= attempt.sent_at and now - attempt.sent_at > SILENT * usual:
+                    if b.silent_since <= attempt.sent_at and now - attempt.sent_at > SILENT_FACTOR * usual:
                         # Nothing at all came back since, nor ever takes as long: one such shot says enough.
-                        b.latency_ms = [MISS * t.slo for t in self._targets]
+                        b.latency_ms = [MISS_SLOS * t.slo for t in self._targets]
                     self._sample(now, call, attempt, AttemptEnd.TIMED_OUT, now - attempt.sent_at)
             if not call.done and call.pending == 1:
                 self._hedge(now, call)
@@ -574,8 +581,8 @@
             return customer in self._fleet_over_share
         for i, fraction in enumerate(self._fractions):
             self._excess[i] = max(0.0, self._excess[i] - fraction)
-        self._excess[customer] = min(BUDGET_MAX * 2, self._excess[customer] + 1)
-        return self._excess[customer] > BUDGET_MAX
+        self._excess[customer] = min(RETRY_BUDGET_MAX * 2, self._excess[customer] + 1)
+        return self._excess[customer] > RETRY_BUDGET_MAX
 
     def _random(self) -> float:
         self._draws += 1
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -19,9 +19,9 @@
 if TYPE_CHECKING:
     from lupinreach.balance import Balancer
 
-FULL_AT = 0.4  # x SLO: a shot that takes longer is a slow one, and so is one that takes
-EASE = 3.0  # x what the SLO's API calls took when they last took least, but never one that takes under
-LEAST_SLOW = 0.2  # x SLO
+SLOW_SLOS = 0.4  # x SLO: a shot that takes longer is a slow one, and so is one that takes
+SLOW_FACTOR = 3.0  # x what the SLO's API calls took when they last took least, but never one that takes under
+MIN_SLOW_SLOS = 0.2  # x SLO
 
 
 class Target:
@@ -40,7 +40,7 @@
     def is_slow(self, latency: float) -> bool:
         """If a shot took so long that backends must be holding too many."""
         # Guards against quick API calls, of which one that met a late loop would pass for a full backend.
-        return latency > min(FULL_AT * self.slo, max(EASE * self.low, LEAST_SLOW * self.slo))
+        return latency > min(SLOW_SLOS * self.slo, max(SLOW_FACTOR * self.low, MIN_SLOW_SLOS * self.slo))
 
 
 class ProductTerms:
--- a/lupinreach/policy/cold.py
+++ b/lupinreach/policy/cold.py
@@ -4,14 +4,14 @@
 
 from lupinreach.known import Backend
 from lupinreach.policy.calls import Call
-from lupinreach.policy.learning import KEEP, SLOW_SHARE_LIMIT
+from lupinreach.policy.learning import MIN_POOL_SHARE, SLOW_SHARE_LIMIT
 
-BEYOND = 1e3  # x mean size: no weight is as large
+MAX_SIZE = 1e3  # x mean size: no weight is as large
 INITIAL_LIMIT = 2.0  # shots in flight that a backend of mean size is given before anything is known
 MAX_CREDIT = 1.5  # x its part by size: a quick backend of a fleet without a warm one
 LIMIT_GROWTH = 2.0  # e-folds within `fall` of what each of them may hold, while shots come well in time
 RARE_BOOST = 4.0  # x its part, at most: what an agent with hardly an API call within `fall` earns more
-AHEAD = 0.5  # API calls: half of what first credits are spread over
+CREDIT_SPREAD = 0.5  # API calls: half of what first credits are spread over
 
 
 class ColdCredit:
@@ -56,16 +56,16 @@
             rate = self._warm_rate * keep + (1 - keep) * sent / passed
             # Falls slowly: guards against losing the rate, and with it all credit, while the warm ones fail.
             self._warm_rate = max(rate, self._warm_rate * (1 - passed / self._cold_ms))
-        few = self._by_load or len(warm) < KEEP * len(self._ready)
+        few = self._by_load or len(warm) < MIN_POOL_SHARE * len(self._ready)
         rate = self._warm_rate * (self._few_warm_boost if few else 1.0)
-        self._mostly_cold = len(warm) < KEEP**2 * len(self._ready)
+        self._mostly_cold = len(warm) < MIN_POOL_SHARE**2 * len(self._ready)
         self._cold_limit = self._cold_limit if self._mostly_cold else INITIAL_LIMIT
         earns = self._cold_credit_rates(now, passed) if self._mostly_cold else None
         for b in earns or self._ready:
             if self._is_cold(now, b):
                 earned = earns[b] if earns else rate * b.size * self._capacity(now, b)
                 # Guards against agents that have all saved up by the time that it stands again.
-                most = AHEAD if b.down and earns else max(earned * self._fall_ms / 2, 1.0)
+                most = CREDIT_SPREAD if b.down and earns else max(earned * self._fall_ms / 2, 1.0)
                 b.credit = min(most, b.credit + earned * passed)
 
     def _cold_credit_rates(self, now: float, passed: float) -> dict[Backend, float]:
@@ -80,7 +80,7 @@
         # more than `lanes` shots in flight, of all agents, until the fleet is seen to hold them.
         grown, slow = 1 + LIMIT_GROWTH * passed / self._fall_ms, self._slow_share / SLOW_SHARE_LIMIT
         self._cold_limit *= grown if slow < 0.5 else 1 / grown if slow > 1 else 1.0
-        self._cold_limit = max(INITIAL_LIMIT, min(BEYOND, self._cold_limit))
+        self._cold_limit = max(INITIAL_LIMIT, min(MAX_SIZE, self._cold_limit))
         # Guards against credit by the mean for an agent that is asked now and then: half of it would lapse. It sends no more
         # than it is asked, so what all send stays under that; and none of this counts before the fleet is seen to hold it.
         asked *= max(1.0, min(1 + RARE_BOOST / (1 + asked * self._fall_ms), self._cold_limit / INITIAL_LIMIT))
@@ -96,4 +96,6 @@
     def _has_credit(self, now: float, b: Backend, call: Call) -> bool:
         # Where what each agent earns of each backend is a shot in half a minute, half a shot ahead lets all
         # of them together send what they earn, from the first moment on.
-        return not self._is_cold(now, b) or b.credit + (AHEAD if self._mostly_cold else 0.0) >= call.work
+        return (
+            not self._is_cold(now, b) or b.credit + (CREDIT_SPREAD if self._mostly_cold else 0.0) >= call.work
+        )
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -6,15 +6,21 @@
 
 from lupinreach.known import Backend
 from lupinreach.model import BackendSnapshot, ListedState, Listing, PolicySnapshot, UpdateKind
-from lupinreach.policy.calls import FULL_AT
-from lupinreach.policy.cold import BEYOND, INITIAL_LIMIT
-from lupinreach.policy.learning import KEEP, NEWEST
-
-SHARED_BY = 8.0  # so many that each backend is used by as many agents, and 2
-FEW = 3  # backends that an agent uses where the list tells loads and agents outnumber backends
-AIM = 0.65  # x SLO over what a shot takes where there is room: API calls held a core that come back in time
-LEAST_ADMIT, CUT, GROW = 0.01, 0.4, 1.5  # the least share admitted, and how far one list moves it
-SPREAD = 2.0  # x what the call that failed took, where that is more
+from lupinreach.policy.calls import SLOW_SLOS
+from lupinreach.policy.cold import INITIAL_LIMIT, MAX_SIZE
+from lupinreach.policy.learning import LATENCY_WEIGHT, MIN_POOL_SHARE
+
+USERS_PER_BACKEND = 8.0  # so many that each backend is used by as many agents, and 2
+MIN_SUBSET = 3  # backends that an agent uses where the list tells loads and agents outnumber backends
+TARGET_LOAD = (
+    0.65  # x SLO over what a shot takes where there is room: API calls held a core that come back in time
+)
+MIN_ADMITTED, ADMIT_CUT, ADMIT_GROWTH = (
+    0.01,
+    0.4,
+    1.5,
+)  # the least share admitted, and how far one list moves it
+RELIST_SPREAD = 2.0  # x what the call that failed took, where that is more
 
 
 class Membership:
@@ -62,7 +68,9 @@
             # through what was ahead of this call and as much again.
             # Of a crowd that it can't get through, each comes as late as an agent may go without asking.
             took = max(0.0, now - self._requested_at)
-            span = max(self._relist_min, min(max(self._relist_wait, SPREAD * took), self._relist_max - took))
+            span = max(
+                self._relist_min, min(max(self._relist_wait, RELIST_SPREAD * took), self._relist_max - took)
+            )
             self._port.wake(now + span * (1 + self._random()) / 2, "ask")
             self._relist_wait = 2 * span
             return
@@ -75,7 +83,7 @@
                 self._restore_backend(now, b, e)
                 b.finish_tag = self._vtime
                 if self._by_load:
-                    b.finish_tag -= self._random() * min(t.slo for t in self._targets) * FULL_AT
+                    b.finish_tag -= self._random() * min(t.slo for t in self._targets) * SLOW_SLOS
                 b.credit = self._initial_credit() if e.boot_time else 0.0
                 b.started_at = e.boot_time
             elif e.boot_time > b.boot_time:
@@ -84,7 +92,7 @@
                 b.started_at, b.down = e.boot_time, False
             b.name, b.zone, b.cell = e.name, e.zone, e.cell
             weight = e.size or 1.0
-            if self._by_load and not 0 < weight < (self._mean_weight * BEYOND or inf):
+            if self._by_load and not 0 < weight < (self._mean_weight * MAX_SIZE or inf):
                 weight = b.weight or 1.0  # guards against one wrong weight that would be the highest for good
             # Guards against a load that is taken for a size: homes and credit would wander with it.
             b.weight = max(b.weight, weight) if self._by_load else weight
@@ -122,13 +130,15 @@
                 (b for b in self._ready if b.ejected_until[t.index]),
                 key=lambda b: b.latency_ms[t.index] or 0.0,
             )
-            for b in held[: max(0, len(held) - int((1 - KEEP) * len(self._ready)))]:
+            for b in held[: max(0, len(held) - int((1 - MIN_POOL_SHARE) * len(self._ready)))]:
                 # Guards against a list that shrinks to the ejected: they'd get shots but no way back.
                 b.ejected_until[t.index] = 0.0
         # Guards against agents that stay narrow on a fleet that grows: two shots for each ready backend,
         # shared among the agents, are not what chokes it.
         # Guards against a backend whose load is up to one or two agents.
-        self._min_subset = max(FEW if self._by_load else 2, ceil(SHARED_BY * len(self._ready) / self._agents))
+        self._min_subset = max(
+            MIN_SUBSET if self._by_load else 2, ceil(USERS_PER_BACKEND * len(self._ready) / self._agents)
+        )
         self._min_limit = INITIAL_LIMIT * max(1, len(self._ready)) / self._agents
         self._limit = max(self._min_limit, self._limit)
         if self._no_list_yet:
@@ -148,7 +158,7 @@
         before, self._mean_load = self._mean_load, sum(middle) / len(middle)
         if news is UpdateKind.CHANGES and self._listed_at:
             gap = now - self._listed_at
-            self._list_gap += NEWEST * (gap - self._list_gap) if self._list_gap else gap
+            self._list_gap += LATENCY_WEIGHT * (gap - self._list_gap) if self._list_gap else gap
         self._listed_at = now
         # What a backend would hold by the time the next list comes if all were sent alike (Little): one that
         # holds less has room for the difference. Guards against all agents that rush to what was idle then.
@@ -158,12 +168,14 @@
         self._limit_by_list = self._agents > len(self._ready)
         if self._list_gap:
             # By the trend, half of the excess at a time: guards against a share that swings with late lists.
-            excess = (2 * self._mean_load - before - min(AIM * t.slo / t.idle for t in self._targets)) / 2
+            excess = (
+                2 * self._mean_load - before - min(TARGET_LOAD * t.slo / t.idle for t in self._targets)
+            ) / 2
             answered = self._list_gap / max(
                 t.idle for t in self._targets
             )  # by a core, alone, until the next list
-            step = min(GROW, max(CUT, 1 - excess / answered))
-            self._admitted = min(1.0, max(LEAST_ADMIT, self._admitted * step))
+            step = min(ADMIT_GROWTH, max(ADMIT_CUT, 1 - excess / answered))
+            self._admitted = min(1.0, max(MIN_ADMITTED, self._admitted * step))
 
     def _reset_backend(self, b: Backend, left: float = inf) -> None:
         """What was known of the old process says nothing of the new one; credit no more than what is left of it.
@@ -186,7 +198,7 @@
         Guards against a list from before a power loss, by which the rest of the fleet is warm. What an old
         list says counts until the registry speaks; refusals count beside its word: it learns late of a death.
         """
-        if sum(self._is_cold(now, b) for b in known) >= max(INITIAL_LIMIT, KEEP * len(known)):
+        if sum(self._is_cold(now, b) for b in known) >= max(INITIAL_LIMIT, MIN_POOL_SHARE * len(known)):
             for b in self._ready:
                 if not b.has_responded and not self._is_cold(now, b):
                     b.down, b.presumed_down, b.refused_at = True, by_list, now
