--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -162,23 +162,27 @@
         self._requested_at = now
         self._port.directory(True)
 
-    def submit(self, now: float, ask: IncomingCall) -> Call:
+    def submit(self, now: float, incoming: IncomingCall) -> Call:
         """Take an API call; it gets exactly one final answer."""
-        terms = self.product_terms[ask.product]
+        terms = self.product_terms[incoming.product]
         work = 1.0
-        if ask.cost:
-            self._mean_cost += SLOW_WEIGHT * (ask.cost - self._mean_cost) if self._mean_cost else ask.cost
-            work = ask.cost / self._mean_cost
-        room = MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * self._value_rate(terms) / max(
+        if incoming.cost:
+            self._mean_cost += (
+                SLOW_WEIGHT * (incoming.cost - self._mean_cost) if self._mean_cost else incoming.cost
+            )
+            work = incoming.cost / self._mean_cost
+        limit_share = MIN_LIMIT_SHARE + (1 - MIN_LIMIT_SHARE) * self._value_rate(terms) / max(
             map(self._value_rate, self.product_terms)
         )
-        if self._is_over_share(ask.customer):
-            room *= MIN_LIMIT_SHARE
+        if self._is_over_share(incoming.customer):
+            limit_share *= MIN_LIMIT_SHARE
         if self._by_load:
             # Guards against clients that come again at once, many times, with little time left.
-            left = (ask.until - now) / terms.target.slo
-            room *= (MIN_LIMIT_SHARE if ask.is_retry else 1.0) * min(1.0, max(MIN_LEFT_SLOS, left))
-        call = Call(self, now, ask, work, room)
+            left = (incoming.until - now) / terms.target.slo
+            limit_share *= (MIN_LIMIT_SHARE if incoming.is_retry else 1.0) * min(
+                1.0, max(MIN_LEFT_SLOS, left)
+            )
+        call = Call(self, now, incoming, work, limit_share)
         self._new_work += work
         self._budget = min(RETRY_BUDGET_MAX, self._budget + RETRIES_PER_CALL)
         part = (
@@ -249,9 +253,7 @@
             if b.state is not ListedState.REMOVED
         )
 
-    def on_probe(
-        self, now: float, backend: int, ending: AttemptEnd, latency: float, load: Load | None
-    ) -> None:
+    def on_probe(self, now: float, backend: int, end: AttemptEnd, latency: float, load: Load | None) -> None:
         """The outcome of a probe; this version sends none."""
 
     def on_peer_message(self, now: float, sender: int, message: bytes) -> None:
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -78,22 +78,24 @@
         "pinned_to",
     )
 
-    def __init__(self, to: Balancer, now: float, ask: IncomingCall, work: float, room: float) -> None:
+    def __init__(
+        self, to: Balancer, now: float, incoming: IncomingCall, work: float, limit_share: float
+    ) -> None:
         self._to = to
-        self.token = ask.token
-        self.terms = to.product_terms[ask.product]
+        self.token = incoming.token
+        self.terms = to.product_terms[incoming.product]
         self.target = self.terms.target
-        self.until = ask.until
+        self.until = incoming.until
         self.arrived = now
-        self.key = ask.key
+        self.key = incoming.key
         self.work = work
-        self.limit_share = room
+        self.limit_share = limit_share
         self.attempts: list[Attempt] = []
         self.pending = 0
         self.done = False
         self.streaming = False
         self.queued = False
-        self.pinned_to = ask.pinned_to
+        self.pinned_to = incoming.pinned_to
 
     @property
     def closed(self) -> bool:
@@ -162,7 +164,7 @@
         self,
         now: float,
         number: int,
-        ending: AttemptEnd,
+        end: AttemptEnd,
         latency: float,
         complete: bool,
         load: Load | None = None,
@@ -172,12 +174,12 @@
         if not attempt.pending:
             return
         attempt.pending = False
-        attempt.may_have_run = ending not in NEVER_RAN
+        attempt.may_have_run = end not in NEVER_RAN
         self.pending -= 1
         to = self._to
         if not attempt.answer_begun:
-            to.record_attempt(now, self, attempt, ending, latency, load)
-        elif ending is not AttemptEnd.FULFILLED and ending is not AttemptEnd.CANCELLED:
+            to.record_attempt(now, self, attempt, end, latency, load)
+        elif end is not AttemptEnd.FULFILLED and end is not AttemptEnd.CANCELLED:
             # What broke under way may be any backend's; it ejects like a break, and narrows no bound.
             to.record_late_failure(now, self, attempt)
         if complete:
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -38,34 +38,34 @@
     # Learning from what came back.
 
     def record_attempt(
-        self, now: float, call: Call, attempt: Attempt, ending: AttemptEnd, latency: float, load: Load | None
+        self, now: float, call: Call, attempt: Attempt, end: AttemptEnd, latency: float, load: Load | None
     ) -> None:
         """Book the end of a shot."""
         b = attempt.backend
         b.inflight -= 1
         self._inflight -= not attempt.uncounted
         target = call.target
-        failed = ending is not AttemptEnd.FULFILLED
+        failed = end is not AttemptEnd.FULFILLED
         if attempt.trial:
             b.trial = None
-        if ending is AttemptEnd.REFUSED:
+        if end is AttemptEnd.REFUSED:
             # Its credit is spent: guards against agents that have all saved it up by the time it is back.
             self._mark_down(now, b)
-        elif ending not in NO_RESPONSE:
+        elif end not in NO_RESPONSE:
             b.has_responded = True
             if b.down:
                 b.down, b.started_at = False, attempt.sent_at
                 self._reset_backend(b, b.credit)
             b.up_since = b.up_since or attempt.sent_at
         if (
-            ending in (AttemptEnd.UNSENT, AttemptEnd.CANCELLED)
+            end in (AttemptEnd.UNSENT, AttemptEnd.CANCELLED)
             or (attempt.overdue and failed)
             or attempt.cancelled
         ):
             if attempt.trial and b.ejected_until[target.index]:
                 b.ejected_until[target.index] = now + (self._ejection_ms if attempt.overdue else 0.0)
             return
-        b.failure_rate += SLOW_WEIGHT * ((ending in FAULTY) - b.failure_rate)
+        b.failure_rate += SLOW_WEIGHT * ((end in FAULTY) - b.failure_rate)
         if not failed:
             target.typical += SLOW_WEIGHT * (latency - target.typical) if target.typical else latency
             target.recent += RECENT_WEIGHT * (latency - target.recent)
@@ -73,7 +73,7 @@
                 target.idle += RECENT_WEIGHT * (min(latency, target.slo) - target.idle)
             target.low = min(target.low * (1 + SLOW_WEIGHT**2), target.recent)
         if not attempt.overdue:
-            self._sample(now, call, attempt, ending, latency)
+            self._sample(now, call, attempt, end, latency)
         if load is not None and load.in_flight is not None:
             # A report spots extremes and ranks nothing: agents that rank by late reports herd.
             crowd = load.in_flight / b.size
@@ -98,18 +98,18 @@
         attempt.backend.failure_rate += SLOW_WEIGHT * (1 - attempt.backend.failure_rate)
         self._sample(now, call, attempt, AttemptEnd.RESET, 0.0)
 
-    def _sample(self, now: float, call: Call, attempt: Attempt, ending: AttemptEnd, latency: float) -> None:
+    def _sample(self, now: float, call: Call, attempt: Attempt, end: AttemptEnd, latency: float) -> None:
         """One sample for the backend's figure of every SLO, scaled to what each SLO's API calls usually take.
 
         Guards against agents with little traffic that would learn of a slow backend once for each product.
         """
-        b, own, failed = attempt.backend, call.target, ending is not AttemptEnd.FULFILLED
+        b, own, failed = attempt.backend, call.target, end is not AttemptEnd.FULFILLED
         b.observed_at = now
         # Guards against a wave of cold backends, slow by their age, that would narrow what the warm ones get.
         # But with hardly a warm one left it is the cold that tell, each by what it would have taken warm.
         cold = self._is_cold(now, b)
         aged = self._capacity(now, b) if cold else 1.0
-        tells = (not cold or self._mostly_cold) and ending not in NO_CONNECTION and ending not in FAULTY
+        tells = (not cold or self._mostly_cold) and end not in NO_CONNECTION and end not in FAULTY
         if tells and not attempt.uncounted and not b.ejected_until[own.index]:
             self._adapt_limit(now, failed or own.is_slow(latency * aged))
         latency /= max(1.0, call.work)  # guards against a long API call that ejects a sound backend
@@ -135,7 +135,7 @@
                 figures = sorted(f for o in self._ready if (f := o.latency_ms[i]) is not None) or [figure]
                 t.slo = DEFAULT_SLO_FACTOR * figures[len(figures) // 2]
             if figure > t.slo:
-                self._eject(now, b, t, ending in FAULTY)
+                self._eject(now, b, t, end in FAULTY)
 
     def _adapt_limit(self, now: float, slow: bool) -> None:
         """The agent's bound on all its shots: widen while answers come well in time, narrow when they don't.
