--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -589,4 +589,4 @@
     def _random(self) -> float:
         self._draws += 1
         # The product takes apart what neighbouring seeds and counters have in common in a CRC.
-        return crc32(f"{self._seed}:{self._drawn}".encode()) * 2654435761 % 2**32 / 2**32
+        return crc32(f"{self._seed}:{self._draws}".encode()) * 2654435761 % 2**32 / 2**32
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -459,7 +459,7 @@
     bench = Bench(settings())
     agent = bench.agent
     first, second = bench.submit("a"), bench.submit("b")
-    agent._limit = agent._least = 1.0  # full with the second
+    agent._limit = agent._min_limit = 1.0  # full with the second
     bench.answer("a", 50.0, AttemptEnd.REJECTED)
     assert agent._queue == [first]
     bench.move(100.0)
