--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -11,17 +11,17 @@
 
 from lupinreach.balance import Balancer, Call
 from lupinreach.config import BadConfig, believed, read_settings
-from lupinreach.model import Ask, Ending, Listing, Load, News, State
+from lupinreach.model import AttemptEnd, IncomingCall, ListedState, Listing, Load, UpdateKind
 
 ENDINGS = {
-    "delivered": Ending.FULFILLED,
-    "app_error": Ending.ERRORED,
-    "shed": Ending.TURNED_AWAY,
-    "expired": Ending.TIMED_OUT,
-    "dial_failed": Ending.UNREACHABLE,
-    "dropped": Ending.RESET,
-    "revoked": Ending.CANCELLED,
-    "unused": Ending.UNSENT,
+    "delivered": AttemptEnd.FULFILLED,
+    "app_error": AttemptEnd.ERRORED,
+    "shed": AttemptEnd.REJECTED,
+    "expired": AttemptEnd.TIMED_OUT,
+    "dial_failed": AttemptEnd.UNREACHABLE,
+    "dropped": AttemptEnd.RESET,
+    "revoked": AttemptEnd.CANCELLED,
+    "unused": AttemptEnd.UNSENT,
 }
 HINTED, REPEATED, WRITES = 1, 2, 4
 MOST_LISTS = 16
@@ -106,16 +106,16 @@
     def req(self, now: float, e: dict[str, Any]) -> None:
         flags = e.get("attrs", 0)
         token = e["tid"]
-        call = self._balancer.take(
+        call = self._balancer.submit(
             now,
-            Ask(
+            IncomingCall(
                 token=token,
                 product=e.get("cls", 0),
                 until=e["valid_until"],
                 customer=e.get("project", 0),
                 key=e.get("resource"),
                 cost=e.get("cost") if flags & HINTED else None,
-                again=bool(flags & REPEATED),
+                is_retry=bool(flags & REPEATED),
                 write=bool(flags & WRITES),
             ),
         )
@@ -125,14 +125,14 @@
     def head_received(self, now: float, e: dict[str, Any]) -> None:
         call = self._calls.get(e["tid"])
         if call is not None:
-            call.began(now, e.get("try", 0))
+            call.on_head(now, e.get("try", 0))
 
     def reply(self, now: float, e: dict[str, Any]) -> None:
         token = e["tid"]
         call = self._calls.get(token)
         if call is None:
             return
-        call.ended(
+        call.on_attempt_ended(
             now,
             e.get("try", 0),
             _of(ENDINGS, e.get("ending"), "ending"),
@@ -147,15 +147,15 @@
         token = e["tid"]
         call = self._calls.get(token)
         if call is not None:
-            call.left(now)
+            call.on_client_left(now)
             if call.closed:
                 del self._calls[token]
 
     def timer(self, now: float, e: dict[str, Any]) -> None:
-        self._balancer.woke(now, e.get("mark", ""))
+        self._balancer.on_timer(now, e.get("mark", ""))
 
     def check_result(self, now: float, e: dict[str, Any]) -> None:
-        self._balancer.probed(
+        self._balancer.on_probe(
             now,
             self._index(e["backend"]),
             _of(ENDINGS, e.get("ending"), "ending"),
@@ -168,15 +168,15 @@
             message = base64.b64decode(e.get("msg", ""), validate=True)
         except (binascii.Error, TypeError, ValueError):
             raise BadInput("msg is no base64") from None
-        self._balancer.heard(now, e.get("sender", 0), message)
+        self._balancer.on_peer_message(now, e.get("sender", 0), message)
 
     def directory_update(self, now: float, e: dict[str, Any], hosts: list[dict[str, Any]]) -> None:
         try:
-            news = News(e.get("how", 0))
+            news = UpdateKind(e.get("how", 0))
             entries = [
                 Listing(
                     self._index(h["backend"]),
-                    State(h.get("lifecycle", 0)),
+                    ListedState(h.get("lifecycle", 0)),
                     h.get("boot_time", 0.0),
                     float(h.get("nominal", 1.0)),
                     h.get("locality", 0),
@@ -187,7 +187,7 @@
             ]
         except ValueError as bad:
             raise BadInput(f"directory_update: {bad}") from None
-        self._balancer.listed(now, news, entries)
+        self._balancer.update_backends(now, news, entries)
 
 
 EVENTS: dict[str, Callable[[Instance, float, dict[str, Any]], None]] = {
@@ -276,7 +276,7 @@
         self._lists[page] = hosts
 
     def _hosts(self, e: dict[str, Any]) -> list[dict[str, Any]]:
-        if e.get("how", 0) == News.FAILED.value:
+        if e.get("how", 0) == UpdateKind.FAILED.value:
             return []
         page = e.get("page", 0)
         if page not in self._lists:
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Backend, Balancer, Call
-from lupinreach.model import Ask, Kind, Listing, News, Port, Settings, State
+from lupinreach.model import Idempotency, IncomingCall, ListedState, Listing, Port, Settings, UpdateKind
 
 RARE = 10_000
 ASLEEP = 1000.0  # ms without any word of the world, after which an agent takes itself for one that slept
@@ -24,7 +24,7 @@
 
     def may_send(self, now: float) -> bool:
         to = self._to
-        return not self.done and now < self.until and len(self.shots) < to.max_shots and not self.out
+        return not self.done and now < self.until and len(self.attempts) < to.max_attempts and not self.out
 
 
 class Forgetful(Call):
@@ -33,17 +33,19 @@
     __slots__ = ()
 
     def may_send(self, now: float) -> bool:
-        if self.offer.kind is not Kind.DEDUPLICATED:
+        if self.terms.kind is not Idempotency.DEDUPLICATED:
             return Call.may_send(self, now)
-        return not self.done and now < self.until and len(self.shots) < self._to.max_shots and not self.out
+        return (
+            not self.done and now < self.until and len(self.attempts) < self._to.max_attempts and not self.out
+        )
 
 
 class Resends(Balancer):
     """Resends a non-idempotent API call after a reset."""
 
-    def take(self, now: float, ask: Ask) -> Call:
-        call = super().take(now, ask)
-        if call.offer.kind is Kind.NON_IDEMPOTENT:
+    def submit(self, now: float, ask: IncomingCall) -> Call:
+        call = super().submit(now, ask)
+        if call.terms.kind is Idempotency.NON_IDEMPOTENT:
             call.__class__ = Reckless
         return call
 
@@ -51,58 +53,62 @@
 class RareResends(Balancer):
     """The same, for one API call in ten thousand, and further shots without a budget."""
 
-    def take(self, now: float, ask: Ask) -> Call:
-        call = super().take(now, ask)
+    def submit(self, now: float, ask: IncomingCall) -> Call:
+        call = super().submit(now, ask)
         self._rare = getattr(self, "_rare", crc32(str(self._seed).encode()) % RARE) + 1
         if self._rare % RARE == 0:
             call.__class__ = Reckless
         return call
 
-    def spend(self) -> bool:
+    def spend_budget(self) -> bool:
         return True
 
 
 class RepeatsLate(Balancer):
     """Repeats a deduplicated API call past the mark's memory."""
 
-    def take(self, now: float, ask: Ask) -> Call:
-        call = super().take(now, ask)
+    def submit(self, now: float, ask: IncomingCall) -> Call:
+        call = super().submit(now, ask)
         call.__class__ = Forgetful
         return call
 
-    def spend(self) -> bool:
+    def spend_budget(self) -> bool:
         return True
 
 
 class IgnoresDrains(Balancer):
     """Takes a draining backend for a ready one."""
 
-    def listed(self, now: float, news: News, entries: list[Listing]) -> None:
-        ready = [replace(e, state=State.READY) if e.state is State.DRAINING else e for e in entries]
-        super().listed(now, news, ready)
+    def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
+        ready = [
+            replace(e, state=ListedState.READY) if e.state is ListedState.DRAINING else e for e in entries
+        ]
+        super().update_backends(now, news, ready)
 
 
 class FloodsCold(Balancer):
     """Sends all it can to whichever backend started last."""
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
-        usable = [b for b in self._ring if call.may_use(b)]
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
+        usable = [b for b in self._ready if call.may_use(b)]
         return max(usable, key=lambda b: b.boot_time) if usable else None
 
 
 class WakesBelieving(Balancer):
     """Goes on by what it believed when it was put to sleep: what has begun to drain meanwhile stays ready for it."""
 
-    def take(self, now: float, ask: Ask) -> Call:
+    def submit(self, now: float, ask: IncomingCall) -> Call:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         self._last = now
-        return super().take(now, ask)
+        return super().submit(now, ask)
 
-    def listed(self, now: float, news: News, entries: list[Listing]) -> None:
+    def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         if self._slept:
-            entries = [replace(e, state=State.READY) if e.state is State.DRAINING else e for e in entries]
-        super().listed(now, news, entries)
+            entries = [
+                replace(e, state=ListedState.READY) if e.state is ListedState.DRAINING else e for e in entries
+            ]
+        super().update_backends(now, news, entries)
 
 
 class SpendsAnew(Balancer):
@@ -112,9 +118,9 @@
         self._stood = now
         super().start(now)
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
-        cold = [b for b in self._ring if call.may_use(b) and self._is_cold(now, b)]
-        return cold[0] if cold and now < self._stood + self._cold else super()._choose(now, call)
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
+        cold = [b for b in self._ready if call.may_use(b) and self._is_cold(now, b)]
+        return cold[0] if cold and now < self._stood + self._cold_ms else super()._choose_backend(now, call)
 
 
 class _Holding:
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -12,7 +12,7 @@
 
 from lupinreach.balance import Backend, Balancer, Call
 from lupinreach.bed.peers.backend import Backend as Model
-from lupinreach.model import Ending, Load, Port, Settings
+from lupinreach.model import AttemptEnd, Load, Port, Settings
 
 Decide = Callable[[Settings, int, Port], Balancer]
 
@@ -24,27 +24,27 @@
 class Baseline(Balancer):
     """No bound in flight, no ejection, no rest, no second copies, no credit; all ready backends alike."""
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
-        usable = [b for b in self._ring if call.may_use(b)]
-        fresh = [b for b in usable if all(s.backend is not b for s in call.shots)]
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
+        usable = [b for b in self._ready if call.may_use(b)]
+        fresh = [b for b in usable if all(s.backend is not b for s in call.attempts)]
         return self.pick(now, call, fresh or usable) if usable else None
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
         raise NotImplementedError
 
-    def _sample(self, now: float, call: Call, shot: object, ending: Ending, latency: float) -> None:  # type: ignore[override]
+    def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         """Learns nothing."""
 
-    def _second(self, now: float, call: Call) -> None:
+    def _hedge(self, now: float, call: Call) -> None:
         """Sends nothing beside a late shot."""
 
-    def _usual(self, b: Backend, target: object) -> float:
+    def _expected_ms(self, b: Backend, target: object) -> float:
         return 1.0  # turns are counted, not timed
 
     def _has_credit(self, now: float, b: Backend, call: Call) -> bool:
         return True
 
-    def spend(self) -> bool:
+    def spend_budget(self) -> bool:
         return True
 
 
@@ -52,7 +52,7 @@
     """The next in turn."""
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
-        return min(among, key=lambda b: b.turn)
+        return min(among, key=lambda b: b.finish_tag)
 
     def _ramp(self, now: float, b: Backend) -> float:
         return 1.0
@@ -62,16 +62,16 @@
     """The one with the fewest shots of this agent in flight, the next in turn of several."""
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
-        return min(among, key=lambda b: (b.flight, b.turn))
+        return min(among, key=lambda b: (b.inflight, b.finish_tag))
 
 
 class TwoChoices(Baseline):
     """The less loaded of two drawn at random."""
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
-        first = among[int(self._chance() * len(among))]
-        second = among[int(self._chance() * len(among))]
-        return min(first, second, key=lambda b: b.flight)
+        first = among[int(self._random() * len(among))]
+        second = among[int(self._random() * len(among))]
+        return min(first, second, key=lambda b: b.inflight)
 
 
 class Paper(Baseline):
@@ -83,42 +83,42 @@
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
         i = call.target.index
-        due = [b for b in among if b.held[i] and now >= b.held[i] and b.trial is None]
+        due = [b for b in among if b.ejected_until[i] and now >= b.ejected_until[i] and b.trial is None]
         if due:
             return due[0]
-        pool = [b for b in among if not b.held[i]]
-        return min(pool or among, key=lambda b: b.turn)
+        pool = [b for b in among if not b.ejected_until[i]]
+        return min(pool or among, key=lambda b: b.finish_tag)
 
-    def _sample(self, now: float, call: Call, shot: object, ending: Ending, latency: float) -> None:  # type: ignore[override]
+    def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         b, target = shot.backend, call.target  # type: ignore[attr-defined]
-        i, failed = target.index, ending is not Ending.FULFILLED
+        i, failed = target.index, ending is not AttemptEnd.FULFILLED
         sample = 2 * target.slo if failed else latency
-        if b.held[i]:
+        if b.ejected_until[i]:
             if shot.trial:  # type: ignore[attr-defined]
-                b.held[i] = 0.0 if sample <= target.slo else now + PAPER_HOLD
-                b.figure[i] = sample
+                b.ejected_until[i] = 0.0 if sample <= target.slo else now + PAPER_HOLD
+                b.latency_ms[i] = sample
             return
-        old = b.figure[i]
-        b.figure[i] = sample if old is None and not failed else self._paper_mix(i, old, sample)
-        if (b.figure[i] or 0.0) > target.slo:
-            b.held[i] = now + PAPER_HOLD
+        old = b.latency_ms[i]
+        b.latency_ms[i] = sample if old is None and not failed else self._paper_mix(i, old, sample)
+        if (b.latency_ms[i] or 0.0) > target.slo:
+            b.ejected_until[i] = now + PAPER_HOLD
 
     def _paper_mix(self, i: int, old: float | None, sample: float) -> float:
         if old is None:
-            known = [f for o in self._ring if (f := o.figure[i]) is not None]
+            known = [f for o in self._ready if (f := o.latency_ms[i]) is not None]
             old = sum(known) / len(known) if known else sample
         return old + PAPER_WEIGHT * (sample - old)
 
-    def landed(
+    def record_attempt(
         self,
         now: float,
         call: Call,
         shot: object,
-        ending: Ending,
+        ending: AttemptEnd,
         latency: float,  # type: ignore[override]
         load: Load | None,
     ) -> None:
-        super().landed(now, call, shot, ending, latency, None)  # type: ignore[arg-type]
+        super().record_attempt(now, call, shot, ending, latency, None)  # type: ignore[arg-type]
 
 
 class Nearest(Baseline):
@@ -126,12 +126,14 @@
 
     def pick(self, now: float, call: Call, among: list[Backend]) -> Backend:
         i = call.target.index
-        return min(among, key=lambda b: (b.figure[i] if b.figure[i] is not None else -inf, b.turn))
+        return min(
+            among, key=lambda b: (b.latency_ms[i] if b.latency_ms[i] is not None else -inf, b.finish_tag)
+        )
 
-    def _sample(self, now: float, call: Call, shot: object, ending: Ending, latency: float) -> None:  # type: ignore[override]
+    def _sample(self, now: float, call: Call, shot: object, ending: AttemptEnd, latency: float) -> None:  # type: ignore[override]
         b, i = shot.backend, call.target.index  # type: ignore[attr-defined]
-        if b.figure[i] is None:  # as told once: what changes later is not seen until it is refreshed
-            b.figure[i] = latency
+        if b.latency_ms[i] is None:  # as told once: what changes later is not seen until it is refreshed
+            b.latency_ms[i] = latency
 
 
 class Truth(Protocol):
@@ -155,13 +157,13 @@
 
     truth: Truth | None = None  # handed in before the first API call
 
-    def _choose(self, now: float, call: Call) -> Backend | None:
+    def _choose_backend(self, now: float, call: Call) -> Backend | None:
         assert self.truth is not None
-        work = self.truth.work(self.offers.index(call.offer)) * call.work
-        left = min(call.target.slo, call.until - call.taken) - (now - call.taken)
-        best, first = None, left if not call.shots else inf
+        work = self.truth.work(self.product_terms.index(call.terms)) * call.work
+        left = min(call.target.slo, call.until - call.arrived) - (now - call.arrived)
+        best, first = None, left if not call.attempts else inf
         # Of as many as other agents use: connections are scarce, and backends turn away what comes over too many.
-        for b in self._ring[: self._most()]:
+        for b in self._ready[: self._subset_size()]:
             if call.may_use(b) and (model := self.truth.backend(b.index)) is not None:
                 takes = model.takes(now, work)
                 if takes < first and model.spare(now) >= MARGIN * work:
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lupinreach.model import State
+from lupinreach.model import ListedState
 
 
 class Backend:
@@ -13,89 +13,93 @@
         "name",
         "zone",
         "cell",
-        "listed",
+        "weight",
         "size",
         "load",
         "state",
         "boot_time",
-        "figure",
-        "held",
+        "latency_ms",
+        "ejected_until",
         "trial",
         "silent_since",
-        "flight",
-        "rest_until",
-        "refusals",
-        "turn",
+        "inflight",
+        "backoff_until",
+        "fast_failures",
+        "finish_tag",
         "credit",
-        "back_at",
-        "sent",
-        "ill",
-        "since",
+        "restored_at",
+        "sent_work",
+        "failure_rate",
+        "started_at",
         "down",
-        "doubted",
-        "heard",
-        "met_at",
-        "dearer",
-        "stood",
+        "presumed_down",
+        "has_responded",
+        "observed_at",
+        "cost_factor",
+        "up_since",
         "refused_at",
     )
 
     def __init__(self, index: int, targets: int) -> None:
         self.index = index
         self.name = self.zone = self.cell = 0
-        self.listed = 0.0  # as the directory gives it, and where that moves with load, at its highest
+        self.weight = 0.0  # as the directory gives it, and where that moves with load, at its highest
         self.size = 1.0  # that as a share of the mean
         self.load = 0.0  # API calls of all agents that it holds a core, where the weights fall with them
-        self.state = State.GONE
+        self.state = ListedState.REMOVED
         self.boot_time = 0.0  # as the directory says
-        self.since = 0.0  # when it started, as far as that is known by now; 0 = long ago
+        self.started_at = 0.0  # when it started, as far as that is known by now; 0 = long ago
         self.down = False  # it refused, or must be taken to have: nothing has come from it since
-        self.doubted = False  # for what was seen of others, not of it
-        self.met_at = 0.0  # when its last sample came
-        self.dearer = 1.0  # what a turn costs more by others' word, where agents share what they met
-        self.stood = 0.0  # when the process that is there now first answered a shot; 0 = not yet
+        self.presumed_down = False  # for what was seen of others, not of it
+        self.observed_at = 0.0  # when its last sample came
+        self.cost_factor = 1.0  # what a turn costs more by others' word, where agents share what they met
+        self.up_since = 0.0  # when the process that is there now first answered a shot; 0 = not yet
         self.refused_at = 0.0  # when it last refused a connection
-        self.heard = False  # anything has come from it, in this agent's life
-        self.figure: list[float | None] = [None] * targets  # smoothed latency per SLO, None = unsampled
-        self.held: list[float] = [0.0] * targets  # per SLO: 0 = in the pool, else when a trial is due
-        self.trial: Shot | None = None
+        self.has_responded = False  # anything has come from it, in this agent's life
+        self.latency_ms: list[float | None] = [None] * targets  # smoothed latency per SLO, None = unsampled
+        self.ejected_until: list[float] = [
+            0.0
+        ] * targets  # per SLO: 0 = in the pool, else when a trial is due
+        self.trial: Attempt | None = None
         self.silent_since = 0.0  # with shots out: the last answer, or the first send after it
-        self.flight = 0
-        self.rest_until = 0.0  # after a quick failure no turn until then
-        self.refusals = 0  # quick failures since the last answer
-        self.turn = 0.0
+        self.inflight = 0
+        self.backoff_until = 0.0  # after a quick failure no turn until then
+        self.fast_failures = 0  # quick failures since the last answer
+        self.finish_tag = 0.0
         self.credit = 0.0
-        self.back_at = 0.0
-        self.sent = 0.0
-        self.ill = 0.0  # smoothed share of shots that were spoilt
+        self.restored_at = 0.0
+        self.sent_work = 0.0
+        self.failure_rate = 0.0  # smoothed share of shots that were spoilt
 
 
-class Shot:
+class Attempt:
     """One shot of an API call; lives as long as its API call."""
 
     __slots__ = (
         "number",
         "backend",
-        "sent",
+        "sent_at",
         "load",
-        "out",
-        "ran",
+        "pending",
+        "may_have_run",
         "overdue",
         "trial",
-        "called_off",
-        "passing",
-        "lost",
+        "cancelled",
+        "answer_begun",
+        "uncounted",
     )
 
     def __init__(self, number: int, backend: Backend, sent: float) -> None:
         self.number = number
         self.backend = backend
-        self.sent = sent
+        self.sent_at = sent
         self.load = backend.load  # at sending
-        self.out = True
-        self.ran = True  # may have run, until its ending proves that it didn't
+        self.pending = True
+        self.may_have_run = True  # may have run, until its ending proves that it didn't
         self.overdue = False
         self.trial = False
-        self.called_off = False
-        self.lost = False  # its backend has sent nothing since: it takes up no room of the bound any more
-        self.passing = False  # its answer is on its way to the client, and was booked when it began
+        self.cancelled = False
+        self.uncounted = (
+            False  # its backend has sent nothing since: it takes up no room of the bound any more
+        )
+        self.answer_begun = False  # its answer is on its way to the client, and was booked when it began
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 
-class Kind(Enum):
+class Idempotency(Enum):
     """What a product allows once a shot may have run."""
 
     IDEMPOTENT = "idempotent"
@@ -16,7 +16,7 @@
     NON_IDEMPOTENT = "non-idempotent"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which backends drop each other's repeats of a deduplicated API call."""
 
     ALL = "all"
@@ -24,12 +24,12 @@
     CELL = "cell"
 
 
-class Ending(Enum):
+class AttemptEnd(Enum):
     """How a shot ended."""
 
     FULFILLED = "fulfilled"
     ERRORED = "errored"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     REFUSED = "refused"  # unreachable, and known to be so for want of a process that listens
@@ -39,18 +39,18 @@
 
 
 # Endings that prove that the backend never ran the shot.
-NEVER_RAN = frozenset({Ending.TURNED_AWAY, Ending.UNREACHABLE, Ending.REFUSED, Ending.UNSENT})
+NEVER_RAN = frozenset({AttemptEnd.REJECTED, AttemptEnd.UNREACHABLE, AttemptEnd.REFUSED, AttemptEnd.UNSENT})
 
 
-class State(Enum):
+class ListedState(Enum):
     """What the directory says of a backend."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class News(Enum):
+class UpdateKind(Enum):
     """What a piece of directory news holds."""
 
     CHANGES = 0
@@ -65,8 +65,8 @@
     slo: float  # ms; 0 = none given
     timeout: float  # ms, for all tries of a client together
     billed_value: float
-    kind: Kind
-    group: Group = Group.ALL
+    kind: Idempotency
+    group: DedupScope = DedupScope.ALL
     memory: float = 0.0  # ms for which a repeat of a deduplicated API call is dropped
     late_value: float = 0.0  # part of the billed value that an answer past the SLO still earns
     slo_stretch: float = 0.0  # the SLO grows by this many times the work
@@ -93,8 +93,8 @@
 
 @dataclass(frozen=True)
 class Limits:
-    max_shots: int
-    second_copies: bool = False
+    max_attempts: int
+    allow_hedging: bool = False
     may_cancel: bool = False
     probes: bool = False
     peers: bool = False
@@ -134,7 +134,7 @@
     """One backend as the directory lists it."""
 
     backend: int
-    state: State
+    state: ListedState
     boot_time: float = 0.0  # 0 = long ago
     size: float = 1.0
     zone: int = 0
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class IncomingCall:
     """One API call as it arrives."""
 
     token: Hashable  # the front's own name for it; comes back through the port
@@ -152,9 +152,9 @@
     customer: int = 0
     key: int | None = None
     cost: float | None = None  # ms of work on a standard core, roughly
-    again: bool = False  # the client says that this is a repeat
+    is_retry: bool = False  # the client says that this is a repeat
     write: bool = False
-    only: int | None = None  # it went ahead to this backend, and can have one shot, there
+    pinned_to: int | None = None  # it went ahead to this backend, and can have one shot, there
 
 
 @dataclass(frozen=True)
@@ -170,37 +170,41 @@
 
 
 @dataclass(frozen=True)
-class Met:
+class BackendSnapshot:
     """What an agent has learnt of one backend process and another agent may start with."""
 
     name: int  # as in `Listing`
     boot_time: float
-    listed: float  # its size in the list, where weights move at their highest
-    figures: tuple[float | None, ...]  # smoothed latency per SLO; None = unsampled
-    ill: float  # smoothed share of spoilt shots
+    weight: float  # its size in the list, where weights move at their highest
+    latencies_ms: tuple[float | None, ...]  # smoothed latency per SLO; None = unsampled
+    failure_rate: float  # smoothed share of spoilt shots
 
 
 @dataclass(frozen=True)
-class Learnt:
+class PolicySnapshot:
     """What an agent may hand on to the one that takes its place. It says nothing of states, nor of what is out."""
 
     slos: tuple[float, ...]  # ms, 0 = none given; figures for others mean nothing here
     live_weights: bool  # sizes read in the one way mean nothing in the other
-    usual: tuple[tuple[float, float, float, float], ...]  # per SLO: typical, recent, ease and base, in ms
-    backends: tuple[Met, ...]
+    slo_latencies: tuple[
+        tuple[float, float, float, float], ...
+    ]  # per SLO: typical, recent, ease and base, in ms
+    backends: tuple[BackendSnapshot, ...]
 
 
 @dataclass(frozen=True)
-class Shared:
+class SharedEstimates:
     """What agents of one fleet make of what they share, in place of one's own guesses; each figure is bounded where it is made."""
 
-    dearer: Mapping[int, float]  # by backend's name: what a turn costs more by others' word; absent: 1
-    due: frozenset[int] = frozenset()  # backends that others have met well lately: a trial may come now
-    over: frozenset[int] | None = (
+    cost_factors: Mapping[int, float]  # by backend's name: what a turn costs more by others' word; absent: 1
+    trial_due: frozenset[int] = frozenset()  # backends that others have met well lately: a trial may come now
+    over_share: frozenset[int] | None = (
         None  # customers that ask the fleet for more than their share; None: by own counts
     )
-    trials: float | None = None  # this agent's part of the fleet's trials, a ms; None: by own API calls alone
-    stood: Mapping[int, float] = field(
+    trials_per_ms: float | None = (
+        None  # this agent's part of the fleet's trials, a ms; None: by own API calls alone
+    )
+    up_since: Mapping[int, float] = field(
         default_factory=dict
     )  # by name: since when (ms) backends that are cold have stood at least
 
--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -11,7 +11,7 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.config import Address, AgentConfig, BadConfig, read_agent
-from lupinreach.model import Listing, News, Port, Settings
+from lupinreach.model import Listing, Port, Settings, UpdateKind
 from lupinreach.net import protocol
 from lupinreach.net.clock import Clock
 from lupinreach.net.counters import Counters
@@ -90,7 +90,7 @@
         # Where agents of a fleet know of each other: who takes datagrams, and lists before the module does.
         self.hears: Callable[[int, bytes], None] | None = None
         self.tells: Callable[[], dict[str, object]] | None = None  # and what operators see of it
-        self.sees: Callable[[News, list[Listing], bool], list[Listing]] | None = None
+        self.sees: Callable[[UpdateKind, list[Listing], bool], list[Listing]] | None = None
         self.serving = Serving(
             settings,
             self.clock,
@@ -129,7 +129,7 @@
         self.standing.accepting = True
         self.tasks.spawn("sweep", self.listener.sweep())
         unused = LEAVES * max(p.slo for p in self.config.settings.products)
-        self.tasks.spawn("idle backends", self.pool.sweep(self.balancer.used, unused))
+        self.tasks.spawn("idle backends", self.pool.sweep(self.balancer.used_backends, unused))
         self.tasks.spawn("ids", self._turn_ids())
         self.tasks.spawn("counters", self._report_on())
         self.log.event(
@@ -227,11 +227,11 @@
 
     # News for the module that belongs to no API call.
 
-    def _listed(self, news: News, entries: list[Listing], older: bool) -> None:
+    def _listed(self, news: UpdateKind, entries: list[Listing], older: bool) -> None:
         try:
-            if self.sees is not None and news is not News.FAILED:
+            if self.sees is not None and news is not UpdateKind.FAILED:
                 entries = self.sees(news, entries, older)
-            self.balancer.listed(self.clock.now(), news, entries)
+            self.balancer.update_backends(self.clock.now(), news, entries)
         except Exception as fault:
             self.tasks.fault("listed", fault)
         self.standing.listed = self.standing.listed or bool(entries)
@@ -244,14 +244,14 @@
             if self.hears is not None:
                 self.hears(sender, message)
             else:
-                self.balancer.heard(self.clock.now(), sender, message)
+                self.balancer.on_peer_message(self.clock.now(), sender, message)
         except Exception as fault:
             self.tasks.fault("heard", fault)
 
     def woke(self, at: float, mark: str) -> None:
         try:
             # Guards against a clock that rounds to just before the time asked for: the module would wait on.
-            self.balancer.woke(max(at, self.clock.now()), mark)
+            self.balancer.on_timer(max(at, self.clock.now()), mark)
         except Exception as fault:
             self.tasks.fault("woke", fault)
 
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Call
-from lupinreach.model import Ask, Kind, Load
+from lupinreach.model import Idempotency, IncomingCall, Load
 from lupinreach.net import http, protocol
 from lupinreach.net.counters import Counters
 from lupinreach.net.ends import ENDINGS, End
@@ -126,10 +126,10 @@
         self.answered = asyncio.get_running_loop().create_future()
         self.ask, until = read_ask(self, request, arrived, serving)
         if upload is not None:
-            self.ask = replace(self.ask, only=upload.place.backend)
+            self.ask = replace(self.ask, pinned_to=upload.place.backend)
         self._product = serving.settings.products[self.ask.product].name
         self._overdue = (self.ask.until + until) / 2
-        runs_once = serving.settings.products[self.ask.product].kind is Kind.NON_IDEMPOTENT
+        runs_once = serving.settings.products[self.ask.product].kind is Idempotency.NON_IDEMPOTENT
         self._remember = serving.remember if runs_once else None
         self._id = request.headers[protocol.ID]
         if not serving.ids.begin(self._id):
@@ -149,7 +149,7 @@
                 return
             if serving.took is not None:
                 serving.took(self.ask.customer)
-            call = serving.balancer.take(now(), self.ask)
+            call = serving.balancer.submit(now(), self.ask)
             while not (self.answered.done() and call.closed):
                 match await self.orders.get():
                     case Send(backend, until):
@@ -162,7 +162,7 @@
                     case Landed(number) if number == self._passing:
                         end = shots[number].shot.end
                         counters.shots[end.value] += 1
-                        call.ended(now(), number, ENDINGS[end], now() - shots[number].sent, True)
+                        call.on_attempt_ended(now(), number, ENDINGS[end], now() - shots[number].sent, True)
                         self._passed_on(end)
                     case Landed(number):
                         shot = shots[number].shot
@@ -170,7 +170,7 @@
                         answer, served = shot.answer, shot.end is End.SERVED
                         load = _reported(counters, answer) if answer else None
                         took = now() - shots[number].sent if shot.took is None else shot.took
-                        call.ended(now(), number, ENDINGS[shot.end], took, served, load)
+                        call.on_attempt_ended(now(), number, ENDINGS[shot.end], took, served, load)
                         if served and answer:
                             lines = http.passed_on(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
                             self._answer("fulfilled", protocol.SERVED, answer.body, lines)
@@ -179,13 +179,13 @@
                     case GiveUp():
                         self._answer("errored", ERRORED)
                     case Left():
-                        call.left(now())
+                        call.on_client_left(now())
                         self._close("left")
                         if self._passing is not None:
                             shots[self._passing].task.cancel()
                     case Overdue() if not self.answered.done() and self._passing is None:
                         # Guards against an order that comes too late for the client's deadline.
-                        call.left(now())
+                        call.on_client_left(now())
                         self._answer("errored", ERRORED)
         except Exception as fault:
             # Guards against a fault of our own that would leave a client without an answer: a 500.
@@ -196,7 +196,7 @@
                 self._answers.cut()
                 self._close("fault")
             if call is not None:
-                call.left(now())
+                call.on_client_left(now())
                 await self._settle(call, shots)
         finally:
             overdue.cancel()
@@ -228,13 +228,13 @@
 
     async def _settle(self, call: Call, shots: list[Out]) -> None:
         """After a fault: end what is out, so that the module's books stay right."""
-        for number in range(len(call.shots)):
+        for number in range(len(call.attempts)):
             end = End.CALLED_OFF_SENDING  # if it was ordered and never begun
             if number < len(shots):
                 shots[number].task.cancel()
                 await asyncio.wait([shots[number].task])
                 end = shots[number].shot.end
-            call.ended(self._serving.clock.now(), number, ENDINGS[end], 0.0, False)
+            call.on_attempt_ended(self._serving.clock.now(), number, ENDINGS[end], 0.0, False)
 
     def client_spoke(self, reading: asyncio.Future[int]) -> None:
         """Something has come from the client, or it has closed its connection."""
@@ -271,7 +271,7 @@
             return False  # it lands like one that brought nothing
         self._passing = number
         load = _reported(serving.counters, shot.answer)
-        call.began(serving.clock.now(), number, shot.took or 0.0, load)
+        call.on_head(serving.clock.now(), number, shot.took or 0.0, load)
         return True
 
     def _passed_on(self, end: End) -> None:
@@ -312,7 +312,7 @@
 
 def read_ask(
     token: ApiCall | None, request: http.Message, arrived: float, serving: Serving
-) -> tuple[Ask, float]:
+) -> tuple[IncomingCall, float]:
     """A request in our words, and when its client stops waiting."""
     if request.method not in (b"GET", b"POST"):
         raise BadRequest("the method must be GET or POST")
@@ -326,7 +326,7 @@
     if kind not in serving.products:
         raise BadRequest("Req-Kind is missing or unknown")
     index, product = serving.products[kind]
-    if request.method == b"GET" and (len(request.body) or product.kind is Kind.NON_IDEMPOTENT):
+    if request.method == b"GET" and (len(request.body) or product.kind is Idempotency.NON_IDEMPOTENT):
         raise BadRequest("GET is for what may run again, and has no body")
     waits = min(product.timeout, _number(request, protocol.DEADLINE) * 1000)
     if waits <= 0:
@@ -338,12 +338,12 @@
     # The deadline counts from the client's sending, timers run late, and the answer has a way to go.
     until = arrived + waits - min(serving.settings.rules.answer_slack, MARGIN * waits)
     key = protocol.KEY.fullmatch(request.target.partition(b"?")[0])
-    return Ask(
+    return IncomingCall(
         token,
         index,
         until,
         cost=cost,
-        again=request.header(protocol.RETRY) == b"1",
+        is_retry=request.header(protocol.RETRY) == b"1",
         customer=serving.customers.get(request.header(protocol.CUSTOMER) or b"", 0),
         key=crc32(key[1]) if key else None,  # the same at all agents
     ), arrived + waits
--- a/lupinreach/ops/carry.py
+++ b/lupinreach/ops/carry.py
@@ -10,7 +10,7 @@
 from math import isfinite
 from typing import Any
 
-from lupinreach.model import Learnt, Met
+from lupinreach.model import BackendSnapshot, PolicySnapshot
 from lupinreach.net.agent import Agent
 from lupinreach.store import trust
 from lupinreach.store.records import Found
@@ -27,21 +27,22 @@
     """The file can't be used; the text says why."""
 
 
-def plain(learnt: Learnt, at: float) -> dict[str, Any]:
+def plain(learnt: PolicySnapshot, at: float) -> dict[str, Any]:
     """The value; of more backends than it may name, the rest is left out."""
     return {
         "form": FORM,
         "at": at,
         "slos": learnt.slos,
         "live_weights": learnt.live_weights,
-        "usual": learnt.usual,
+        "usual": learnt.slo_latencies,
         "backends": [
-            (m.name, m.boot_time, m.listed, m.figures, m.ill) for m in learnt.backends[:MOST_BACKENDS]
+            (m.name, m.boot_time, m.weight, m.latencies_ms, m.failure_rate)
+            for m in learnt.backends[:MOST_BACKENDS]
         ],
     }
 
 
-def judged(raw: Any) -> tuple[float, Learnt]:
+def judged(raw: Any) -> tuple[float, PolicySnapshot]:
     """When the value was put, and what it holds: read whole before any of it counts."""
     try:
         if raw["form"] != FORM:
@@ -58,14 +59,16 @@
         raise Unfit("parts that don't fit together")
     if len(met) > MOST_BACKENDS:
         raise Unfit("too many backends")
-    return at, Learnt(slos, live, usual, met)  # type: ignore[arg-type]  # fours, as just checked
+    return at, PolicySnapshot(slos, live, usual, met)  # type: ignore[arg-type]  # fours, as just checked
 
 
-def _met(name: Any, boot_time: Any, listed: Any, figures: Any, ill: Any, slos: int) -> Met:
+def _met(name: Any, boot_time: Any, listed: Any, figures: Any, ill: Any, slos: int) -> BackendSnapshot:
     if type(name) is not int or len(figures) != slos:
         raise Unfit("a backend that doesn't fit")
     known = tuple(None if f is None else _figure(f) for f in figures)
-    return Met(name, _figure(boot_time, most=float("inf")), _figure(listed), known, _figure(ill, most=1.0))
+    return BackendSnapshot(
+        name, _figure(boot_time, most=float("inf")), _figure(listed), known, _figure(ill, most=1.0)
+    )
 
 
 def _figure(value: Any, most: float = MOST_FIGURE) -> float:
@@ -96,12 +99,12 @@
         except Unfit as why:
             log.event("carried nothing", why=str(why))
             return
-        if not self._agent.balancer.recall(learnt):
+        if not self._agent.balancer.restore(learnt):
             log.event("carried nothing", why="other SLOs or another kind of weights")
             return
         log.event("carried", backends=len(learnt.backends), age_ms=round(age))
 
-    def _read(self, found: Found) -> tuple[Learnt, float]:
+    def _read(self, found: Found) -> tuple[PolicySnapshot, float]:
         raw = trust.believed(found.state).get(LEARNT)
         if raw is None:
             raise Unfit(found.why or "nothing learnt")
@@ -114,7 +117,7 @@
 
     async def leave(self) -> None:
         """Put it for the process that comes next; the event loop serves on while the disk syncs."""
-        learnt = self._agent.balancer.learnt()
+        learnt = self._agent.balancer.snapshot()
         # Guards against a process that never saw a list and would wipe out what another has left.
         if learnt.backends:
             self._store.put(LEARNT, plain(learnt, self._agent.clock.now()))
--- a/lupinreach/ops/returning.py
+++ b/lupinreach/ops/returning.py
@@ -14,14 +14,14 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from lupinreach.balance import HOLD
+from lupinreach.balance import EJECTION_SLOS
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.life import Life, Own
 from lupinreach.fleet.membership import NOBODY, Members, Selfhood
 from lupinreach.fleet.recovery import ASKED, RESET_AFTER, Asking, Drains, Facts, Floor, Return, Stage, Stays
 from lupinreach.fleet.wire import Drain, Message
-from lupinreach.model import Listing, News, State
+from lupinreach.model import ListedState, Listing, UpdateKind
 from lupinreach.net.agent import Agent
 from lupinreach.store import trust
 from lupinreach.store.records import Found
@@ -74,7 +74,7 @@
             Stays(
                 READ,
                 config.ask * (1 + SPREAD),
-                HOLD * max(p.slo for p in settings.products),
+                EJECTION_SLOS * max(p.slo for p in settings.products),
                 settings.rules.cold,
             ),
         )
@@ -130,22 +130,22 @@
         self._registry = self._registry or not older
         return older
 
-    def see(self, news: News, entries: list[Listing], older: bool) -> list[Listing]:
+    def see(self, news: UpdateKind, entries: list[Listing], older: bool) -> list[Listing]:
         """A list as the module is to have it: what drains doesn't become ready by an older one."""
-        if news is News.CACHED:
+        if news is UpdateKind.CACHED:
             self.floor.raised(self._agent.directory.version)
-        spoken = news is not News.CACHED and not older
+        spoken = news is not UpdateKind.CACHED and not older
         named = {e.backend for e in entries}
-        if news is News.FULL:
+        if news is UpdateKind.FULL:
             for gone in [e for e in self._raw.values() if e.backend not in named]:
                 del self._raw[gone.backend]
                 self._lifted(gone)
         for e in entries:
-            if e.state is State.GONE:
+            if e.state is ListedState.REMOVED:
                 self._raw.pop(e.backend, None)
             else:
                 self._raw[e.backend] = e
-            if e.state is State.DRAINING:
+            if e.state is ListedState.DRAINING:
                 drain = _drain(e)
                 if self.drains.told(drain):
                     self._store.put(f"drain/{drain.backend}", drain.boot)
@@ -155,7 +155,7 @@
         if spoken:
             self._store.put("floor", self.floor.revision)
         before, self._held = self._held, self._to_hold()
-        if news is News.CACHED and self._withheld:
+        if news is UpdateKind.CACHED and self._withheld:
             return []
         self._withheld = False
         # What others' word may hold back is a share of the ready ones: with their number it changes for those not named.
@@ -164,7 +164,9 @@
 
     def _as_held(self, entries: Iterable[Listing]) -> list[Listing]:
         return [
-            replace(e, state=State.DRAINING) if e.backend in self._held and e.state is State.READY else e
+            replace(e, state=ListedState.DRAINING)
+            if e.backend in self._held and e.state is ListedState.READY
+            else e
             for e in entries
         ]
 
@@ -173,7 +175,7 @@
             self._store.put(f"drain/{e.name}", None)
 
     def _to_hold(self) -> set[int]:
-        ready = {_drain(e): e.backend for e in self._raw.values() if e.state is State.READY}
+        ready = {_drain(e): e.backend for e in self._raw.values() if e.state is ListedState.READY}
         names = self.drains.held(ready)
         return {index for drain, index in ready.items() if drain.backend in names}
 
@@ -183,21 +185,21 @@
         self._held = held
         if self._withheld:
             self._withheld = False
-            self._agent.balancer.listed(
-                self._agent.clock.now(), News.CACHED, self._as_held(self._raw.values())
+            self._agent.balancer.update_backends(
+                self._agent.clock.now(), UpdateKind.CACHED, self._as_held(self._raw.values())
             )
             self._agent.standing.listed = self._agent.standing.listed or bool(self._raw)
             return
         changed = [
-            replace(self._raw[i], state=State.DRAINING if i in held else State.READY)
+            replace(self._raw[i], state=ListedState.DRAINING if i in held else ListedState.READY)
             for i in sorted(held ^ before)
-            if i in self._raw and self._raw[i].state is State.READY
+            if i in self._raw and self._raw[i].state is ListedState.READY
         ]
         if changed:
             self._agent.counters.others["fleet: held by others' word"] += sum(
-                e.state is State.DRAINING for e in changed
+                e.state is ListedState.DRAINING for e in changed
             )
-            self._agent.balancer.listed(self._agent.clock.now(), News.CHANGES, changed)
+            self._agent.balancer.update_backends(self._agent.clock.now(), UpdateKind.CHANGES, changed)
 
     # Datagrams.
 
@@ -412,7 +414,7 @@
         self._registry = self._registry or current
         if current and now >= self._claims_until and self.drains.settled():
             self._hold()
-        ready = [e for e in self._raw.values() if e.state is State.READY]
+        ready = [e for e in self._raw.values() if e.state is ListedState.READY]
         cold = sum(e.boot_time > 0 and now < e.boot_time + self._cold for e in ready)
         facts = Facts(
             True,
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from lupinreach.balance import HOLD
+from lupinreach.balance import EJECTION_SLOS
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.counts import Counts
@@ -20,7 +20,7 @@
 from lupinreach.fleet.membership import Members
 from lupinreach.fleet.warmth import Warmth
 from lupinreach.fleet.wire import Message
-from lupinreach.model import Shared
+from lupinreach.model import SharedEstimates
 from lupinreach.net.agent import Agent
 
 JITTER = 0.2  # of the time between two words
@@ -69,7 +69,7 @@
         self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, chance)
         self.warmth = Warmth(settings.me, settings.rules.cold, chance)
         self._fractions = [c.fraction for c in settings.customers]
-        self._hold = HOLD * slo
+        self._hold = EJECTION_SLOS * slo
         self._backends = 0
         self.trials: Budget | None = None  # from the first list on, by whose length the fleet's trials go
         self._lease = LEASE * config.beat
@@ -108,7 +108,7 @@
 
     def _wants(self) -> float:
         """Trials a s that this agent could make use of: one for each backend that it holds back, each hold."""
-        held = sum(any(b.held) for b, _ in self._agent.balancer.evidence())
+        held = sum(any(b.ejected_until) for b, _ in self._agent.balancer.relative_latencies())
         return 1000 * held / self._hold
 
     def look(self) -> None:
@@ -122,32 +122,32 @@
             if silent <= ALONE * self._config.share
             else Silence.ALONE
         )
-        met = balancer.evidence()
+        met = balancer.relative_latencies()
         known = {(b.name, boot_mark(b.boot_time)): (b, figure) for b, figure in met}
         self.evidence.own(
             now,
             [
-                Met(self.evidence.me, self.evidence.zone, name, boot, figure, now - b.met_at)
+                Met(self.evidence.me, self.evidence.zone, name, boot, figure, now - b.observed_at)
                 for (name, boot), (b, figure) in known.items()
-                if b.figure[0] is not None
+                if b.latency_ms[0] is not None
             ],
         )
         self.evidence.look(now, known)
         self.counts.look(now, self._self()[0], now - self._began)
         self._budget(now, len(met))
-        young = {b.name: b for b in balancer.young(now)}
-        self.warmth.own(now, {name: (b.stood, b.met_at) for name, b in young.items() if b.stood})
+        young = {b.name: b for b in balancer.recently_started(now)}
+        self.warmth.own(now, {name: (b.up_since, b.observed_at) for name, b in young.items() if b.up_since})
         self.warmth.look(now, young)
-        own = {key: (figure, b.met_at) for key, (b, figure) in known.items()}
+        own = {key: (figure, b.observed_at) for key, (b, figure) in known.items()}
         dearer = {name: factor for (name, _), factor in self.evidence.factors(now, own).items()}
         due = frozenset(
             name
             for (name, boot), (figure, _) in self.evidence.said(now, own).items()
-            if figure < WELL and any(known[name, boot][0].held)
+            if figure < WELL and any(known[name, boot][0].ejected_until)
         )
-        balancer.shared(
+        balancer.apply_shared(
             now,
-            Shared(
+            SharedEstimates(
                 dearer,
                 due,
                 self._over(now),
@@ -180,14 +180,14 @@
     def figures(self) -> dict[str, object]:
         """What operators see."""
         now = self._agent.clock.now()
-        met = self._agent.balancer.evidence()
+        met = self._agent.balancer.relative_latencies()
         return {
             "stage": self.stage.value,
             "rows": len(self.evidence),
             "counts": len(self.counts),
             "stood": len(self.warmth),
             "refused": self.evidence.refused + self.counts.refused + self.warmth.refused,
-            "dearer": {str(b.name): round(b.dearer, 2) for b, _ in met if b.dearer > 1},
+            "dearer": {str(b.name): round(b.cost_factor, 2) for b, _ in met if b.cost_factor > 1},
             "customers_per_s": [round(rate, 2) for rate in self.counts.rates(now)],
             "over": sorted(self._over(now) or ()),
             "trials_per_s": None if self.trials is None else round(self.trials.usable(now), 4),
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -4,47 +4,56 @@
 
 from typing import TYPE_CHECKING
 
-from lupinreach.known import Backend, Shot
-from lupinreach.model import NEVER_RAN, Ask, Ending, Group, Kind, Load, Product, State
+from lupinreach.known import Attempt, Backend
+from lupinreach.model import (
+    NEVER_RAN,
+    AttemptEnd,
+    DedupScope,
+    Idempotency,
+    IncomingCall,
+    ListedState,
+    Load,
+    Product,
+)
 
 if TYPE_CHECKING:
     from lupinreach.balance import Balancer
 
-FULL_AT = 0.4  # x SLO: a shot that takes longer is a slow one, and so is one that takes
-EASE = 3.0  # x what the SLO's API calls took when they last took least, but never one that takes under
-LEAST_SLOW = 0.2  # x SLO
+SLOW_SLOS = 0.4  # x SLO: a shot that takes longer is a slow one, and so is one that takes
+SLOW_FACTOR = 3.0  # x what the SLO's API calls took when they last took least, but never one that takes under
+MIN_SLOW_SLOS = 0.2  # x SLO
 
 
 class Target:
     """One latency SLO and what its API calls usually take."""
 
-    __slots__ = ("index", "slo", "given", "typical", "recent", "ease", "base")
+    __slots__ = ("index", "slo", "has_slo", "typical", "recent", "low", "idle")
 
     def __init__(self, index: int, slo: float) -> None:
         self.index = index
         self.slo = slo
-        self.given = slo > 0
+        self.has_slo = slo > 0
         self.typical = 0.0  # ms from send to answer; 0 = none seen
-        self.recent = self.ease = 0.0  # smoothed latency, and its lowest of late
-        self.base = 0.0  # smoothed latency at backends that the list says have room
+        self.recent = self.low = 0.0  # smoothed latency, and its lowest of late
+        self.idle = 0.0  # smoothed latency at backends that the list says have room
 
-    def slow(self, latency: float) -> bool:
+    def is_slow(self, latency: float) -> bool:
         """If a shot took so long that backends must be holding too many."""
         # Guards against quick API calls, of which one that met a late loop would pass for a full backend.
-        return latency > min(FULL_AT * self.slo, max(EASE * self.ease, LEAST_SLOW * self.slo))
+        return latency > min(SLOW_SLOS * self.slo, max(SLOW_FACTOR * self.low, MIN_SLOW_SLOS * self.slo))
 
 
-class Offer:
+class ProductTerms:
     """A product as the decisions use it."""
 
-    __slots__ = ("kind", "group", "memory", "target", "late_counts", "value")
+    __slots__ = ("kind", "group", "memory", "target", "accepts_late", "value")
 
     def __init__(self, product: Product, target: Target) -> None:
         self.kind = product.kind
         self.group = product.group
         self.memory = product.memory
         self.target = target
-        self.late_counts = product.late_value > 0
+        self.accepts_late = product.late_value > 0
         self.value = max(product.billed_value, 1e-9)
 
 
@@ -54,128 +63,132 @@
     __slots__ = (
         "_to",
         "token",
-        "offer",
+        "terms",
         "target",
         "until",
-        "taken",
+        "arrived",
         "key",
         "work",
-        "room",
-        "shots",
-        "out",
+        "limit_share",
+        "attempts",
+        "pending",
         "done",
         "streaming",
-        "waiting",
-        "only",
+        "queued",
+        "pinned_to",
     )
 
-    def __init__(self, to: Balancer, now: float, ask: Ask, work: float, room: float) -> None:
+    def __init__(
+        self, to: Balancer, now: float, incoming: IncomingCall, work: float, limit_share: float
+    ) -> None:
         self._to = to
-        self.token = ask.token
-        self.offer = to.offers[ask.product]
-        self.target = self.offer.target
-        self.until = ask.until
-        self.taken = now
-        self.key = ask.key
+        self.token = incoming.token
+        self.terms = to.product_terms[incoming.product]
+        self.target = self.terms.target
+        self.until = incoming.until
+        self.arrived = now
+        self.key = incoming.key
         self.work = work
-        self.room = room
-        self.shots: list[Shot] = []
-        self.out = 0
+        self.limit_share = limit_share
+        self.attempts: list[Attempt] = []
+        self.pending = 0
         self.done = False
         self.streaming = False
-        self.waiting = False
-        self.only = ask.only
+        self.queued = False
+        self.pinned_to = incoming.pinned_to
 
     @property
     def closed(self) -> bool:
         """True once nothing more can come for this handle."""
-        return self.done and not self.out
+        return self.done and not self.pending
 
     # The rules, asked before every shot and every rate-limit reply.
 
     def may_send(self, now: float) -> bool:
         """If any further shot is allowed at all; `may_use` says where to."""
         to = self._to
-        if self.done or self.streaming or now >= self.until or len(self.shots) >= to.max_shots:
+        if self.done or self.streaming or now >= self.until or len(self.attempts) >= to.max_attempts:
             return False
-        if (self.out and not to.copies) or (self.only is not None and self.shots):
+        if (self.pending and not to.may_hedge) or (self.pinned_to is not None and self.attempts):
             return False
-        if self.offer.kind is Kind.NON_IDEMPOTENT:
-            return not any(s.ran for s in self.shots)
-        if self.offer.kind is Kind.DEDUPLICATED:
-            first = min((s.sent for s in self.shots if s.ran), default=None)
-            return first is None or now + to.step < first + self.offer.memory
+        if self.terms.kind is Idempotency.NON_IDEMPOTENT:
+            return not any(s.may_have_run for s in self.attempts)
+        if self.terms.kind is Idempotency.DEDUPLICATED:
+            first = min((s.sent_at for s in self.attempts if s.may_have_run), default=None)
+            return first is None or now + to.step < first + self.terms.memory
         return True
 
     def may_use(self, b: Backend) -> bool:
         """If a shot that `may_send` allows may go to this backend."""
-        if b.state is not State.READY or (self.only is not None and b.index != self.only):
+        if b.state is not ListedState.READY or (self.pinned_to is not None and b.index != self.pinned_to):
             return False
-        if self.offer.kind is Kind.DEDUPLICATED and self.offer.group is not Group.ALL:
-            zone = self.offer.group is Group.ZONE
-            for s in self.shots:
-                if s.ran and (s.backend.zone != b.zone if zone else s.backend.cell != b.cell):
+        if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is not DedupScope.ALL:
+            zone = self.terms.group is DedupScope.ZONE
+            for s in self.attempts:
+                if s.may_have_run and (s.backend.zone != b.zone if zone else s.backend.cell != b.cell):
                     return False
         return True
 
     def may_rate_limit(self) -> bool:
         """If telling the client that trying again is harmless would be true."""
-        if self.offer.kind is Kind.IDEMPOTENT:
+        if self.terms.kind is Idempotency.IDEMPOTENT:
             return True
-        if self.offer.kind is Kind.DEDUPLICATED and self.offer.group is Group.ALL:
+        if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is DedupScope.ALL:
             return True
-        return not any(s.ran for s in self.shots)
+        return not any(s.may_have_run for s in self.attempts)
 
     # What happens to the API call.
 
-    def began(self, now: float, number: int, latency: float | None = None, load: Load | None = None) -> None:
+    def on_head(
+        self, now: float, number: int, latency: float | None = None, load: Load | None = None
+    ) -> None:
         """The answer has begun to stream: this shot is now the client's.
 
         With a latency, that is the shot's, to its first bytes: what comes after is transfer and says nothing
         of how full the backend is. Without one, all of it is the shot's.
         """
-        shot, to = self.shots[number], self._to
+        attempt, to = self.attempts[number], self._to
         self.streaming = True
-        if latency is not None and shot.out and not shot.passing:
-            shot.ran = shot.passing = True
-            to.landed(now, self, shot, Ending.FULFILLED, latency, load)
-            to.call_off(self, shot)
-        shot.overdue = True
-        to.pump(now)
-
-    def left(self, now: float) -> None:
+        if latency is not None and attempt.pending and not attempt.answer_begun:
+            attempt.may_have_run = attempt.answer_begun = True
+            to.record_attempt(now, self, attempt, AttemptEnd.FULFILLED, latency, load)
+            to.cancel_pending(self, attempt)
+        attempt.overdue = True
+        to.drain_queue(now)
+
+    def on_client_left(self, now: float) -> None:
         """The client has gone; nothing more is owed."""
         self._to.finish(self, now)
 
-    def ended(
+    def on_attempt_ended(
         self,
         now: float,
         number: int,
-        ending: Ending,
+        end: AttemptEnd,
         latency: float,
         complete: bool,
         load: Load | None = None,
     ) -> None:
         """A shot has ended."""
-        shot = self.shots[number]
-        if not shot.out:
+        attempt = self.attempts[number]
+        if not attempt.pending:
             return
-        shot.out = False
-        shot.ran = ending not in NEVER_RAN
-        self.out -= 1
+        attempt.pending = False
+        attempt.may_have_run = end not in NEVER_RAN
+        self.pending -= 1
         to = self._to
-        if not shot.passing:
-            to.landed(now, self, shot, ending, latency, load)
-        elif ending is not Ending.FULFILLED and ending is not Ending.CANCELLED:
+        if not attempt.answer_begun:
+            to.record_attempt(now, self, attempt, end, latency, load)
+        elif end is not AttemptEnd.FULFILLED and end is not AttemptEnd.CANCELLED:
             # What broke under way may be any backend's; it ejects like a break, and narrows no bound.
-            to.broke(now, self, shot)
+            to.record_late_failure(now, self, attempt)
         if complete:
             to.finish(self, now)
-        elif not self.done and not self.out and not self.streaming:
-            if shot.ran and not shot.called_off and not to.spend():
+        elif not self.done and not self.pending and not self.streaming:
+            if attempt.may_have_run and not attempt.cancelled and not to.spend_budget():
                 to.give_up(now, self)
             else:
-                to.place(now, self)
-        to.pump(now)
+                to.dispatch(now, self)
+        to.drain_queue(now)
         if self.closed:
             to.forget(self)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,27 +15,27 @@
 from lupinreach.config import read_agent
 from lupinreach.model import (
     NEVER_RAN,
-    Ask,
-    Ending,
-    Group,
-    Kind,
+    AttemptEnd,
+    DedupScope,
+    Idempotency,
+    IncomingCall,
     Limits,
+    ListedState,
     Listing,
-    News,
     Product,
     Rules,
     Settings,
-    State,
+    UpdateKind,
 )
 from lupinreach.net.agent import Agent
 from lupinreach.net.clock import Clock
 from lupinreach.net.log import Log
 
-READY, DRAINING, GONE = State.READY, State.DRAINING, State.GONE
+READY, DRAINING, REMOVED = ListedState.READY, ListedState.DRAINING, ListedState.REMOVED
 
 
 def settings(
-    kinds=((Kind.IDEMPOTENT, Group.ALL),),
+    kinds=((Idempotency.IDEMPOTENT, DedupScope.ALL),),
     slo=400.0,
     timeout=2000.0,
     memory=1000.0,
@@ -112,10 +112,10 @@
         self.agent.start(self.now)
         self.calls: dict[Any, Any] = {}
         ready = [Listing(i, READY, zone=i % 2, cell=i % 3) for i in range(backends)]
-        self.list(News.CACHED, entries or ready)
+        self.list(UpdateKind.CACHED, entries or ready)
 
     def list(self, news, entries):
-        self.agent.listed(self.now, news, entries)
+        self.agent.update_backends(self.now, news, entries)
 
     def move(self, ms: float) -> None:
         until = self.now + ms
@@ -125,24 +125,24 @@
                 break
             self.port.wakes.remove(due)
             self.now = max(self.now, due[0])
-            self.agent.woke(self.now, due[1])
+            self.agent.on_timer(self.now, due[1])
         self.now = until
 
-    def take(self, token, product=0, left=2000.0, **more):
-        call = self.agent.take(self.now, Ask(token, product, self.now + left, **more))
+    def submit(self, token, product=0, left=2000.0, **more):
+        call = self.agent.submit(self.now, IncomingCall(token, product, self.now + left, **more))
         self.calls[token] = call
         return call
 
     def sent_to(self, token) -> list[int]:
         return [b for t, b, _ in self.port.sent if t == token]
 
-    def answer(self, token, latency=100.0, ending=Ending.FULFILLED, number=None) -> None:
+    def answer(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, number=None) -> None:
         number = len(self.sent_to(token)) - 1 if number is None else number
-        self.calls[token].ended(self.now, number, ending, latency, ending is Ending.FULFILLED)
+        self.calls[token].on_attempt_ended(self.now, number, ending, latency, ending is AttemptEnd.FULFILLED)
 
-    def serve(self, token, latency=100.0, ending=Ending.FULFILLED, product=0) -> int:
+    def serve(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, product=0) -> int:
         """One API call from arrival to its end; returns the backend of its first shot."""
-        self.take(token, product)
+        self.submit(token, product)
         backend = self.sent_to(token)[0]
         self.move(latency)
         self.answer(token, latency, ending, 0)
@@ -169,9 +169,9 @@
             got[seed] = free - begun
             continue
         bench.now = at + most
-        bench.list(News.FAILED, [])
+        bench.list(UpdateKind.FAILED, [])
         again, mark = bench.port.wakes.pop()
-        bench.agent.woke(again, mark)
+        bench.agent.on_timer(again, mark)
         queue.append((again, seed))
         turned.append((at - begun, again - begun))
     return got, turned
@@ -181,7 +181,7 @@
 class PlainShot:
     backend: int
     at: float
-    ending: Ending | None = None
+    ending: AttemptEnd | None = None
 
     @property
     def may_have_run(self) -> bool:
@@ -206,20 +206,20 @@
             return "a shot to a backend that is not ready"
         if now >= self.until:
             return "a shot after the client timeout"
-        if len(self.shots) >= self.limits.max_shots:
+        if len(self.shots) >= self.limits.max_attempts:
             return "more shots than allowed"
-        if any(s.ending is None for s in self.shots) and not self.limits.second_copies:
+        if any(s.ending is None for s in self.shots) and not self.limits.allow_hedging:
             return "two shots out at once"
-        if self.product.kind is Kind.NON_IDEMPOTENT and maybe:
+        if self.product.kind is Idempotency.NON_IDEMPOTENT and maybe:
             return "a non-idempotent API call that may have run was sent again"
-        if self.product.kind is Kind.DEDUPLICATED and maybe:
+        if self.product.kind is Idempotency.DEDUPLICATED and maybe:
             if now >= min(s.at for s in maybe) + self.product.memory:
                 return "a repeat after the memory span"
             for s in maybe:
                 other = listings[s.backend]
-                if self.product.group is Group.ZONE and other.zone != backend.zone:
+                if self.product.group is DedupScope.ZONE and other.zone != backend.zone:
                     return "a repeat in another zone"
-                if self.product.group is Group.CELL and other.cell != backend.cell:
+                if self.product.group is DedupScope.CELL and other.cell != backend.cell:
                     return "a repeat in another cell"
         return None
 
@@ -227,8 +227,8 @@
         maybe = [s for s in self.shots if s.may_have_run]
         if self.final:
             return "a second final answer"
-        if what == "rate-limited" and maybe and self.product.kind is not Kind.IDEMPOTENT:
-            if self.product.kind is Kind.NON_IDEMPOTENT or self.product.group is not Group.ALL:
+        if what == "rate-limited" and maybe and self.product.kind is not Idempotency.IDEMPOTENT:
+            if self.product.kind is Idempotency.NON_IDEMPOTENT or self.product.group is not DedupScope.ALL:
                 return "a rate-limit reply for what may have run"
         return None
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -14,7 +14,7 @@
 
 from lupinreach import logs
 from lupinreach.config import LOADS
-from lupinreach.model import NEVER_RAN, Ending, Load
+from lupinreach.model import NEVER_RAN, AttemptEnd, Load
 from lupinreach.net import listener, protocol
 from lupinreach.net.ends import ENDINGS, End
 from lupinreach.net.pool import Place, Pool
@@ -85,16 +85,16 @@
     async def work():
         settings = AGENT_SETTINGS | {"accounts": [{"name": "hill"}, {"name": "dale"}]}
         async with Site(settings=settings) as site:
-            asks, take = [], site.agent.balancer.take
+            asks, take = [], site.agent.balancer.submit
             monkeypatch.setattr(
-                site.agent.balancer, "take", lambda now, ask: asks.append(ask) or take(now, ask)
+                site.agent.balancer, "submit", lambda now, ask: asks.append(ask) or take(now, ask)
             )
             more = b"Req-Owner: dale\r\nReq-Cost: 1500.5\r\nReq-Retry: 1\r\nReq-Extra: a=1\r\n"
             await site.ask(look(b"pay", more=more, method=b"POST", path=b"/api/00fe?x=/y", deadline=b"9"))
             await site.ask(look(more=b"Req-Owner: nobody\r\n", deadline=b".5"))
             first, second = asks
-            assert (first.product, first.customer, first.cost, first.again) == (1, 1, 1.5005, True)
-            assert (second.product, second.customer, second.cost, second.again) == (0, 0, None, False)
+            assert (first.product, first.customer, first.cost, first.is_retry) == (1, 1, 1.5005, True)
+            assert (second.product, second.customer, second.cost, second.is_retry) == (0, 0, None, False)
             assert (first.key, second.key) == (crc32(b"00fe"), None)
             now = site.agent.clock.now()  # no longer than the product's client timeout, less the margin
             assert now + 1900 < first.until <= now + 1980 and now + 400 < second.until <= now + 480
@@ -296,7 +296,7 @@
 
 def test_spoilt_answers_leave_the_bound_alone():
     answer, _, agent = run(one_call(says(b"HTTP/1.1 2x0 OK\r\n\r\n"), look(**PAY)))
-    assert status(answer) == 502 and agent.balancer._fullness == 0.0 and agent.balancer._flight == 0
+    assert status(answer) == 502 and agent.balancer._slow_share == 0.0 and agent.balancer._inflight == 0
 
 
 def test_an_address_that_changes_hands_takes_no_connection_with_it():
@@ -335,12 +335,12 @@
                 patch.setattr("lupinreach.net.call.read_load", lambda _: 1 / 0)
                 assert status(await site.ask(look())) == 500
                 await site.settled()
-            assert agent.counters.others["fault: api call"] == 1 and agent.balancer._flight == 0
+            assert agent.counters.others["fault: api call"] == 1 and agent.balancer._inflight == 0
             with monkeypatch.context() as patch:  # before the shot has begun
                 patch.setattr(agent.directory, "place", lambda _: 1 / 0)
                 assert status(await site.ask(look())) == 500
                 await site.settled()
-            assert agent.counters.others["fault: api call"] == 2 and agent.balancer._flight == 0
+            assert agent.counters.others["fault: api call"] == 2 and agent.balancer._inflight == 0
             assert "ZeroDivisionError" in os.read(site.sink, 65536).decode()
             assert status(await site.ask(look())) == 200
 
@@ -351,7 +351,7 @@
     async def work():
         async with Site() as site:
             told = []
-            monkeypatch.setattr(site.agent.balancer, "woke", lambda now, mark: told.append((now, mark)))
+            monkeypatch.setattr(site.agent.balancer, "on_timer", lambda now, mark: told.append((now, mark)))
             at = site.agent.clock.now() + 1e6
             site.agent.woke(at, "look")
             assert told == [(at, "look")]
@@ -619,11 +619,11 @@
             await asyncio.wait([task])
             ends = [s.end for s in (refused, late, unwritten, written, unbegun)]
             assert [ENDINGS[e] for e in ends] == [
-                Ending.REFUSED,
-                Ending.UNREACHABLE,
-                Ending.UNREACHABLE,
-                Ending.TIMED_OUT,
-                Ending.UNSENT,
+                AttemptEnd.REFUSED,
+                AttemptEnd.UNREACHABLE,
+                AttemptEnd.UNREACHABLE,
+                AttemptEnd.TIMED_OUT,
+                AttemptEnd.UNSENT,
             ]
 
     run(work())
@@ -966,14 +966,14 @@
     async def work(body, ending, load):
         async with Peer(says(body)) as backend, Site(target("s-1", backend.address)) as site:
             told = asyncio.get_running_loop().create_future()
-            monkeypatch.setattr(site.agent.balancer, "probed", lambda *news: told.set_result(news))
+            monkeypatch.setattr(site.agent.balancer, "on_probe", lambda *news: told.set_result(news))
             site.agent.balancer._port.probe(0)
             _, index, got, _, report = await told
             assert (index, got) == (0, ending) and (report.in_flight if report else None) == load
             assert backend.requests[0].startswith(b"GET /stats HTTP/1.1\r\n")
 
-    run(work(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\ninflight=7,queue=2", Ending.FULFILLED, 7.0))
-    run(work(failed(503), Ending.ERRORED, None))
+    run(work(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\ninflight=7,queue=2", AttemptEnd.FULFILLED, 7.0))
+    run(work(failed(503), AttemptEnd.ERRORED, None))
 
 
 def test_datagrams_go_to_all_and_come_from_peers_only(monkeypatch):
@@ -990,7 +990,7 @@
         address = f"127.0.0.1:{peer.get_extra_info('sockname')[1]}"
         async with Site(peer_listen="127.0.0.1:0", peers=["127.0.0.1:1", address], peers_all=address) as site:
             agent = site.agent
-            monkeypatch.setattr(agent.balancer, "heard", lambda now, *news: heard.put_nowait(news))
+            monkeypatch.setattr(agent.balancer, "on_peer_message", lambda now, *news: heard.put_nowait(news))
             agent.balancer._port.peers(b"x" * 257)
             agent.balancer._port.peers(b"hello")
             assert await heard.get() == b"hello"
@@ -1025,7 +1025,7 @@
             await site.settled()
             others = site.agent.counters.others
             assert (others["load reports"], others["load reports ignored"]) == (1, 3)
-            assert site.agent.balancer._crowd == 2.0
+            assert site.agent.balancer._reported == 2.0
 
     run(work())
 
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -12,7 +12,7 @@
 from upgrading import PATIENT, ROOT, WAITS, platform
 
 from lupinreach.config import BadConfig
-from lupinreach.model import Learnt, Listing, Met, News
+from lupinreach.model import BackendSnapshot, Listing, PolicySnapshot, UpdateKind
 from lupinreach.ops.carry import MOST_BACKENDS, Carry, Unfit, judged, plain
 from lupinreach.store import records
 from lupinreach.store.store import Store
@@ -25,10 +25,11 @@
     bench = Bench(given, entries=[Listing(i, READY, size=4.0, name=70 + i) for i in range(4)])
     bench.move(100.0)
     bench.list(
-        News.CHANGES, [Listing(i, READY, size=4.0 / (1 + load), name=70 + i) for i, load in enumerate(loads)]
+        UpdateKind.CHANGES,
+        [Listing(i, READY, size=4.0 / (1 + load), name=70 + i) for i, load in enumerate(loads)],
     )
     for n in range(80):
-        bench.take(n)
+        bench.submit(n)
         at = bench.sent_to(n)[0]
         bench.move(20.0)
         bench.answer(n, 300.0 if at == 2 else 40.0, number=0)
@@ -37,31 +38,31 @@
 
 def fresh(entries, given=LIVE, learnt=None):
     bench = Bench(given, entries=[Listing(90, READY, name=1)])
-    taken = learnt is None or bench.agent.recall(learnt)
-    bench.list(News.FULL, entries)
+    taken = learnt is None or bench.agent.restore(learnt)
+    bench.list(UpdateKind.FULL, entries)
     return bench, taken
 
 
 def test_sizes_and_figures_of_the_same_process_are_kept_and_nothing_else():
     old = warmed(loads=(3.0, 0.0, 0.0, 0.0))
-    learnt = old.agent.learnt()
+    learnt = old.agent.snapshot()
     # Listed under load, so that without what was carried its size would be read too low.
     entries = [Listing(i, READY, size=1.0, name=70 + i) for i in range(4)]
     new, taken = fresh(entries, learnt=learnt)
     assert taken
-    before, after = ({b.name: b for b in x.agent._ring} for x in (old, new))
+    before, after = ({b.name: b for b in x.agent._ready} for x in (old, new))
     for name, b in after.items():
-        assert (b.listed, b.figure) == (before[name].listed, before[name].figure)
+        assert (b.weight, b.latency_ms) == (before[name].weight, before[name].latency_ms)
         assert b.load == pytest.approx(3.0)
-        assert (b.flight, b.credit, b.sent, b.trial) == (0, 0.0, 0.0, None)
+        assert (b.inflight, b.credit, b.sent_work, b.trial) == (0, 0.0, 0.0, None)
     assert [t.typical for t in new.agent._targets] == [t.typical for t in old.agent._targets]
     blank, _ = fresh(entries)
-    assert (new.agent._bound, new.agent._admit) == (blank.agent._bound, blank.agent._admit)
-    assert not new.agent._recalled
+    assert (new.agent._limit, new.agent._admitted) == (blank.agent._limit, blank.agent._admitted)
+    assert not new.agent._restored
 
 
 def test_a_restarted_a_draining_and_an_unknown_backend_start_afresh():
-    learnt = warmed().agent.learnt()
+    learnt = warmed().agent.snapshot()
     entries = [
         Listing(0, READY, boot_time=5.0, size=1.0, name=70),
         Listing(1, DRAINING, size=1.0, name=71),
@@ -70,25 +71,25 @@
     ]
     new, _ = fresh(entries, learnt=learnt)
     known = {b.name: b for b in new.agent._backends.values()}
-    assert [known[n].figure for n in (70, 99)] == [[None]] * 2
-    assert known[72].figure[0] is not None
+    assert [known[n].latency_ms for n in (70, 99)] == [[None]] * 2
+    assert known[72].latency_ms[0] is not None
     used = {new.serve(n, 30.0) for n in range(30)}
     assert 1 not in used and len(used) > 1
 
 
 def test_an_ejected_backend_stays_ejected_until_a_trial_that_is_due_at_once():
-    ejected = Met(72, 0.0, 4.0, (800.0,), 0.0)
-    learnt = Learnt((400.0,), True, ((40.0, 40.0, 40.0, 40.0),), (ejected,))
+    ejected = BackendSnapshot(72, 0.0, 4.0, (800.0,), 0.0)
+    learnt = PolicySnapshot((400.0,), True, ((40.0, 40.0, 40.0, 40.0),), (ejected,))
     new, taken = fresh([Listing(i, READY, size=4.0, name=70 + i) for i in range(4)], learnt=learnt)
     assert taken
-    b = next(b for b in new.agent._ring if b.name == 72)
-    assert b.held[0] and not b.trial
+    b = next(b for b in new.agent._ready if b.name == 72)
+    assert b.ejected_until[0] and not b.trial
     first = new.serve("first", 30.0)
-    assert first == 2 and not b.held[0]
+    assert first == 2 and not b.ejected_until[0]
 
 
 def test_a_cold_backend_gets_no_more_in_the_first_second_than_from_an_agent_that_carries_nothing():
-    learnt = warmed().agent.learnt()
+    learnt = warmed().agent.snapshot()
 
     def first_second(carried):
         entries = [Listing(i, READY, size=4.0, name=70 + i) for i in range(3)]
@@ -104,8 +105,8 @@
 
 @pytest.mark.parametrize("other", [settings(live_weights=False), settings(live_weights=True, slo=500.0)])
 def test_figures_for_other_slos_or_other_weights_are_not_taken(other):
-    new, taken = fresh([Listing(0, READY, name=70)], other, warmed().agent.learnt())
-    assert not taken and new.agent._ring[0].figure == [None]
+    new, taken = fresh([Listing(0, READY, name=70)], other, warmed().agent.snapshot())
+    assert not taken and new.agent._ready[0].latency_ms == [None]
 
 
 def again(learnt, at):
@@ -118,19 +119,19 @@
 
 
 def test_the_file_reads_back_and_is_bounded():
-    learnt = warmed().agent.learnt()
+    learnt = warmed().agent.snapshot()
     assert again(learnt, 1234.5) == (1234.5, learnt)
-    many = Learnt(
+    many = PolicySnapshot(
         (400.0,),
         True,
         ((1.0, 1.0, 1.0, 1.0),),
-        tuple(Met(i, 0.0, 1.0, (None,), 0.0) for i in range(2 * MOST_BACKENDS)),
+        tuple(BackendSnapshot(i, 0.0, 1.0, (None,), 0.0) for i in range(2 * MOST_BACKENDS)),
     )
     assert len(again(many, 1.0)[1].backends) == MOST_BACKENDS
 
 
 def test_each_fault_of_a_file_is_named_and_nothing_of_it_taken():
-    good = json.loads(json.dumps(plain(warmed().agent.learnt(), 1.0)))
+    good = json.loads(json.dumps(plain(warmed().agent.snapshot(), 1.0)))
     row = good["backends"][0]
     for change in (
         {"form": 2},
@@ -206,7 +207,7 @@
         async with Site(target("s-1", "127.0.0.1:9")) as site:
             path = tmp_path / "carried"
             at = site.agent.clock.now() - (3.6e6 if fault == "old" else 1000.0)
-            learnt = site.agent.balancer.learnt()
+            learnt = site.agent.balancer.snapshot()
             value = plain(learnt, at)
             text = (
                 json.dumps(value).encode() if fault == "of before" else records.whole("n", {"learnt": value})
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -12,7 +12,7 @@
 from lupinreach.balance import Balancer
 from lupinreach.bed.ways.disk import CARRIED, Folder, MemoryDisk
 from lupinreach.bed.world.chance import stream
-from lupinreach.model import Learnt, Met
+from lupinreach.model import BackendSnapshot, PolicySnapshot
 from lupinreach.ops.carry import Carry, judged
 from lupinreach.store import records
 from lupinreach.store.files import Disk, replace
@@ -21,11 +21,11 @@
 
 POWER = {"kind": "power", "at": 6, "agents": 1, "backends": 0.8, "registry": 0.5}
 DISK = {"agents": {"count": 4, "carry_s": 60}}
-LEARNT = Learnt(
+LEARNT = PolicySnapshot(
     (400.0,),
     False,
     ((30.0, 40.0, 20.0, 25.0),),
-    (Met(7, 5.0, 1.0, (50.0,), 0.1), Met(8, 0.0, 1.0, (None,), 0.0)),
+    (BackendSnapshot(7, 5.0, 1.0, (50.0,), 0.1), BackendSnapshot(8, 0.0, 1.0, (None,), 0.0)),
 )
 
 
@@ -104,9 +104,9 @@
 
 def test_an_agent_goes_on_with_what_its_life_before_has_synced(monkeypatch):
     recalled = []
-    recall = Balancer.recall
+    recall = Balancer.restore
     monkeypatch.setattr(
-        Balancer, "recall", lambda self, *given: recalled.append(given[0]) or recall(self, *given)
+        Balancer, "restore", lambda self, *given: recalled.append(given[0]) or recall(self, *given)
     )
     assert play.run(spec.read(SMALL | DISK | {"faults": [POWER]}), 3).verdict == play.KEPT
     assert len(recalled) == 4 and all(learnt.backends for learnt in recalled)
@@ -151,7 +151,7 @@
 
 def test_an_event_loop_goes_on_while_a_disk_hangs_in_a_sync(tmp_path):
     class Agent:
-        balancer, clock = SimpleNamespace(learnt=lambda: LEARNT), SimpleNamespace(now=lambda: 1000.0)
+        balancer, clock = SimpleNamespace(snapshot=lambda: LEARNT), SimpleNamespace(now=lambda: 1000.0)
         counters = SimpleNamespace(others=Counter())
 
     async def main():
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -6,15 +6,15 @@
 import pytest
 from helpers import READY, Bench, crowd, settings
 
-from lupinreach.model import Ending, Group, Kind, Listing, News
-from lupinreach.policy.cold import FIRST_BOUND, MOST_EARNS, RARE, WIDEN
+from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, UpdateKind
+from lupinreach.policy.cold import INITIAL_LIMIT, LIMIT_GROWTH, MAX_CREDIT, RARE_BOOST
 from lupinreach.trial import play, spec
 
 COLD = 20_000.0
 
 
 def all_cold(bench, backends=4):
-    bench.list(News.FULL, [Listing(i, READY, bench.now) for i in range(backends)])
+    bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now) for i in range(backends)])
 
 
 def answers(bench, seconds, a_second, took):
@@ -27,7 +27,7 @@
             for token, at in [o for o in out if o[1] <= bench.now]:
                 out.remove((token, at))
                 bench.answer(token, took)
-            bench.take(("asked", len(bench.calls)))
+            bench.submit(("asked", len(bench.calls)))
             for token, _, _ in bench.port.sent[seen:]:
                 sent += 1
                 out.append((token, bench.now + took))
@@ -57,12 +57,12 @@
     # is cold said nothing: 500 API calls a second turned away by the bound with 50 shots out on 60 backends.
     bench = Bench(settings(cold=COLD))
     all_cold(bench)
-    bench.agent._fullness, bench.agent._bound = 0.7, 1.0
+    bench.agent._slow_share, bench.agent._limit = 0.7, 1.0
     answers(bench, 12, 30, 0.3 * 400.0)
-    assert bench.agent._fullness < 0.2 and bench.agent._bound > 1.5
-    bench.agent._fullness = 0.0
+    assert bench.agent._slow_share < 0.2 and bench.agent._limit > 1.5
+    bench.agent._slow_share = 0.0
     answers(bench, 6, 30, 1.9 * 400.0)
-    assert bench.agent._fullness > 0.2
+    assert bench.agent._slow_share > 0.2
 
 
 def test_what_is_asked_is_measured_from_the_first_second():
@@ -70,41 +70,41 @@
     all_cold(bench)
     for n in range(20):
         bench.move(50.0)
-        bench.take(n)
-    bench.agent._earn(bench.now + 1)
-    assert bench.agent._asked / bench.agent._asked_for == pytest.approx(20 / 1000, rel=0.05)
+        bench.submit(n)
+    bench.agent._earn_credit(bench.now + 1)
+    assert bench.agent._demand / bench.agent._demand_ms == pytest.approx(20 / 1000, rel=0.05)
 
 
 def test_one_that_refused_is_cold_from_its_next_answer_until_the_list_knows_better():
     bench = Bench(settings(cold=COLD))
-    bench.list(News.FULL, [Listing(i, READY) for i in range(4)])
+    bench.list(UpdateKind.FULL, [Listing(i, READY) for i in range(4)])
     b = bench.agent._backends[2]
-    bench.agent._refused(bench.now, b)
+    bench.agent._mark_down(bench.now, b)
     assert bench.agent._is_cold(bench.now, b) and bench.agent._capacity(bench.now, b) == 0.2
     bench.move(5000.0)
     number = 0
     while b.down and number < 200:
         number += 1
-        bench.take(number)
+        bench.submit(number)
         bench.move(30.0)
         for _ in bench.sent_to(number):
             bench.answer(number, 30.0)
-    answered = b.since
+    answered = b.started_at
     assert not b.down and bench.now - 100 < answered < bench.now
     assert bench.agent._capacity(answered + COLD / 2, b) == pytest.approx(0.6)
-    b.figure[0] = 77.0
-    bench.list(News.CHANGES, [Listing(2, READY, answered - 3000.0)])
-    assert b.since == answered - 3000.0 and b.figure[0] == 77.0  # met since then already
-    bench.list(News.CHANGES, [Listing(2, READY, answered + 9000.0)])
-    assert b.figure[0] is None
+    b.latency_ms[0] = 77.0
+    bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered - 3000.0)])
+    assert b.started_at == answered - 3000.0 and b.latency_ms[0] == 77.0  # met since then already
+    bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered + 9000.0)])
+    assert b.latency_ms[0] is None
 
 
-@pytest.mark.parametrize("ending", [Ending.UNREACHABLE, Ending.TIMED_OUT, Ending.RESET])
+@pytest.mark.parametrize("ending", [AttemptEnd.UNREACHABLE, AttemptEnd.TIMED_OUT, AttemptEnd.RESET])
 def test_one_that_is_cut_off_or_breaks_is_not_taken_for_a_fresh_process(ending):
     # What can't be reached may be behind a cut: taken for cold, a healed zone would be starved for the cold time.
     bench = Bench(settings(cold=COLD))
     for n in range(12):
-        bench.take(n)
+        bench.submit(n)
         bench.move(100.0)
         bench.answer(n, 100.0, ending)
     assert not any(b.down or bench.agent._is_cold(bench.now, b) for b in bench.agent._backends.values())
@@ -116,10 +116,10 @@
         if len(refused) == most:
             break
         token = ("refused", n)
-        bench.take(token)
+        bench.submit(token)
         bench.move(5.0)
         for b in bench.sent_to(token)[-1:]:
-            bench.answer(token, 1.0, Ending.REFUSED)
+            bench.answer(token, 1.0, AttemptEnd.REFUSED)
             refused.add(b)
     return refused
 
@@ -131,31 +131,31 @@
         settings(cold=COLD),
         entries=[Listing(i, READY, boot_time=999_500.0 if i < 4 else 0.0) for i in range(7)],
     )
-    assert all(bench.agent._is_cold(bench.now, b) for b in bench.agent._ring)
-    bench.list(News.CHANGES, [Listing(5, READY, 999_700.0)])
-    assert {b.index for b in bench.agent._ring if not bench.agent._is_cold(bench.now, b)} == {4, 6}
+    assert all(bench.agent._is_cold(bench.now, b) for b in bench.agent._ready)
+    bench.list(UpdateKind.CHANGES, [Listing(5, READY, 999_700.0)])
+    assert {b.index for b in bench.agent._ready if not bench.agent._is_cold(bench.now, b)} == {4, 6}
     few = Bench(
         settings(cold=COLD),
         entries=[Listing(i, READY, boot_time=999_500.0 if i < 3 else 0.0) for i in range(7)],
     )
-    assert sum(few.agent._is_cold(few.now, b) for b in few.agent._ring) == 3
+    assert sum(few.agent._is_cold(few.now, b) for b in few.agent._ready) == 3
 
 
 def test_an_agent_that_stands_up_among_the_down_trusts_no_old_list_for_the_rest():
     # Found on the trial power-one-by-one: three backends pushed over in the first second after their start, by agents
     # whose list was from before the loss and who had met others down, but not these.
-    bench = Bench(settings(cold=COLD, kinds=((Kind.IDEMPOTENT, Group.ALL),)), backends=8)
+    bench = Bench(settings(cold=COLD, kinds=((Idempotency.IDEMPOTENT, DedupScope.ALL),)), backends=8)
     refused = refuse(bench, 3)
-    assert len(refused) >= 2 and all(b.down for b in bench.agent._ring)
+    assert len(refused) >= 2 and all(b.down for b in bench.agent._ready)
     # Nor the registry's word, which knows of no death for seconds (seed 2004 of drawn losses: 78 shots in one second, by
     # agents that had a list of the registry's by then, to a backend that had started meanwhile).
-    bench.list(News.CHANGES, [])
-    assert all(b.down for b in bench.agent._ring)
+    bench.list(UpdateKind.CHANGES, [])
+    assert all(b.down for b in bench.agent._ready)
     met = Bench(settings(cold=COLD), backends=8)
     for n in range(8):
         met.serve(n, 20.0)
     refused = refuse(met, 1)
-    assert {b.index for b in met.agent._ring if b.down} == refused  # most of what it met answers
+    assert {b.index for b in met.agent._ready if b.down} == refused  # most of what it met answers
 
 
 def test_no_order_of_returns_gives_a_cold_backend_more_than_its_part_of_what_all_agents_are_asked():
@@ -172,11 +172,11 @@
         answers(bench, 3, many, 120.0)
         for _, b, _ in bench.port.sent:
             came[b] = came.get(b, 0) + 1
-    users = [[b.index for b in bench.agent._ring[: bench.agent._most()]] for bench in benches]
+    users = [[b.index for b in bench.agent._ready[: bench.agent._subset_size()]] for bench in benches]
     for b, times in came.items():
         fair = sum(many * 3 / len(used) for many, used in zip(asked, users, strict=True) if b in used)
         part = 0.2 + 0.8 * 3000 / COLD
-        assert times <= fair * part * 1.5 * MOST_EARNS + sum(b in used for used in users)
+        assert times <= fair * part * 1.5 * MAX_CREDIT + sum(b in used for used in users)
     assert sum(came.values()) > 0.2 * 0.5 * 3 * sum(asked) and start < benches[0].now
 
 
@@ -189,12 +189,14 @@
     for bench in benches:
         all_cold(bench, 1)
         answers(bench, 3, 30, took)
-        grown = exp(WIDEN * 3000.0 / bench.agent._fall)
-        assert FIRST_BOUND <= bench.agent._lanes <= FIRST_BOUND * grown
-    earned = sum(sum(bench.agent._shares(bench.now, 0.0).values()) for bench in benches)
-    asked = sum(bench.agent._asked / bench.agent._asked_for for bench in benches)
-    assert earned * took <= max(bench.agent._lanes for bench in benches) * 1.3  # figures are smoothed
-    assert sum(len(bench.port.sent) for bench in benches) <= grown * FIRST_BOUND * 3000.0 / took + agents / 2
+        grown = exp(LIMIT_GROWTH * 3000.0 / bench.agent._fall_ms)
+        assert INITIAL_LIMIT <= bench.agent._cold_limit <= INITIAL_LIMIT * grown
+    earned = sum(sum(bench.agent._cold_credit_rates(bench.now, 0.0).values()) for bench in benches)
+    asked = sum(bench.agent._demand / bench.agent._demand_ms for bench in benches)
+    assert earned * took <= max(bench.agent._cold_limit for bench in benches) * 1.3  # figures are smoothed
+    assert (
+        sum(len(bench.port.sent) for bench in benches) <= grown * INITIAL_LIMIT * 3000.0 / took + agents / 2
+    )
     assert earned < 0.1 * asked
 
 
@@ -202,14 +204,14 @@
     bench = Bench(settings(cold=COLD, agents=20))
     all_cold(bench, 1)
     answers(bench, 1, 10, 60.0)
-    bench.agent._lanes, lanes = FIRST_BOUND, []
+    bench.agent._cold_limit, lanes = INITIAL_LIMIT, []
     for fullness, times in ((0.0, 3), (0.25, 1), (0.9, 9)):
-        bench.agent._fullness = fullness
+        bench.agent._slow_share = fullness
         for _ in range(times):
-            bench.agent._shares(bench.now, 300.0)
-        lanes.append(bench.agent._lanes)
-    grown = 1 + WIDEN * 300.0 / bench.agent._fall
-    assert lanes == pytest.approx([FIRST_BOUND * grown**3, FIRST_BOUND * grown**3, FIRST_BOUND])
+            bench.agent._cold_credit_rates(bench.now, 300.0)
+        lanes.append(bench.agent._cold_limit)
+    grown = 1 + LIMIT_GROWTH * 300.0 / bench.agent._fall_ms
+    assert lanes == pytest.approx([INITIAL_LIMIT * grown**3, INITIAL_LIMIT * grown**3, INITIAL_LIMIT])
 
 
 def test_an_agent_that_is_asked_now_and_then_earns_more_once_the_fleet_is_seen_to_hold_it():
@@ -227,7 +229,7 @@
                     asked, sent = asked - len(bench.calls), sent - len(bench.port.sent)
                 if chance.random() < a_second / 20:
                     before = len(bench.port.sent)
-                    bench.take(("asked", len(bench.calls)))
+                    bench.submit(("asked", len(bench.calls)))
                     bench.move(40.0)
                     for token, _, _ in bench.port.sent[before:]:
                         bench.answer(token, 40.0)
@@ -243,10 +245,10 @@
     for seed in range(30):
         bench = Bench(settings(cold=COLD), seed=seed)
         all_cold(bench, 1)
-        (b,) = bench.agent._ring
-        bench.agent._refused(bench.now, b)
+        (b,) = bench.agent._ready
+        bench.agent._mark_down(bench.now, b)
         b.credit = 0.4
-        token = bench.take("first")
+        token = bench.submit("first")
         bench.move(30.0)
         bench.answer("first", 30.0)
         assert not b.down and b.credit <= -0.5, token
@@ -256,12 +258,12 @@
     # Found on power-old-list (seed 41): agents that stood a second before the backends had all saved up for each: 1.18.
     bench = Bench(settings(cold=COLD))
     all_cold(bench)
-    bench.agent._refused(bench.now, bench.agent._backends[0])
+    bench.agent._mark_down(bench.now, bench.agent._backends[0])
     for n in range(100):
         bench.move(100.0)
-        bench.take(n)
-    credit = {b.index: b.credit for b in bench.agent._ring}
-    assert bench.agent._bare and credit[0] <= 0.5
+        bench.submit(n)
+    credit = {b.index: b.credit for b in bench.agent._ready}
+    assert bench.agent._mostly_cold and credit[0] <= 0.5
 
 
 def test_a_quick_backend_earns_more_than_its_part_and_a_slow_one_less_of_the_same_sum():
@@ -269,19 +271,19 @@
     all_cold(bench)
     answers(bench, 3, 30, 100.0)
     agent = bench.agent
-    agent._lanes = 1e3
-    for b, figure in zip(agent._ring, (50.0, 100.0, 100.0, 400.0), strict=True):
-        b.figure[0] = figure
-    earns = list(agent._shares(bench.now, 0.0).values())
-    asked = agent._asked / agent._asked_for
+    agent._cold_limit = 1e3
+    for b, figure in zip(agent._ready, (50.0, 100.0, 100.0, 400.0), strict=True):
+        b.latency_ms[0] = figure
+    earns = list(agent._cold_credit_rates(bench.now, 0.0).values())
+    asked = agent._demand / agent._demand_ms
     even = (
         asked
-        * (1 + RARE / (1 + asked * agent._fall))
+        * (1 + RARE_BOOST / (1 + asked * agent._fall_ms))
         / 4
-        * agent._capacity(bench.now, agent._ring[0])
+        * agent._capacity(bench.now, agent._ready[0])
         * agent._when_few
     )
-    assert earns[0] == pytest.approx(MOST_EARNS * even)  # 0.47 of the paces, no more than that
+    assert earns[0] == pytest.approx(MAX_CREDIT * even)  # 0.47 of the paces, no more than that
     assert earns[3] == pytest.approx(4 * even * 0.25 / 4.25) and sum(earns) <= 4 * even
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,19 +3,19 @@
 import random
 
 import pytest
-from helpers import DRAINING, GONE, READY, Bench, PlainCall, PlainShot, settings
+from helpers import DRAINING, READY, REMOVED, Bench, PlainCall, PlainShot, settings
 
 from lupinreach.balance import Balancer, Call
-from lupinreach.model import Ending, Group, Kind, Listing, News, State
+from lupinreach.model import AttemptEnd, DedupScope, Idempotency, ListedState, Listing, UpdateKind
 
 KINDS = (
-    (Kind.IDEMPOTENT, Group.ALL),
-    (Kind.NON_IDEMPOTENT, Group.ALL),
-    (Kind.DEDUPLICATED, Group.ALL),
-    (Kind.DEDUPLICATED, Group.ZONE),
-    (Kind.DEDUPLICATED, Group.CELL),
+    (Idempotency.IDEMPOTENT, DedupScope.ALL),
+    (Idempotency.NON_IDEMPOTENT, DedupScope.ALL),
+    (Idempotency.DEDUPLICATED, DedupScope.ALL),
+    (Idempotency.DEDUPLICATED, DedupScope.ZONE),
+    (Idempotency.DEDUPLICATED, DedupScope.CELL),
 )
-FAILURES = [e for e in Ending if e not in (Ending.FULFILLED, Ending.CANCELLED)]
+FAILURES = [e for e in AttemptEnd if e not in (AttemptEnd.FULFILLED, AttemptEnd.CANCELLED)]
 
 
 class History:
@@ -78,13 +78,15 @@
         call, shot = self.plain[token], self.plain[token].shots[number]
         if shot.ending is not None:
             return
-        if self.bench.now >= call.until and ending is Ending.FULFILLED:
-            ending = Ending.TIMED_OUT
+        if self.bench.now >= call.until and ending is AttemptEnd.FULFILLED:
+            ending = AttemptEnd.TIMED_OUT
         shot.ending = ending
-        complete = bool(call.final) or ending is Ending.FULFILLED
-        if ending is Ending.FULFILLED and not call.final:
+        complete = bool(call.final) or ending is AttemptEnd.FULFILLED
+        if ending is AttemptEnd.FULFILLED and not call.final:
             call.final.append("fulfilled")
-        self.bench.calls[token].ended(self.bench.now, number, ending, self.bench.now - shot.at, complete)
+        self.bench.calls[token].on_attempt_ended(
+            self.bench.now, number, ending, self.bench.now - shot.at, complete
+        )
 
     def compare(self):
         """Ask both what is allowed, whether or not the module would do it."""
@@ -112,15 +114,15 @@
             left = rng.choice((60.0, 800.0, 2000.0))
             self.plain[token] = PlainCall(self.given.products[product], self.given.limits, bench.now + left)
             bench.calls[token] = None
-            call = bench.take(token, product, left, key=token % 3, again=token % 4 == 0)
+            call = bench.submit(token, product, left, key=token % 3, is_retry=token % 4 == 0)
             for number in range(len(self.plain[token].shots)):
-                assert call.shots[number].number == number
+                assert call.attempts[number].number == number
         elif what < 0.75:
             out = [(t, n) for t, c in self.plain.items() for n, s in enumerate(c.shots) if s.ending is None]
             if out:
                 token, number = rng.choice(out)
                 good = rng.random() < self.good
-                self.end(token, number, Ending.FULFILLED if good else rng.choice(FAILURES))
+                self.end(token, number, AttemptEnd.FULFILLED if good else rng.choice(FAILURES))
         elif what < 0.80:
             self.reweigh() if self.live and rng.random() < 0.7 else self.relist()
         elif what < 0.82:
@@ -128,7 +130,7 @@
             if alive:
                 token = rng.choice(alive)
                 self.plain[token].final.append("left")
-                bench.calls[token].left(bench.now)
+                bench.calls[token].on_client_left(bench.now)
         else:
             self.pass_time(rng.choice((1.0, 10.0, 40.0, 300.0)))
 
@@ -138,11 +140,11 @@
             bench.move(min(5.0, until - bench.now))
             self.called_off, off = [], self.called_off
             for token, number in off:
-                self.end(token, number, Ending.CANCELLED)
+                self.end(token, number, AttemptEnd.CANCELLED)
             for token, call in list(self.plain.items()):
                 for number, shot in enumerate(call.shots):
                     if shot.ending is None and bench.now >= call.until:
-                        self.end(token, number, Ending.TIMED_OUT)
+                        self.end(token, number, AttemptEnd.TIMED_OUT)
                 if bench.now > call.until + self.given.rules.answer_slack and not call.final:
                     self.wrong.append(f"no final answer in time (API call {token})")
                     call.final.append("lost")
@@ -152,22 +154,24 @@
         for b, old in self.listings.items():
             weight = 4.0 / (1 + load * self.rng.random() * 2)
             self.listings[b] = Listing(b, old.state, old.boot_time, weight, old.zone, old.cell, b)
-        self.bench.list(News.CHANGES, list(self.listings.values()))
+        self.bench.list(UpdateKind.CHANGES, list(self.listings.values()))
 
     def relist(self):
         b = self.rng.randrange(8)
-        old = self.listings.get(b, Listing(b, GONE, zone=b % 2, cell=b % 3))
-        state = self.rng.choice((READY, READY, DRAINING, GONE))
+        old = self.listings.get(b, Listing(b, REMOVED, zone=b % 2, cell=b % 3))
+        state = self.rng.choice((READY, READY, DRAINING, REMOVED))
         boot = self.bench.now if state is READY and old.state is not READY else old.boot_time
         self.listings[b] = Listing(b, state, boot, 1.0, old.zone, old.cell)
         how = self.rng.random()
         if how < 0.6:
-            self.bench.list(News.CHANGES, [self.listings[b]])
+            self.bench.list(UpdateKind.CHANGES, [self.listings[b]])
         elif how < 0.8:  # a gap: the full list, in which the gone are missing
-            self.bench.list(News.FULL, [x for x in self.listings.values() if x.state is not State.GONE])
+            self.bench.list(
+                UpdateKind.FULL, [x for x in self.listings.values() if x.state is not ListedState.REMOVED]
+            )
         else:
             self.listings[b] = old
-            self.bench.list(News.FAILED, [])
+            self.bench.list(UpdateKind.FAILED, [])
 
 
 @pytest.mark.parametrize("copies", [True, False])
@@ -187,7 +191,7 @@
     if plant == "draining":
         monkeypatch.setattr(Call, "may_use", lambda self, b: True)
         monkeypatch.setattr(
-            Balancer, "_choose", lambda self, now, call: next(iter(self._backends.values()), None)
+            Balancer, "_choose_backend", lambda self, now, call: next(iter(self._backends.values()), None)
         )
     elif plant == "twice":
         monkeypatch.setattr(Call, "may_send", lambda self, now: not self.done)
