--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -37,7 +37,7 @@
     logging.getLogger().addHandler(agent.log)
     door = None
     if agent.config.mgmt is not None:
-        from lupinreach.ops.door import Door  # an agent without a door doesn't load it
+        from lupinreach.ops.operator_endpoint import Door  # an agent without a door doesn't load it
 
         door = Door(agent, agent.config.mgmt)
         door.open()  # before the agent: until it serves, the answer is no
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -12,7 +12,7 @@
 from lupinreach.net.counters import Counters, Outcome
 from lupinreach.net.standing import SETTLES, Standing, State
 from lupinreach.ops import figures
-from lupinreach.ops.door import MOST_HELD, Door
+from lupinreach.ops.operator_endpoint import MOST_HELD, Door
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 FAILED = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_show.py
+++ b/tests/test_show.py
@@ -9,7 +9,7 @@
 from test_trial import command
 
 from lupinreach.fleet.show import disagreements, row
-from lupinreach.ops.door import Door
+from lupinreach.ops.operator_endpoint import Door
 from lupinreach.ops.outlives import take_up
 
 
