--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -37,9 +37,11 @@
     logging.getLogger().addHandler(agent.log)
     door = None
     if agent.config.mgmt is not None:
-        from lupinreach.ops.operator_endpoint import Door  # an agent without a door doesn't load it
+        from lupinreach.ops.operator_endpoint import (
+            OperatorEndpoint,
+        )  # an agent without a door doesn't load it
 
-        door = Door(agent, agent.config.mgmt)
+        door = OperatorEndpoint(agent, agent.config.mgmt)
         door.open()  # before the agent: until it serves, the answer is no
     succession = None
     if agent.config.inherited is not None:
--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -50,7 +50,7 @@
         return http.answer(self.status, lines, body, keeps=False)
 
 
-class Door:
+class OperatorEndpoint:
     """Answers operators beside the API calls."""
 
     def __init__(self, agent: Agent, address: Address, sockets: Sockets | None = None) -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -12,7 +12,7 @@
 from lupinreach.net.counters import Counters, Outcome
 from lupinreach.net.standing import SETTLES, Standing, State
 from lupinreach.ops import figures
-from lupinreach.ops.operator_endpoint import MOST_HELD, Door
+from lupinreach.ops.operator_endpoint import MOST_HELD, OperatorEndpoint
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 FAILED = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -23,7 +23,7 @@
 
     async def __aenter__(self):
         await super().__aenter__()
-        self.door = Door(self.agent, ("127.0.0.1", 0))
+        self.door = OperatorEndpoint(self.agent, ("127.0.0.1", 0))
         self.door.open()
         return self
 
@@ -278,7 +278,7 @@
         async with Operated(target("s-1", "127.0.0.1:9")) as site:
             second = Agent(site.agent.config, site.agent.log)
             site.door.close()
-            site.door = Door(second, ("127.0.0.1", 0))
+            site.door = OperatorEndpoint(second, ("127.0.0.1", 0))
             site.door.open()
             starting = asyncio.create_task(second.start(hear_first=0.2))  # the directory says nothing
             while not second.standing.listed:
--- a/tests/test_show.py
+++ b/tests/test_show.py
@@ -9,7 +9,7 @@
 from test_trial import command
 
 from lupinreach.fleet.show import disagreements, row
-from lupinreach.ops.operator_endpoint import Door
+from lupinreach.ops.operator_endpoint import OperatorEndpoint
 from lupinreach.ops.outlives import take_up
 
 
@@ -42,7 +42,7 @@
             sites.append(site := await Site(target("s1", "127.0.0.1:1"), **own).__aenter__())
             take_up(site.agent)
             site.agent.directory.start(site.agent.config.known)  # as if it had been taken up before the start
-            doors.append(door := Door(site.agent, ("127.0.0.1", 0)))
+            doors.append(door := OperatorEndpoint(site.agent, ("127.0.0.1", 0)))
             door.open()
         await sites[0].ask(look())
         await asyncio.sleep(1.0)
