--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -50,7 +50,7 @@
         succession = Succession(os.environ.get("TMPDIR"), agent.config.name)
     carry = None
     if agent.config.store is not None:
-        from lupinreach.ops.outlives import take_up  # nor one that hands nothing on
+        from lupinreach.ops.persistence import take_up  # nor one that hands nothing on
 
         carry = take_up(agent)
     await agent.start(HEAR_FIRST if succession and succession.other() else 0.0)
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -28,7 +28,7 @@
 from lupinreach.net.agent import Agent
 from lupinreach.net.clock import Clock
 from lupinreach.net.log import Log
-from lupinreach.ops.outlives import take_up
+from lupinreach.ops.persistence import take_up
 
 NAME = b"Req-Id: "
 
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -24,7 +24,7 @@
 from lupinreach.fleet.recovery import Floor
 from lupinreach.fleet.wire import BEAT, TELL, Drain, Message
 from lupinreach.model import ListedState, Listing, UpdateKind
-from lupinreach.ops import outlives
+from lupinreach.ops import persistence
 from lupinreach.ops.returning import Returning
 from lupinreach.store import records
 from lupinreach.store.records import Found
@@ -143,7 +143,7 @@
     empty = {"kind": "disk-torn", "at": 4.5, "seconds": 1, "share": 1.0, "strength": 0.0}
     trial = spec.read(SMALL | TOUCH | {"faults": [POWER], "troubles": [empty]})
     assert play.run(trial, 3).verdict == play.KEPT
-    take_up = outlives.take_up
+    take_up = persistence.take_up
     monkeypatch.setattr(virtual, "take_up", lambda agent, disk, token: take_up(agent, disk, 7))
     found = play.run(trial, 3).result.breaches
     assert {b.name for b in found} == {"life twice"} and len(found) >= 5
--- a/tests/test_show.py
+++ b/tests/test_show.py
@@ -10,7 +10,7 @@
 
 from lupinreach.fleet.show import disagreements, row
 from lupinreach.ops.operator_endpoint import OperatorEndpoint
-from lupinreach.ops.outlives import take_up
+from lupinreach.ops.persistence import take_up
 
 
 def ports(many):
