--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -50,9 +50,9 @@
         succession = Succession(os.environ.get("TMPDIR"), agent.config.name)
     carry = None
     if agent.config.store is not None:
-        from lupinreach.ops.persistence import take_up  # nor one that hands nothing on
+        from lupinreach.ops.persistence import restore_state  # nor one that hands nothing on
 
-        carry = take_up(agent)
+        carry = restore_state(agent)
     await agent.start(HEAR_FIRST if succession and succession.other() else 0.0)
     if succession is not None and not succession.take_over():
         agent.log.event("no succession", why="TMPDIR can't be written")
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -28,7 +28,7 @@
 from lupinreach.net.agent import Agent
 from lupinreach.net.clock import Clock
 from lupinreach.net.log import Log
-from lupinreach.ops.persistence import take_up
+from lupinreach.ops.persistence import restore_state
 
 NAME = b"Req-Id: "
 
@@ -198,7 +198,7 @@
                 self._lives[number] = begun  # one that is killed while it starts has an owner too
             if isinstance(agent.balancer, TrueState):
                 agent.balancer.truth = Seen(self, self._machines(number), agent)
-            take_up(agent, self.disk(number), agent.config.seed & 0xFFFFFFFF)
+            restore_state(agent, self.disk(number), agent.config.seed & 0xFFFFFFFF)
             await self.loop.create_task(agent.start())
         return begun
 
--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -8,7 +8,7 @@
 from lupinreach.store.store import Store
 
 
-def take_up(agent: Agent, disk: Disk | None = None, token: int | None = None) -> Carry | None:
+def restore_state(agent: Agent, disk: Disk | None = None, token: int | None = None) -> Carry | None:
     """Begin with what the process before has left, before the agent starts; None where nothing is configured.
 
     What is returned leaves it to the next.
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -143,8 +143,8 @@
     empty = {"kind": "disk-torn", "at": 4.5, "seconds": 1, "share": 1.0, "strength": 0.0}
     trial = spec.read(SMALL | TOUCH | {"faults": [POWER], "troubles": [empty]})
     assert play.run(trial, 3).verdict == play.KEPT
-    take_up = persistence.take_up
-    monkeypatch.setattr(virtual, "take_up", lambda agent, disk, token: take_up(agent, disk, 7))
+    restore_state = persistence.restore_state
+    monkeypatch.setattr(virtual, "restore_state", lambda agent, disk, token: restore_state(agent, disk, 7))
     found = play.run(trial, 3).result.breaches
     assert {b.name for b in found} == {"life twice"} and len(found) >= 5
 
--- a/tests/test_show.py
+++ b/tests/test_show.py
@@ -10,7 +10,7 @@
 
 from lupinreach.fleet.show import disagreements, row
 from lupinreach.ops.operator_endpoint import OperatorEndpoint
-from lupinreach.ops.persistence import take_up
+from lupinreach.ops.persistence import restore_state
 
 
 def ports(many):
@@ -40,7 +40,7 @@
                 else {}
             )
             sites.append(site := await Site(target("s1", "127.0.0.1:1"), **own).__aenter__())
-            take_up(site.agent)
+            restore_state(site.agent)
             site.agent.directory.start(site.agent.config.known)  # as if it had been taken up before the start
             doors.append(door := OperatorEndpoint(site.agent, ("127.0.0.1", 0)))
             door.open()
