--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -25,7 +25,7 @@
 from lupinreach.fleet.life import Life
 from lupinreach.fleet.membership import FAN, Members
 from lupinreach.fleet.warmth import Stood, Warmth
-from lupinreach.ops.returning import Returning
+from lupinreach.ops.fleet_agent import Returning
 from lupinreach.store import records
 from lupinreach.store.store import Store
 from lupinreach.trial import play, spec
--- a/benchmarks/recovery_parts.py
+++ b/benchmarks/recovery_parts.py
@@ -18,7 +18,7 @@
 from lupinreach.balance import Balancer
 from lupinreach.bed.world import spec as beds
 from lupinreach.fleet.warmth import Warmth
-from lupinreach.ops import returning
+from lupinreach.ops import fleet_agent
 from lupinreach.trial import play, spec
 
 TRIALS = "power-in-touch", "drains-in-touch", "power-one-by-one"
@@ -37,7 +37,7 @@
 
 
 def asks_nobody() -> None:
-    returning.Returning._to_ask = lambda self: []  # type: ignore[method-assign]
+    fleet_agent.Returning._to_ask = lambda self: []  # type: ignore[method-assign]
 
 
 def earns_by_warm_ones_alone() -> None:
@@ -45,7 +45,7 @@
 
 
 def in_step() -> None:
-    returning.SPREAD = 0.0
+    fleet_agent.SPREAD = 0.0
     Balancer._initial_credit = lambda self: 0.0  # type: ignore[method-assign]
 
 
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -20,7 +20,7 @@
 from lupinreach.fleet.life import Life
 from lupinreach.model import Idempotency
 from lupinreach.net.ids import Ids, Remembered
-from lupinreach.ops import returning
+from lupinreach.ops import fleet_agent
 from lupinreach.ops.ran import Ran
 from lupinreach.store import records
 from lupinreach.store.store import Store
@@ -69,7 +69,7 @@
     # All agents lost power, half of the disks came back two seconds old, and a payment ran twice.
     trial = spec.read(drawn(5027, True, False))
     assert play.run(trial, 5027).verdict == play.KEPT
-    monkeypatch.setattr(returning, "WITNESSES", 0)
+    monkeypatch.setattr(fleet_agent, "WITNESSES", 0)
     assert {b.name for b in play.run(trial, 5027).result.breaches} == {"effect twice"}
 
 
@@ -77,7 +77,7 @@
     # Drawn loss 20075: its witnesses had heard as little of it as its disk held, and a payment ran twice.
     trial = spec.read(drawn(20075, True, False))
     assert play.run(trial, 20075).verdict == play.KEPT
-    monkeypatch.setattr(returning.Returning, "ran", lambda _: None)
+    monkeypatch.setattr(fleet_agent.Returning, "ran", lambda _: None)
     assert {b.name for b in play.run(trial, 20075).result.breaches} == {"effect twice"}
 
 
@@ -90,7 +90,7 @@
             super().append(path, text, sync)
             kept.append(records.read(self.read(path, 1 << 20), "agent-0").state["beat"][1])
 
-    class Marks(returning.Returning):
+    class Marks(fleet_agent.Returning):
         def _send(self, peer, message):
             if message.kind == wire.BEAT and not message.members:
                 assert message.beat < kept[-1]  # at most what the disk holds
@@ -136,7 +136,7 @@
 def test_who_was_cut_off_while_it_asked_asks_again_and_hears_what_drains(monkeypatch):
     trial = spec.read(drawn(5060, True, False))
     while_cut_off = play.run(trial, 5060).recovery.to_draining
-    monkeypatch.setattr(returning, "ASK_AGAIN", 10**6)
+    monkeypatch.setattr(fleet_agent, "ASK_AGAIN", 10**6)
     assert play.run(trial, 5060).recovery.to_draining > 7 * while_cut_off
 
 
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -25,7 +25,7 @@
 from lupinreach.fleet.wire import BEAT, TELL, Drain, Message
 from lupinreach.model import ListedState, Listing, UpdateKind
 from lupinreach.ops import persistence
-from lupinreach.ops.returning import Returning
+from lupinreach.ops.fleet_agent import Returning
 from lupinreach.store import records
 from lupinreach.store.records import Found
 from lupinreach.store.store import Store
