--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -25,7 +25,7 @@
 from lupinreach.fleet.life import Life
 from lupinreach.fleet.membership import FAN, Members
 from lupinreach.fleet.warmth import Stood, Warmth
-from lupinreach.ops.fleet_agent import Returning
+from lupinreach.ops.fleet_agent import FleetAgent
 from lupinreach.store import records
 from lupinreach.store.store import Store
 from lupinreach.trial import play, spec
@@ -56,18 +56,18 @@
 
 def counted(agents: int, seconds: float) -> dict[str, Any]:
     """By agent and second, once the fleet has stood up."""
-    parts: list[Returning] = []
-    plain = Returning.__init__
+    parts: list[FleetAgent] = []
+    plain = FleetAgent.__init__
 
-    def noted(self: Returning, *given: Any, **more: Any) -> None:
+    def noted(self: FleetAgent, *given: Any, **more: Any) -> None:
         plain(self, *given, **more)
         parts.append(self)
 
-    Returning.__init__ = noted  # type: ignore[method-assign]
+    FleetAgent.__init__ = noted  # type: ignore[method-assign]
     began = time.process_time()
     played = play.run(spec.read(world(agents, seconds)), 1)
     took = time.process_time() - began
-    Returning.__init__ = plain  # type: ignore[method-assign]
+    FleetAgent.__init__ = plain  # type: ignore[method-assign]
     others = [part._agent.counters.others for part in parts]
     each = agents * (seconds + 1)
     return {
--- a/benchmarks/recovery_parts.py
+++ b/benchmarks/recovery_parts.py
@@ -37,7 +37,7 @@
 
 
 def asks_nobody() -> None:
-    fleet_agent.Returning._to_ask = lambda self: []  # type: ignore[method-assign]
+    fleet_agent.FleetAgent._to_ask = lambda self: []  # type: ignore[method-assign]
 
 
 def earns_by_warm_ones_alone() -> None:
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -38,7 +38,7 @@
 SPREAD = 0.5  # x the time to ask: agents that stand up together ask over as long
 
 
-class Returning:
+class FleetAgent:
     """One agent's part in the fleet, from its start to its end. Its tables are bounded by agents, backends and drains."""
 
     def __init__(
--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -30,9 +30,9 @@
         ran = Ran(agent, store, found)
         agent.tasks.spawn("ran", ran.run())
     if config.fleet is not None:
-        from lupinreach.ops.fleet_agent import Returning  # an agent that is alone doesn't load it
+        from lupinreach.ops.fleet_agent import FleetAgent  # an agent that is alone doesn't load it
 
-        returning = Returning(agent, store, found, config.fleet, token, ran.asked if ran else lambda _: None)
+        returning = FleetAgent(agent, store, found, config.fleet, token, ran.asked if ran else lambda _: None)
         agent.tasks.spawn("returning", returning.run())
         if ran is not None:
             ran.kept = returning.ran
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -77,7 +77,7 @@
     # Drawn loss 20075: its witnesses had heard as little of it as its disk held, and a payment ran twice.
     trial = spec.read(drawn(20075, True, False))
     assert play.run(trial, 20075).verdict == play.KEPT
-    monkeypatch.setattr(fleet_agent.Returning, "ran", lambda _: None)
+    monkeypatch.setattr(fleet_agent.FleetAgent, "ran", lambda _: None)
     assert {b.name for b in play.run(trial, 20075).result.breaches} == {"effect twice"}
 
 
@@ -90,7 +90,7 @@
             super().append(path, text, sync)
             kept.append(records.read(self.read(path, 1 << 20), "agent-0").state["beat"][1])
 
-    class Marks(fleet_agent.Returning):
+    class Marks(fleet_agent.FleetAgent):
         def _send(self, peer, message):
             if message.kind == wire.BEAT and not message.members:
                 assert message.beat < kept[-1]  # at most what the disk holds
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -25,7 +25,7 @@
 from lupinreach.fleet.wire import BEAT, TELL, Drain, Message
 from lupinreach.model import ListedState, Listing, UpdateKind
 from lupinreach.ops import persistence
-from lupinreach.ops.fleet_agent import Returning
+from lupinreach.ops.fleet_agent import FleetAgent
 from lupinreach.store import records
 from lupinreach.store.records import Found
 from lupinreach.store.store import Store
@@ -150,7 +150,7 @@
 
 
 def lying(monkeypatch, liars):
-    plain = Returning._message
+    plain = FleetAgent._message
 
     def message(self, kind, **more):
         m = plain(self, kind, **more)
@@ -159,7 +159,7 @@
         every = tuple(Drain(e.name, int(e.boot_time)) for e in self._raw.values())[: wire.DRAINS]
         return replace(m, revision=2**60, remembers=True, drains=every if kind == TELL else ())
 
-    monkeypatch.setattr(Returning, "_message", message)
+    monkeypatch.setattr(FleetAgent, "_message", message)
 
 
 def test_one_that_claims_an_absurd_revision_and_that_all_drain_does_little_harm(monkeypatch):
@@ -211,7 +211,7 @@
     )
     agent.peers = SimpleNamespace(send=lambda to, data: agent.sent.append((to, wire.read(data))))
     store = Store("carried", "a", MemoryDisk(stream(1, "disk")))
-    return agent, Returning(agent, store, Found(dict(state or {})), config, 77)
+    return agent, FleetAgent(agent, store, Found(dict(state or {})), config, 77)
 
 
 def test_a_datagram_from_a_wrong_address_is_believed_of_nobody():
