--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -22,7 +22,7 @@
 
 from lupinreach.bed.world.chance import stream
 from lupinreach.fleet import wire
-from lupinreach.fleet.life import Life
+from lupinreach.fleet.incarnation import Life
 from lupinreach.fleet.membership import FAN, Members
 from lupinreach.fleet.warmth import Stood, Warmth
 from lupinreach.ops.fleet_agent import FleetAgent
--- a/lupinreach/fleet/membership.py
+++ b/lupinreach/fleet/membership.py
@@ -18,7 +18,7 @@
 from enum import Enum
 
 from lupinreach.fleet import wire
-from lupinreach.fleet.life import Life
+from lupinreach.fleet.incarnation import Life
 
 FAN = 2  # peers that each beat goes to
 AGE = 100.0  # ms in a step of an age
--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from math import inf
 
-from lupinreach.fleet.life import Life
+from lupinreach.fleet.incarnation import Life
 from lupinreach.fleet.wire import Drain, Message
 
 ASKED = 5  # peers that an agent which stands up asks
--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -26,7 +26,7 @@
 
 from lupinreach.fleet.counts import Count
 from lupinreach.fleet.evidence import STEP, Met
-from lupinreach.fleet.life import Life
+from lupinreach.fleet.incarnation import Life
 from lupinreach.fleet.warmth import Stood
 
 FORM = 1
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -17,7 +17,7 @@
 from lupinreach.balance import EJECTION_SLOS
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
-from lupinreach.fleet.life import Life, Own
+from lupinreach.fleet.incarnation import Life, Own
 from lupinreach.fleet.membership import NOBODY, Members, Selfhood
 from lupinreach.fleet.recovery import ASKED, RESET_AFTER, Asking, Drains, Facts, Floor, Return, Stage, Stays
 from lupinreach.fleet.wire import Drain, Message
--- a/lupinreach/trial/models/lives.py
+++ b/lupinreach/trial/models/lives.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from lupinreach.fleet.life import Life, Own, believed
+from lupinreach.fleet.incarnation import Life, Own, believed
 
 MOST_STARTED, MOST_DISKS = 2, 3
 Running = tuple[int, int, int, bool, bool]  # life number, token, which process, settled, superseded
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as some
 
 from lupinreach.fleet import wire
-from lupinreach.fleet.life import MOST_JUMP, Life, Own, believed
+from lupinreach.fleet.incarnation import MOST_JUMP, Life, Own, believed
 from lupinreach.fleet.membership import NOBODY, SILENT, Members, Selfhood, Standing
 from lupinreach.fleet.recovery import (
     LONE,
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -17,7 +17,7 @@
 from lupinreach.bed.world.chance import stream
 from lupinreach.config import BadConfig
 from lupinreach.fleet import wire
-from lupinreach.fleet.life import Life
+from lupinreach.fleet.incarnation import Life
 from lupinreach.model import Idempotency
 from lupinreach.net.ids import Ids, Remembered
 from lupinreach.ops import fleet_agent
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -19,7 +19,7 @@
 from lupinreach.bed.world.chance import stream
 from lupinreach.config import BadConfig, FleetConfig
 from lupinreach.fleet import wire
-from lupinreach.fleet.life import Life
+from lupinreach.fleet.incarnation import Life
 from lupinreach.fleet.membership import NOBODY
 from lupinreach.fleet.recovery import Floor
 from lupinreach.fleet.wire import BEAT, TELL, Drain, Message
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -16,7 +16,7 @@
 from lupinreach.fleet.counts import CELLS, Count, Counts, cells
 from lupinreach.fleet.evidence import HIGHEST, MOST, QUORUM, SHARE, TELLERS, Evidence, Met, boot_mark, harm
 from lupinreach.fleet.grants import DRIFT, Budget
-from lupinreach.fleet.life import Life
+from lupinreach.fleet.incarnation import Life
 from lupinreach.fleet.warmth import Stood, Warmth, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
