--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -22,7 +22,7 @@
 
 from lupinreach.bed.world.chance import stream
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import Life
+from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.membership import FAN, Members
 from lupinreach.fleet.warmth import Stood, Warmth
 from lupinreach.ops.fleet_agent import FleetAgent
@@ -89,7 +89,7 @@
     before = tracemalloc.get_traced_memory()[0]
     members, warmth = Members(0, agents, BEAT, chance), Warmth(0, 20_000.0, chance)
     for n in range(1, agents):
-        members.heard(1.0, n, Life(3, n), 7, ())
+        members.heard(1.0, n, Incarnation(3, n), 7, ())
         warmth.heard(30_000.0, [Stood(n, n % 60, 5000.0, 10.0)])
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/lupinreach/fleet/incarnation.py
+++ b/lupinreach/fleet/incarnation.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, order=True)
-class Life:
+class Incarnation:
     number: int
     token: int
 
@@ -36,7 +36,7 @@
 
     def __init__(self, kept: int, token: int, kept_beat: int = 0) -> None:
         """`kept` and `kept_beat` are the life that the disk knows of, and a beat that this life hadn't told before."""
-        self.life = Life(believed(kept, ()) + 1, token)
+        self.life = Incarnation(believed(kept, ()) + 1, token)
         self.settled = False  # the time to ask is over: from here on a higher life is another process
         self.superseded = False
         self._claims: dict[int, int] = {}  # by peer; no more than there are peers
@@ -48,7 +48,7 @@
         """If peers have met more of a former life than the disk knows of: it is an older one."""
         return self._met > self._kept
 
-    def hear(self, peer: int, other: Life, beat: int = 0) -> bool:
+    def hear(self, peer: int, other: Incarnation, beat: int = 0) -> bool:
         """A peer knows that life of this agent's; true if this one's number was raised for it."""
         if other.token != self.life.token and not self.settled:
             self._met = max(self._met, (other.number, beat))
@@ -62,5 +62,5 @@
         number = believed(self._kept[0], list(self._claims.values())) + 1
         raised = number > self.life.number
         if raised:
-            self.life = Life(number, self.life.token)
+            self.life = Incarnation(number, self.life.token)
         return raised
--- a/lupinreach/fleet/membership.py
+++ b/lupinreach/fleet/membership.py
@@ -18,12 +18,12 @@
 from enum import Enum
 
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import Life
+from lupinreach.fleet.incarnation import Incarnation
 
 FAN = 2  # peers that each beat goes to
 AGE = 100.0  # ms in a step of an age
 SILENT = 16.0  # beats without a newer one: in 12 to 100 agents, nothing lost, the oldest of 400,000 was 10.5
-NOBODY = Life(0, 0), 0
+NOBODY = Incarnation(0, 0), 0
 LATE = 2.0  # beats between two looks, from which on this agent was late itself
 
 
@@ -43,7 +43,7 @@
 
 @dataclass
 class Row:
-    life: Life
+    life: Incarnation
     beat: int
     heard: float  # ms, by this agent's clock: when its beat last grew
     told: int = 0  # times since it changed
@@ -91,7 +91,9 @@
             return Selfhood.DEAF
         return Selfhood.SOUND
 
-    def heard(self, now: float, sender: int, life: Life, beat: int, members: tuple[wire.Member, ...]) -> None:
+    def heard(
+        self, now: float, sender: int, life: Incarnation, beat: int, members: tuple[wire.Member, ...]
+    ) -> None:
         """A beat has come: what it says of its sender, and of others."""
         if self.own(now) is Selfhood.DEAF:
             for row in self._rows.values():
@@ -101,7 +103,7 @@
         for member in members:
             self._take(now - member.age * AGE, member.agent, member.life, member.beat)
 
-    def _take(self, since: float, agent: int, life: Life, beat: int) -> None:
+    def _take(self, since: float, agent: int, life: Incarnation, beat: int) -> None:
         """That beat is so old. Guards against a dead agent's last word that comes round late and makes it fresh."""
         if agent == self.me or agent >= self._agents:
             return
@@ -109,7 +111,7 @@
         if row is None or (life, beat) > (row.life, row.beat):
             self._rows[agent] = Row(life, beat, max(since, row.heard if row else since))
 
-    def met(self, agent: int) -> tuple[Life, int]:
+    def met(self, agent: int) -> tuple[Incarnation, int]:
         """The newest life known of an agent, and its last beat; nothing is below all."""
         row = self._rows.get(agent)
         return (row.life, row.beat) if row else NOBODY
@@ -130,7 +132,7 @@
             else Standing.GONE
         )
 
-    def all(self, now: float) -> list[tuple[int, Life, Standing]]:
+    def all(self, now: float) -> list[tuple[int, Incarnation, Standing]]:
         """Every agent that was heard of, by number."""
         return [
             (a, row.life, self.standing(now, a) or Standing.GONE) for a, row in sorted(self._rows.items())
--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from math import inf
 
-from lupinreach.fleet.incarnation import Life
+from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.wire import Drain, Message
 
 ASKED = 5  # peers that an agent which stands up asks
@@ -26,7 +26,7 @@
     revision: int
     remembers: bool
     standing: int
-    known: Life
+    known: Incarnation
     drains: set[Drain] = field(default_factory=set)
     parts: set[int] = field(default_factory=set)
     of: int = 1
--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -26,7 +26,7 @@
 
 from lupinreach.fleet.counts import Count
 from lupinreach.fleet.evidence import STEP, Met
-from lupinreach.fleet.incarnation import Life
+from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.warmth import Stood
 
 FORM = 1
@@ -66,7 +66,7 @@
     """One agent as a digest has it."""
 
     agent: int
-    life: Life
+    life: Incarnation
     beat: int
     age: int = 0  # in 0.1 s: since the teller heard of that beat, and who told it before
 
@@ -83,7 +83,7 @@
 class Message:
     kind: int
     sender: int
-    life: Life
+    life: Incarnation
     beat: int
     remembers: bool
     revision: int  # the highest that the sender has seen; 0: none
@@ -92,7 +92,7 @@
     part: int = 0
     parts: int = 1
     standing: int = 0
-    known: Life = field(default=Life(0, 0))  # as which the asker is known; (0, 0): not at all
+    known: Incarnation = field(default=Incarnation(0, 0))  # as which the asker is known; (0, 0): not at all
     known_beat: int = 0  # of that life, the last one heard
     drains: tuple[Drain, ...] = ()
     mets: tuple[Met, ...] = ()
@@ -178,7 +178,7 @@
     head = {
         "kind": kind,
         "sender": sender,
-        "life": Life(number, token),
+        "life": Incarnation(number, token),
         "beat": beat,
         "remembers": bool(flags & REMEMBERS),
         "revision": revision,
@@ -189,7 +189,9 @@
             raise Malformed("members")
         return Message(
             **head,
-            members=tuple(Member(a, Life(n, t), b, age) for a, n, t, b, age in MEMBER.iter_unpack(rest)),
+            members=tuple(
+                Member(a, Incarnation(n, t), b, age) for a, n, t, b, age in MEMBER.iter_unpack(rest)
+            ),
         )
     if kind == NEWS:
         return Message(**head, **_news(rest))
@@ -208,7 +210,7 @@
             part=part,
             parts=parts,
             standing=standing,
-            known=Life(known, known_token),
+            known=Incarnation(known, known_token),
             known_beat=known_beat,
             drains=tuple(Drain(b, boot) for b, boot in DRAIN.iter_unpack(rest[PART.size :])),
         )
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -17,7 +17,7 @@
 from lupinreach.balance import EJECTION_SLOS
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import Life, Own
+from lupinreach.fleet.incarnation import Incarnation, Own
 from lupinreach.fleet.membership import NOBODY, Members, Selfhood
 from lupinreach.fleet.recovery import ASKED, RESET_AFTER, Asking, Drains, Facts, Floor, Return, Stage, Stays
 from lupinreach.fleet.wire import Drain, Message
@@ -256,7 +256,7 @@
     def _send(self, peer: int, message: Message) -> None:
         self._agent.peers.send(peer, wire.written(message))
 
-    def _answer(self, m: Message, known: tuple[Life, int]) -> None:
+    def _answer(self, m: Message, known: tuple[Incarnation, int]) -> None:
         drains = self.drains.all()[: wire.DRAINS * wire.MOST_PARTS]
         parts = [tuple(drains[i : i + wire.DRAINS]) for i in range(0, len(drains), wire.DRAINS)] or [()]
         for i, part in enumerate(parts):
@@ -370,7 +370,7 @@
         """The next one, so that by the time it is told it is synced: peers know of none that the disk doesn't."""
         self._store.put("beat", [self.own.life.number, self.members.beat + 1])
 
-    def _known(self, agent: int) -> tuple[Life, int]:
+    def _known(self, agent: int) -> tuple[Incarnation, int]:
         return max(self.members.met(agent), self._seen.get(agent, NOBODY))
 
     def _bear_witness(self) -> None:
@@ -444,7 +444,7 @@
     return _whole(value[1]) if isinstance(value, list) and len(value) == 2 and value[0] == life else 0
 
 
-def _seen(value: object, agents: int) -> Iterable[tuple[int, tuple[Life, int]]]:
+def _seen(value: object, agents: int) -> Iterable[tuple[int, tuple[Incarnation, int]]]:
     for row in value[:WITNESSES] if isinstance(value, list) else ():
         if (
             isinstance(row, list)
@@ -452,7 +452,7 @@
             and all(type(n) is int and 0 <= n < 1 << 32 for n in row)
             and row[0] < agents
         ):
-            yield row[0], (Life(row[1], row[2]), row[3])
+            yield row[0], (Incarnation(row[1], row[2]), row[3])
 
 
 def _drains(kept: dict[str, object]) -> Iterable[Drain]:
--- a/lupinreach/trial/models/lives.py
+++ b/lupinreach/trial/models/lives.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from lupinreach.fleet.incarnation import Life, Own, believed
+from lupinreach.fleet.incarnation import Incarnation, Own, believed
 
 MOST_STARTED, MOST_DISKS = 2, 3
 Running = tuple[int, int, int, bool, bool]  # life number, token, which process, settled, superseded
@@ -64,7 +64,7 @@
         one.settled, one.superseded = settled, silent
         known = s.peers[to]
         if known is not None and self._raises:
-            one.hear(to, Life(*known))
+            one.hear(to, Incarnation(*known))
         running = (*s.running[:-1], (one.life.number, one.life.token, process, one.settled, one.superseded))
         if one.superseded:
             return replace(s, running=running)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as some
 
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import MOST_JUMP, Life, Own, believed
+from lupinreach.fleet.incarnation import MOST_JUMP, Incarnation, Own, believed
 from lupinreach.fleet.membership import NOBODY, SILENT, Members, Selfhood, Standing
 from lupinreach.fleet.recovery import (
     LONE,
@@ -67,21 +67,21 @@
 
 def test_a_settled_process_that_hears_a_newer_one_falls_silent_and_doesn_t_outbid_it():
     one, two = Own(4, 11), Own(4, 22)
-    assert one.life < two.life == Life(5, 22)
+    assert one.life < two.life == Incarnation(5, 22)
     one.settled = True
     assert not one.hear(3, two.life) and one.superseded and one.life.number == 5
     assert not two.hear(3, one.life) and not two.superseded
     three = Own(2, 1)
-    assert three.hear(9, Life(7, 5)) and three.life == Life(8, 1) and not three.superseded
+    assert three.hear(9, Incarnation(7, 5)) and three.life == Incarnation(8, 1) and not three.superseded
     three.settled = True
-    three.hear(9, Life(2**31, 5))
+    three.hear(9, Incarnation(2**31, 5))
     assert not three.superseded  # an absurd claim of one silences nobody
 
 
 # Datagrams.
 
 u8, u16, u32 = (some.integers(0, 2**bits - 1) for bits in (8, 16, 32))
-life = some.builds(Life, u32, u32)
+life = some.builds(Incarnation, u32, u32)
 head = {
     "sender": u16,
     "life": life,
@@ -139,9 +139,9 @@
 
 
 def test_a_datagram_with_too_much_in_it_is_the_writer_s_fault():
-    many = tuple(Member(n, Life(1, 1), 1) for n in range(wire.MEMBERS + 1))
+    many = tuple(Member(n, Incarnation(1, 1), 1) for n in range(wire.MEMBERS + 1))
     with pytest.raises(ValueError, match="bytes"):
-        wire.written(Message(BEAT, 0, Life(1, 1), 1, True, 1, members=many))
+        wire.written(Message(BEAT, 0, Incarnation(1, 1), 1, True, 1, members=many))
 
 
 # Membership.
@@ -165,7 +165,9 @@
                 table.look(self.now)
                 for to in table.targets():
                     data = wire.written(
-                        Message(BEAT, n, Life(1, n), table.beat, True, 1, members=table.digest(self.now))
+                        Message(
+                            BEAT, n, Incarnation(1, n), table.beat, True, 1, members=table.digest(self.now)
+                        )
                     )
                     assert len(data) <= 256
                     self.sent += 1
@@ -228,15 +230,15 @@
 def test_an_older_life_s_word_that_comes_late_counts_for_nothing():
     table = Members(0, 3, BEAT_MS, drawn())
     table.look(0.0)
-    table.heard(1.0, 1, Life(5, 1), 2, ())
+    table.heard(1.0, 1, Incarnation(5, 1), 2, ())
     table.heard(
         2.0,
         2,
-        Life(1, 1),
+        Incarnation(1, 1),
         1,
-        (Member(1, Life(4, 9), 400), Member(0, Life(9, 9), 1), Member(7, Life(1, 1), 1)),
+        (Member(1, Incarnation(4, 9), 400), Member(0, Incarnation(9, 9), 1), Member(7, Incarnation(1, 1), 1)),
     )
-    assert table.met(1)[0] == Life(5, 1) and table.met(0) == table.met(7) == NOBODY
+    assert table.met(1)[0] == Incarnation(5, 1) and table.met(0) == table.met(7) == NOBODY
 
 
 # Which list is believed.
@@ -287,7 +289,7 @@
             Message(
                 TELL,
                 sender,
-                Life(1, 1),
+                Incarnation(1, 1),
                 1,
                 remembers,
                 0,
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -17,7 +17,7 @@
 from lupinreach.bed.world.chance import stream
 from lupinreach.config import BadConfig
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import Life
+from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.model import Idempotency
 from lupinreach.net.ids import Ids, Remembered
 from lupinreach.ops import fleet_agent
@@ -119,7 +119,7 @@
             members=SimpleNamespace(beat=0),
             _token=1,
             floor=SimpleNamespace(revision=0),
-            own=SimpleNamespace(life=Life(1, 1), settled=True, superseded=False),
+            own=SimpleNamespace(life=Incarnation(1, 1), settled=True, superseded=False),
         )
         for _ in range(5):
             one.ran()
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -19,7 +19,7 @@
 from lupinreach.bed.world.chance import stream
 from lupinreach.config import BadConfig, FleetConfig
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import Life
+from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.membership import NOBODY
 from lupinreach.fleet.recovery import Floor
 from lupinreach.fleet.wire import BEAT, TELL, Drain, Message
@@ -216,14 +216,14 @@
 
 def test_a_datagram_from_a_wrong_address_is_believed_of_nobody():
     agent, part = one()
-    forged = wire.written(Message(BEAT, 4, Life(9, 9), 5, True, 900))
+    forged = wire.written(Message(BEAT, 4, Incarnation(9, 9), 5, True, 900))
     part.hear(3, forged)
-    part.hear(2, wire.written(Message(BEAT, 2, Life(9, 9), 5, True, 900)))
+    part.hear(2, wire.written(Message(BEAT, 2, Incarnation(9, 9), 5, True, 900)))
     part.hear(3, forged[:-1])
-    assert part.members.met(4) == NOBODY and part.own.life == Life(1, 77)
+    assert part.members.met(4) == NOBODY and part.own.life == Incarnation(1, 77)
     assert agent.counters.others == {"fleet: from a wrong address": 2, "fleet: malformed": 1}
     part.hear(4, forged)
-    assert part.members.met(4)[0] == Life(9, 9)
+    assert part.members.met(4)[0] == Incarnation(9, 9)
     told = part.figures()
     assert (told["stage"], told["agents"], told["standing"], told["floor"], told["own"]) == (
         "dark",
@@ -246,7 +246,7 @@
         ListedState.DRAINING,
         ListedState.DRAINING,
     ]
-    part.hear(5, wire.written(Message(wire.ASK, 5, Life(1, 1), 1, False, 0, nonce=8)))
+    part.hear(5, wire.written(Message(wire.ASK, 5, Incarnation(1, 1), 1, False, 0, nonce=8)))
     # Synced at once: found on drawn loss 1022, where power failed between a drain and the next beat.
     assert records.read(part._store._disk.copy(), "a").state["drain/71"] == 9
     to, answer = agent.sent[-1]
@@ -279,7 +279,9 @@
         for peer in part._asking.peers[:2]:
             part.hear(
                 peer,
-                wire.written(Message(TELL, peer, Life(1, 1), 1, True, 60, nonce=77, drains=(Drain(71, 9),))),
+                wire.written(
+                    Message(TELL, peer, Incarnation(1, 1), 1, True, 60, nonce=77, drains=(Drain(71, 9),))
+                ),
             )
         agent.clock.now = lambda: 6_000.0
         while not part._asked:
@@ -402,7 +404,11 @@
         assert any(m.kind == BEAT for _, m in agent.sent)
         part.hear(
             4,
-            wire.written(Message(BEAT, 4, Life(1, 1), 1, True, 60, members=(wire.Member(2, Life(2, 5), 9),))),
+            wire.written(
+                Message(
+                    BEAT, 4, Incarnation(1, 1), 1, True, 60, members=(wire.Member(2, Incarnation(2, 5), 9),)
+                )
+            ),
         )
         await asyncio.sleep(0.1)
         agent.sent.clear()
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -16,7 +16,7 @@
 from lupinreach.fleet.counts import CELLS, Count, Counts, cells
 from lupinreach.fleet.evidence import HIGHEST, MOST, QUORUM, SHARE, TELLERS, Evidence, Met, boot_mark, harm
 from lupinreach.fleet.grants import DRIFT, Budget
-from lupinreach.fleet.incarnation import Life
+from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.warmth import Stood, Warmth, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
@@ -417,7 +417,7 @@
     Message,
     kind=some.just(NEWS),
     sender=some.integers(0, 999),
-    life=some.just(Life(3, 4)),
+    life=some.just(Incarnation(3, 4)),
     beat=some.just(5),
     remembers=some.booleans(),
     revision=some.just(6),
@@ -460,6 +460,6 @@
 
 
 def test_a_question_for_a_share_comes_out_as_it_went_in():
-    m = Message(WANT, 3, Life(1, 2), 3, False, 0, nonce=77, budget=0, amount=250)
+    m = Message(WANT, 3, Incarnation(1, 2), 3, False, 0, nonce=77, budget=0, amount=250)
     assert wire.read(wire.written(m)) == m
     assert boot_mark(5.0) != boot_mark(6.0)
