--- a/lupinreach/fleet/incarnation.py
+++ b/lupinreach/fleet/incarnation.py
@@ -31,7 +31,7 @@
     return min(max([kept, *sound]), MOST_NUMBER - 1)
 
 
-class Own:
+class OwnIncarnation:
     """The life of this process: raised by what is heard while it returns, never after."""
 
     def __init__(self, kept: int, token: int, kept_beat: int = 0) -> None:
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -17,7 +17,7 @@
 from lupinreach.balance import EJECTION_SLOS
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import Incarnation, Own
+from lupinreach.fleet.incarnation import Incarnation, OwnIncarnation
 from lupinreach.fleet.membership import NOBODY, Members, Selfhood
 from lupinreach.fleet.recovery import ASKED, RESET_AFTER, Asking, Drains, Facts, Floor, Return, Stage, Stays
 from lupinreach.fleet.wire import Drain, Message
@@ -65,7 +65,7 @@
         kept = trust.believed(found.state)
         self._token = token if token is not None else int.from_bytes(os.urandom(4), "big")
         life = _whole(kept.get("life"))
-        self.own = Own(life, self._token, _beat(kept.get("beat"), life))
+        self.own = OwnIncarnation(life, self._token, _beat(kept.get("beat"), life))
         self.members = Members(self._me, settings.agents, config.beat, self._chance)
         self.floor = Floor(_whole(kept.get("floor")), settings.rules.ask_within)
         self.drains = Drains(_drains(kept))
--- a/lupinreach/trial/models/lives.py
+++ b/lupinreach/trial/models/lives.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from lupinreach.fleet.incarnation import Incarnation, Own, believed
+from lupinreach.fleet.incarnation import Incarnation, OwnIncarnation, believed
 
 MOST_STARTED, MOST_DISKS = 2, 3
 Running = tuple[int, int, int, bool, bool]  # life number, token, which process, settled, superseded
@@ -60,7 +60,7 @@
 
     def _told(self, s: State, to: int) -> State:
         number, token, process, settled, silent = s.running[-1]
-        one = Own(number - 1, token)
+        one = OwnIncarnation(number - 1, token)
         one.settled, one.superseded = settled, silent
         known = s.peers[to]
         if known is not None and self._raises:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as some
 
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import MOST_JUMP, Incarnation, Own, believed
+from lupinreach.fleet.incarnation import MOST_JUMP, Incarnation, OwnIncarnation, believed
 from lupinreach.fleet.membership import NOBODY, SILENT, Members, Selfhood, Standing
 from lupinreach.fleet.recovery import (
     LONE,
@@ -66,12 +66,12 @@
 
 
 def test_a_settled_process_that_hears_a_newer_one_falls_silent_and_doesn_t_outbid_it():
-    one, two = Own(4, 11), Own(4, 22)
+    one, two = OwnIncarnation(4, 11), OwnIncarnation(4, 22)
     assert one.life < two.life == Incarnation(5, 22)
     one.settled = True
     assert not one.hear(3, two.life) and one.superseded and one.life.number == 5
     assert not two.hear(3, one.life) and not two.superseded
-    three = Own(2, 1)
+    three = OwnIncarnation(2, 1)
     assert three.hear(9, Incarnation(7, 5)) and three.life == Incarnation(8, 1) and not three.superseded
     three.settled = True
     three.hear(9, Incarnation(2**31, 5))
