--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -25,8 +25,8 @@
 from dataclasses import dataclass, field
 
 from lupinreach.fleet.counts import Count
-from lupinreach.fleet.evidence import STEP, Met
 from lupinreach.fleet.incarnation import Incarnation
+from lupinreach.fleet.observations import STEP, Met
 from lupinreach.fleet.warmth import Stood
 
 FORM = 1
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -15,9 +15,9 @@
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.counts import Counts
-from lupinreach.fleet.evidence import Evidence, Met, boot_mark
 from lupinreach.fleet.grants import LEASE, Budget
 from lupinreach.fleet.membership import Members
+from lupinreach.fleet.observations import Evidence, Met, boot_mark
 from lupinreach.fleet.warmth import Warmth
 from lupinreach.fleet.wire import Message
 from lupinreach.model import SharedEstimates
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 
 from lupinreach.fleet import counts, grants
-from lupinreach.fleet.evidence import MOST, SHARE, harm
+from lupinreach.fleet.observations import MOST, SHARE, harm
 from lupinreach.fleet.warmth import earliest
 from lupinreach.ops.sharing import Sharing
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -14,9 +14,19 @@
 from lupinreach.fleet import grants, wire
 from lupinreach.fleet import warmth as standing
 from lupinreach.fleet.counts import CELLS, Count, Counts, cells
-from lupinreach.fleet.evidence import HIGHEST, MOST, QUORUM, SHARE, TELLERS, Evidence, Met, boot_mark, harm
 from lupinreach.fleet.grants import DRIFT, Budget
 from lupinreach.fleet.incarnation import Incarnation
+from lupinreach.fleet.observations import (
+    HIGHEST,
+    MOST,
+    QUORUM,
+    SHARE,
+    TELLERS,
+    Evidence,
+    Met,
+    boot_mark,
+    harm,
+)
 from lupinreach.fleet.warmth import Stood, Warmth, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -6,8 +6,8 @@
 
 from benchmarks import shared_bounds
 from lupinreach.config import BadConfig
-from lupinreach.fleet.evidence import Evidence
 from lupinreach.fleet.grants import Budget
+from lupinreach.fleet.observations import Evidence
 from lupinreach.model import SharedEstimates
 from lupinreach.ops.sharing import Sharing
 from lupinreach.trial import bounds, play, spec
