--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -61,7 +61,7 @@
     return crc32(b"%d" % int(boot_time)) & 0xFFFF
 
 
-class Evidence:
+class Observations:
     """One agent's rows. Bounded by `MOST_BACKENDS` and `TELLERS`; a row leaves when it has aged or its backend goes."""
 
     def __init__(self, me: int, zone: int, slo: float, chance: Callable[[], float]) -> None:
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -17,7 +17,7 @@
 from lupinreach.fleet.counts import Counts
 from lupinreach.fleet.grants import LEASE, Budget
 from lupinreach.fleet.membership import Members
-from lupinreach.fleet.observations import Evidence, Met, boot_mark
+from lupinreach.fleet.observations import Met, Observations, boot_mark
 from lupinreach.fleet.warmth import Warmth
 from lupinreach.fleet.wire import Message
 from lupinreach.model import SharedEstimates
@@ -65,7 +65,7 @@
         self._send = send
         self._chance = chance
         slo = max(p.slo for p in settings.products) or settings.longest_wait / 2
-        self.evidence = Evidence(settings.me, settings.zone, slo, chance)
+        self.evidence = Observations(settings.me, settings.zone, slo, chance)
         self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, chance)
         self.warmth = Warmth(settings.me, settings.rules.cold, chance)
         self._fractions = [c.fraction for c in settings.customers]
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -22,8 +22,8 @@
     QUORUM,
     SHARE,
     TELLERS,
-    Evidence,
     Met,
+    Observations,
     boot_mark,
     harm,
 )
@@ -203,7 +203,7 @@
 
 
 def evidence(me=0, zone=0):
-    return Evidence(me, zone, 500.0, lambda draws=stream(me, "evidence"): float(draws.random()))
+    return Observations(me, zone, 500.0, lambda draws=stream(me, "evidence"): float(draws.random()))
 
 
 rows = some.lists(
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -7,7 +7,7 @@
 from benchmarks import shared_bounds
 from lupinreach.config import BadConfig
 from lupinreach.fleet.grants import Budget
-from lupinreach.fleet.observations import Evidence
+from lupinreach.fleet.observations import Observations
 from lupinreach.model import SharedEstimates
 from lupinreach.ops.sharing import Sharing
 from lupinreach.trial import bounds, play, spec
@@ -59,7 +59,9 @@
 
 
 def test_an_ejection_by_hearsay_is_found(monkeypatch):
-    monkeypatch.setattr(Evidence, "factors", lambda self, now, own: {key: 1e6 for key in self.said(now, own)})
+    monkeypatch.setattr(
+        Observations, "factors", lambda self, now, own: {key: 1e6 for key in self.said(now, own)}
+    )
     assert shared_bounds.played("a slow tenth", 3, agents=8, seconds=14.0)[1]["dearer"] > 1
 
 
