--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Met:
+class Observation:
     """What one agent has met of one backend process itself."""
 
     teller: int
@@ -51,7 +51,7 @@
 
 @dataclass
 class _Row:
-    met: Met
+    met: Observation
     at: float  # ms, by this agent's clock: its last sample
     told: int = 0  # times since it came
 
@@ -76,7 +76,7 @@
 
     # What comes in.
 
-    def own(self, now: float, mets: Iterable[Met]) -> None:
+    def own(self, now: float, mets: Iterable[Observation]) -> None:
         """What this agent has met, once a look; only what is news goes on to others."""
         mets = list(mets)
         figures = sorted(m.figure for m in mets)
@@ -93,14 +93,14 @@
                 self._said.add(key)
         self._said &= self._rows.keys()
 
-    def heard(self, now: float, mets: Iterable[Met]) -> None:
+    def heard(self, now: float, mets: Iterable[Observation]) -> None:
         for m in mets:
             if not 0 <= m.figure <= HIGHEST or m.age < 0:
                 self.refused += 1
             elif m.teller != self.me:
                 self._put(now, m)
 
-    def _put(self, now: float, m: Met) -> None:
+    def _put(self, now: float, m: Observation) -> None:
         at = now - m.age
         if now - at >= self.lasts:
             return
@@ -125,14 +125,14 @@
 
     # What goes out.
 
-    def digest(self, now: float, most: int) -> tuple[Met, ...]:
+    def digest(self, now: float, most: int) -> tuple[Observation, ...]:
         """So many rows for one datagram: this agent's own first, then those told least often."""
         rows = [row for each in self._rows.values() for row in each.values() if now - row.at < self.lasts]
         rows.sort(key=lambda row: (row.told, row.met.teller != self.me, self._chance()))
         for row in rows[:most]:
             row.told += 1
         return tuple(
-            Met(r.met.teller, r.met.zone, r.met.backend, r.met.boot, r.met.figure, now - r.at)
+            Observation(r.met.teller, r.met.zone, r.met.backend, r.met.boot, r.met.figure, now - r.at)
             for r in rows[:most]
         )
 
--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -26,7 +26,7 @@
 
 from lupinreach.fleet.counts import Count
 from lupinreach.fleet.incarnation import Incarnation
-from lupinreach.fleet.observations import STEP, Met
+from lupinreach.fleet.observations import STEP, Observation
 from lupinreach.fleet.warmth import Stood
 
 FORM = 1
@@ -95,7 +95,7 @@
     known: Incarnation = field(default=Incarnation(0, 0))  # as which the asker is known; (0, 0): not at all
     known_beat: int = 0  # of that life, the last one heard
     drains: tuple[Drain, ...] = ()
-    mets: tuple[Met, ...] = ()
+    mets: tuple[Observation, ...] = ()
     counts: tuple[Count, ...] = ()
     stood: tuple[Stood, ...] = ()
     budget: int = 0
@@ -217,8 +217,8 @@
     raise Malformed(f"kind {kind}")
 
 
-def _news(rest: bytes) -> dict[str, tuple[Met, ...] | tuple[Count, ...] | tuple[Stood, ...]]:
-    mets: list[Met] = []
+def _news(rest: bytes) -> dict[str, tuple[Observation, ...] | tuple[Count, ...] | tuple[Stood, ...]]:
+    mets: list[Observation] = []
     counts: list[Count] = []
     stood: list[Stood] = []
     at = 0
@@ -234,7 +234,7 @@
             for row in (known.unpack_from(rest, at + i * size) for i in range(rows)):
                 if kind == MET:
                     teller, zone, backend, boot, figure, age = row
-                    mets.append(Met(teller, zone, backend, boot, figure / STEP, age * AGE))
+                    mets.append(Observation(teller, zone, backend, boot, figure / STEP, age * AGE))
                 elif kind == STOOD:
                     teller, backend, first, last = row
                     stood.append(Stood(teller, backend, first * AGE, last * AGE))
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -17,7 +17,7 @@
 from lupinreach.fleet.counts import Counts
 from lupinreach.fleet.grants import LEASE, Budget
 from lupinreach.fleet.membership import Members
-from lupinreach.fleet.observations import Met, Observations, boot_mark
+from lupinreach.fleet.observations import Observation, Observations, boot_mark
 from lupinreach.fleet.warmth import Warmth
 from lupinreach.fleet.wire import Message
 from lupinreach.model import SharedEstimates
@@ -127,7 +127,7 @@
         self.evidence.own(
             now,
             [
-                Met(self.evidence.me, self.evidence.zone, name, boot, figure, now - b.observed_at)
+                Observation(self.evidence.me, self.evidence.zone, name, boot, figure, now - b.observed_at)
                 for (name, boot), (b, figure) in known.items()
                 if b.latency_ms[0] is not None
             ],
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -22,7 +22,7 @@
     QUORUM,
     SHARE,
     TELLERS,
-    Met,
+    Observation,
     Observations,
     boot_mark,
     harm,
@@ -199,7 +199,7 @@
 
 
 def met(teller, backend=7, figure=2.0, age=0.0, zone=0):
-    return Met(teller, zone, backend, 1, figure, age)
+    return Observation(teller, zone, backend, 1, figure, age)
 
 
 def evidence(me=0, zone=0):
@@ -433,7 +433,7 @@
     revision=some.just(6),
     mets=some.lists(
         some.builds(
-            Met,
+            Observation,
             some.integers(0, 999),
             some.integers(0, 9),
             some.integers(0, 2**32 - 1),
