--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -32,7 +32,7 @@
 STEP = 64  # steps of a figure in one SLO
 
 
-def harm() -> float:
+def max_diverted_share() -> float:
     """The largest part of an agent's turns that hearsay can move, whatever is said."""
     return SHARE * (1 - 1 / MOST)
 
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 
 from lupinreach.fleet import counts, grants
-from lupinreach.fleet.observations import MOST, SHARE, harm
+from lupinreach.fleet.observations import MOST, SHARE, max_diverted_share
 from lupinreach.fleet.warmth import earliest
 from lupinreach.ops.sharing import Sharing
 
@@ -58,7 +58,7 @@
             moved = sum(1 - 1 / f for f in factors) / len(factors)
             most["dearer"] = max(
                 most["dearer"],
-                moved / harm() / EXACT,
+                moved / max_diverted_share() / EXACT,
                 max(factors) / MOST / EXACT,
                 sum(f > 1 for f in factors) / len(factors) / SHARE / EXACT,
             )
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -25,7 +25,7 @@
     Observation,
     Observations,
     boot_mark,
-    harm,
+    max_diverted_share,
 )
 from lupinreach.fleet.warmth import Stood, Warmth, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
@@ -244,7 +244,7 @@
     own = {(b, 1): (0.3, 0.0) for b in range(1, ready + 1)}
     factors = here.factors(10_000.0, own)
     assert len(factors) <= SHARE * ready and all(1 <= f <= MOST for f in factors.values())
-    assert sum(1 - 1 / f for f in factors.values()) / ready <= harm() + EXACT
+    assert sum(1 - 1 / f for f in factors.values()) / ready <= max_diverted_share() + EXACT
     assert here.refused == sum(not 0 <= r.figure <= HIGHEST or r.age < 0 for r in said)
 
 
