--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -24,7 +24,7 @@
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.membership import FAN, Members
-from lupinreach.fleet.warmth import Stood, Warmth
+from lupinreach.fleet.uptimes import Stood, Warmth
 from lupinreach.ops.fleet_agent import FleetAgent
 from lupinreach.store import records
 from lupinreach.store.store import Store
--- a/benchmarks/recovery_parts.py
+++ b/benchmarks/recovery_parts.py
@@ -17,7 +17,7 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.bed.world import spec as beds
-from lupinreach.fleet.warmth import Warmth
+from lupinreach.fleet.uptimes import Warmth
 from lupinreach.ops import fleet_agent
 from lupinreach.trial import play, spec
 
--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -27,7 +27,7 @@
 from lupinreach.fleet.counts import Count
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.observations import STEP, Observation
-from lupinreach.fleet.warmth import Stood
+from lupinreach.fleet.uptimes import Stood
 
 FORM = 1
 MOST = 256  # bytes
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -18,7 +18,7 @@
 from lupinreach.fleet.grants import LEASE, Budget
 from lupinreach.fleet.membership import Members
 from lupinreach.fleet.observations import Observation, Observations, boot_mark
-from lupinreach.fleet.warmth import Warmth
+from lupinreach.fleet.uptimes import Warmth
 from lupinreach.fleet.wire import Message
 from lupinreach.model import SharedEstimates
 from lupinreach.net.agent import Agent
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -11,7 +11,7 @@
 
 from lupinreach.fleet import counts, grants
 from lupinreach.fleet.observations import MOST, SHARE, max_diverted_share
-from lupinreach.fleet.warmth import earliest
+from lupinreach.fleet.uptimes import earliest
 from lupinreach.ops.sharing import Sharing
 
 EXACT = 1 + 1e-6
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -12,7 +12,7 @@
 from lupinreach.bed.world.chance import stream
 from lupinreach.fleet import counts as counting
 from lupinreach.fleet import grants, wire
-from lupinreach.fleet import warmth as standing
+from lupinreach.fleet import uptimes as standing
 from lupinreach.fleet.counts import CELLS, Count, Counts, cells
 from lupinreach.fleet.grants import DRIFT, Budget
 from lupinreach.fleet.incarnation import Incarnation
@@ -27,7 +27,7 @@
     boot_mark,
     max_diverted_share,
 )
-from lupinreach.fleet.warmth import Stood, Warmth, earliest
+from lupinreach.fleet.uptimes import Stood, Warmth, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
 from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
