--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -24,7 +24,7 @@
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.membership import FAN, Members
-from lupinreach.fleet.uptimes import Stood, Warmth
+from lupinreach.fleet.uptimes import Stood, Uptimes
 from lupinreach.ops.fleet_agent import FleetAgent
 from lupinreach.store import records
 from lupinreach.store.store import Store
@@ -87,7 +87,7 @@
     chance = stream(1, "costs").random
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    members, warmth = Members(0, agents, BEAT, chance), Warmth(0, 20_000.0, chance)
+    members, warmth = Members(0, agents, BEAT, chance), Uptimes(0, 20_000.0, chance)
     for n in range(1, agents):
         members.heard(1.0, n, Incarnation(3, n), 7, ())
         warmth.heard(30_000.0, [Stood(n, n % 60, 5000.0, 10.0)])
@@ -99,7 +99,7 @@
 def spread(agents: int, rows: int = 60) -> dict[str, float]:
     """Ms until one agent's word of one backend, among `rows` that two agents each tell of, is known to half and to 99% of all."""
     chance = stream(agents, "spread").random
-    each = [Warmth(n, 60_000.0, chance) for n in range(agents)]
+    each = [Uptimes(n, 60_000.0, chance) for n in range(agents)]
     room = wire.NEWS_ROOM // 2 // wire.STOOD_ROW.size
     for backend in range(rows):
         for teller in (backend % agents, (backend * 7 + 1) % agents):
--- a/benchmarks/recovery_parts.py
+++ b/benchmarks/recovery_parts.py
@@ -17,7 +17,7 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.bed.world import spec as beds
-from lupinreach.fleet.uptimes import Warmth
+from lupinreach.fleet.uptimes import Uptimes
 from lupinreach.ops import fleet_agent
 from lupinreach.trial import play, spec
 
@@ -50,7 +50,7 @@
 
 
 def no_word_of_who_stands() -> None:
-    Warmth.since = lambda self, began, refused: {}  # type: ignore[method-assign]
+    Uptimes.since = lambda self, began, refused: {}  # type: ignore[method-assign]
 
 
 PARTS: dict[str, tuple[Callable[[], None], list[dict[str, Any]]]] = {
--- a/lupinreach/fleet/uptimes.py
+++ b/lupinreach/fleet/uptimes.py
@@ -45,7 +45,7 @@
     told: int = 0  # times since it came
 
 
-class Warmth:
+class Uptimes:
     """One agent's rows. Bounded by `MOST_BACKENDS` and `TELLERS` + 1; a row leaves when it has aged or the backend is no longer cold."""
 
     def __init__(self, me: int, lasts: float, chance: Callable[[], float]) -> None:
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -18,7 +18,7 @@
 from lupinreach.fleet.grants import LEASE, Budget
 from lupinreach.fleet.membership import Members
 from lupinreach.fleet.observations import Observation, Observations, boot_mark
-from lupinreach.fleet.uptimes import Warmth
+from lupinreach.fleet.uptimes import Uptimes
 from lupinreach.fleet.wire import Message
 from lupinreach.model import SharedEstimates
 from lupinreach.net.agent import Agent
@@ -67,7 +67,7 @@
         slo = max(p.slo for p in settings.products) or settings.longest_wait / 2
         self.evidence = Observations(settings.me, settings.zone, slo, chance)
         self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, chance)
-        self.warmth = Warmth(settings.me, settings.rules.cold, chance)
+        self.warmth = Uptimes(settings.me, settings.rules.cold, chance)
         self._fractions = [c.fraction for c in settings.customers]
         self._hold = EJECTION_SLOS * slo
         self._backends = 0
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -27,7 +27,7 @@
     boot_mark,
     max_diverted_share,
 )
-from lupinreach.fleet.uptimes import Stood, Warmth, earliest
+from lupinreach.fleet.uptimes import Stood, Uptimes, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
 from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
@@ -43,8 +43,8 @@
 )
 
 
-def warmth() -> Warmth:
-    return Warmth(0, 20_000.0, Random(1).random)
+def warmth() -> Uptimes:
+    return Uptimes(0, 20_000.0, Random(1).random)
 
 
 @tries(max_examples=150, deadline=None)
