--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -24,7 +24,7 @@
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.membership import FAN, Members
-from lupinreach.fleet.uptimes import Stood, Uptimes
+from lupinreach.fleet.uptimes import Uptime, Uptimes
 from lupinreach.ops.fleet_agent import FleetAgent
 from lupinreach.store import records
 from lupinreach.store.store import Store
@@ -90,7 +90,7 @@
     members, warmth = Members(0, agents, BEAT, chance), Uptimes(0, 20_000.0, chance)
     for n in range(1, agents):
         members.heard(1.0, n, Incarnation(3, n), 7, ())
-        warmth.heard(30_000.0, [Stood(n, n % 60, 5000.0, 10.0)])
+        warmth.heard(30_000.0, [Uptime(n, n % 60, 5000.0, 10.0)])
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return after - before
--- a/lupinreach/fleet/uptimes.py
+++ b/lupinreach/fleet/uptimes.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Stood:
+class Uptime:
     """What one agent has had of one backend process."""
 
     teller: int
@@ -64,7 +64,7 @@
             if backend not in met:
                 rows.pop(self.me, None)  # it restarted, or refused
 
-    def heard(self, now: float, rows: Iterable[Stood]) -> None:
+    def heard(self, now: float, rows: Iterable[Uptime]) -> None:
         for row in rows:
             if not 0 <= row.last <= row.first:
                 self.refused += 1
@@ -95,7 +95,7 @@
             if not rows or backend not in there:
                 del self._rows[backend]
 
-    def digest(self, now: float, most: int) -> tuple[Stood, ...]:
+    def digest(self, now: float, most: int) -> tuple[Uptime, ...]:
         """So many rows for one datagram, those told least often first."""
         rows = [
             (row, teller, backend) for backend, each in self._rows.items() for teller, row in each.items()
@@ -104,7 +104,7 @@
         for row, _, _ in rows[:most]:
             row.told += 1
         return tuple(
-            Stood(teller, backend, now - row.first, max(0.0, now - row.last))
+            Uptime(teller, backend, now - row.first, max(0.0, now - row.last))
             for row, teller, backend in rows[:most]
         )
 
--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -27,7 +27,7 @@
 from lupinreach.fleet.counts import Count
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.observations import STEP, Observation
-from lupinreach.fleet.uptimes import Stood
+from lupinreach.fleet.uptimes import Uptime
 
 FORM = 1
 MOST = 256  # bytes
@@ -97,7 +97,7 @@
     drains: tuple[Drain, ...] = ()
     mets: tuple[Observation, ...] = ()
     counts: tuple[Count, ...] = ()
-    stood: tuple[Stood, ...] = ()
+    stood: tuple[Uptime, ...] = ()
     budget: int = 0
     amount: int = 0  # thousandths of an own share
 
@@ -217,10 +217,10 @@
     raise Malformed(f"kind {kind}")
 
 
-def _news(rest: bytes) -> dict[str, tuple[Observation, ...] | tuple[Count, ...] | tuple[Stood, ...]]:
+def _news(rest: bytes) -> dict[str, tuple[Observation, ...] | tuple[Count, ...] | tuple[Uptime, ...]]:
     mets: list[Observation] = []
     counts: list[Count] = []
-    stood: list[Stood] = []
+    stood: list[Uptime] = []
     at = 0
     while at < len(rest):
         if at + SECTION.size > len(rest):
@@ -237,7 +237,7 @@
                     mets.append(Observation(teller, zone, backend, boot, figure / STEP, age * AGE))
                 elif kind == STOOD:
                     teller, backend, first, last = row
-                    stood.append(Stood(teller, backend, first * AGE, last * AGE))
+                    stood.append(Uptime(teller, backend, first * AGE, last * AGE))
                 else:
                     agent, life, cell, total, stamp, age = row
                     counts.append(Count(agent, life, cell, total, stamp * AGE, age * AGE))
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -27,7 +27,7 @@
     boot_mark,
     max_diverted_share,
 )
-from lupinreach.fleet.uptimes import Stood, Uptimes, earliest
+from lupinreach.fleet.uptimes import Uptime, Uptimes, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
 from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
@@ -37,7 +37,7 @@
 
 ROWS = some.lists(
     some.builds(
-        Stood, some.integers(1, 6), some.integers(0, 3), some.floats(0, 30_000), some.floats(0, 30_000)
+        Uptime, some.integers(1, 6), some.integers(0, 3), some.floats(0, 30_000), some.floats(0, 30_000)
     ),
     max_size=12,
 )
@@ -76,11 +76,13 @@
 
 def test_the_second_longest_counts_and_a_process_that_went_down_since_does_not():
     one = warmth()
-    one.heard(10_000.0, [Stood(1, 7, 6000.0, 100.0), Stood(2, 7, 4000.0, 100.0), Stood(3, 7, 2000.0, 100.0)])
+    one.heard(
+        10_000.0, [Uptime(1, 7, 6000.0, 100.0), Uptime(2, 7, 4000.0, 100.0), Uptime(3, 7, 2000.0, 100.0)]
+    )
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0}
     assert one.since(9000.0, {7: 0.0}) == {7: 9000.0}  # who stood up then can't know better
     assert one.since(0.0, {7: 9950.0}) == {}  # refused since they met it
-    one.heard(12_000.0, [Stood(1, 7, 8000.0, 2100.0)])  # late, and older than what came before
+    one.heard(12_000.0, [Uptime(1, 7, 8000.0, 2100.0)])  # late, and older than what came before
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0}
     one.look(29_850.0, [7])
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0} and not one.since(0.0, {7: 10_000.0})
