--- a/lupinreach/fleet/uptimes.py
+++ b/lupinreach/fleet/uptimes.py
@@ -23,7 +23,7 @@
 MOST_BACKENDS = 512  # with rows
 
 
-def earliest(began: float, refused_at: float) -> float:
+def earliest_up_since(began: float, refused_at: float) -> float:
     """Ms: since when a backend may be taken to stand by others' word, at the earliest."""
     return max(began, refused_at)
 
@@ -112,7 +112,7 @@
         """By backend: since when (ms) it has stood by others' word, for those that `refused` names, with when this agent was refused there."""
         found = {}
         for backend, at in refused.items():
-            at = earliest(began, at)
+            at = earliest_up_since(began, at)
             firsts = sorted(row.first for row in self._rows.get(backend, {}).values() if row.last > at)
             if len(firsts) >= TELLERS:
                 found[backend] = max(firsts[TELLERS - 1], at)
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -11,7 +11,7 @@
 
 from lupinreach.fleet import counts, grants
 from lupinreach.fleet.observations import MOST, SHARE, max_diverted_share
-from lupinreach.fleet.uptimes import earliest
+from lupinreach.fleet.uptimes import earliest_up_since
 from lupinreach.ops.sharing import Sharing
 
 EXACT = 1 + 1e-6
@@ -64,7 +64,9 @@
             )
         refused = {b.name: b.refused_at for b in part._agent.balancer.recently_started(now)}
         for name, since in part.warmth.since(part._began, refused).items():
-            most["stood"] = max(most["stood"], 1.0 if since >= earliest(part._began, refused[name]) else 2.0)
+            most["stood"] = max(
+                most["stood"], 1.0 if since >= earliest_up_since(part._began, refused[name]) else 2.0
+            )
         life = part._self()[0]
         for cell, count in part.counts._own.items():
             self.counted.setdefault((cell, n, life), []).append((now, count))
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -27,7 +27,7 @@
     boot_mark,
     max_diverted_share,
 )
-from lupinreach.fleet.uptimes import Uptime, Uptimes, earliest
+from lupinreach.fleet.uptimes import Uptime, Uptimes, earliest_up_since
 from lupinreach.fleet.wire import NEWS, WANT, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
 from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
@@ -59,14 +59,14 @@
             one.heard(now, [row])
     for one in (once, again):
         found = one.since(began, dict.fromkeys(range(4), refused_at))
-        assert all(since >= earliest(began, refused_at) for since in found.values())
+        assert all(since >= earliest_up_since(began, refused_at) for since in found.values())
         for backend in found:  # a lone claim waits for a second that met it after this agent was refused
             assert (
                 len(
                     {
                         r.teller
                         for r in said
-                        if r.backend == backend and now - r.last > earliest(began, refused_at)
+                        if r.backend == backend and now - r.last > earliest_up_since(began, refused_at)
                     }
                 )
                 >= 2
