--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -209,7 +209,7 @@
 
 
 @dataclass(frozen=True)
-class Stays:
+class StageLimits:
     """The longest stays, ms."""
 
     read: float
@@ -245,7 +245,7 @@
 class Return:
     """Where an agent is on its way back; goes forward alone, several steps at one look if it can."""
 
-    def __init__(self, now: float, stays: Stays) -> None:
+    def __init__(self, now: float, stays: StageLimits) -> None:
         self.stage = Stage.DARK
         self._since = now
         self._stays = stays
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -19,7 +19,17 @@
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation, OwnIncarnation
 from lupinreach.fleet.membership import NOBODY, Members, Selfhood
-from lupinreach.fleet.recovery import ASKED, RESET_AFTER, Asking, Drains, Facts, Floor, Return, Stage, Stays
+from lupinreach.fleet.recovery import (
+    ASKED,
+    RESET_AFTER,
+    Asking,
+    Drains,
+    Facts,
+    Floor,
+    Return,
+    Stage,
+    StageLimits,
+)
 from lupinreach.fleet.wire import Drain, Message
 from lupinreach.model import ListedState, Listing, UpdateKind
 from lupinreach.net.agent import Agent
@@ -71,7 +81,7 @@
         self.drains = Drains(_drains(kept))
         self.returned = Return(
             now,
-            Stays(
+            StageLimits(
                 READ,
                 config.ask * (1 + SPREAD),
                 EJECTION_SLOS * max(p.slo for p in settings.products),
--- a/lupinreach/trial/models/order.py
+++ b/lupinreach/trial/models/order.py
@@ -9,9 +9,9 @@
 from collections.abc import Hashable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from lupinreach.fleet.recovery import TABLE, Facts, Return, Stage, Stays
+from lupinreach.fleet.recovery import TABLE, Facts, Return, Stage, StageLimits
 
-STAYS = Stays(read=1.0, ask=2.0, hold=3.0, cold=4.0)
+STAYS = StageLimits(read=1.0, ask=2.0, hold=3.0, cold=4.0)
 LONGEST = 6.0  # units of time in one stage that are told apart: past all of `STAYS`
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
     Floor,
     Return,
     Stage,
-    Stays,
+    StageLimits,
 )
 from lupinreach.fleet.wire import ASK, BEAT, TELL, Drain, Malformed, Member, Message
 from lupinreach.trial.models.lives import Lives
@@ -319,7 +319,7 @@
         """The planted mistake: no longest stay."""
 
         def __init__(self, now, stays):
-            super().__init__(now, Stays(stays.read, 1e9, stays.hold, stays.cold))
+            super().__init__(now, StageLimits(stays.read, 1e9, stays.hold, stays.cold))
 
     assert search(Order(Waits)).story[-1] == "stays in standing too long"
 
