--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -188,7 +188,7 @@
 
 
 @dataclass(frozen=True)
-class Facts:
+class StartupFacts:
     """What is known at one look."""
 
     read: bool = False  # the store was read, or there is none
@@ -203,7 +203,7 @@
 class Step:
     stage: Stage
     ready: bool  # what `/health/ready` says
-    ends: Callable[[Facts], bool]
+    ends: Callable[[StartupFacts], bool]
     longest: str  # its longest stay, as a name of `Stays`
     meanwhile: str
 
@@ -254,7 +254,7 @@
     def ready(self) -> bool:
         return self.stage is Stage.FULL or TABLE[self.stage].ready
 
-    def look(self, now: float, facts: Facts) -> list[tuple[Stage, float]]:
+    def look(self, now: float, facts: StartupFacts) -> list[tuple[Stage, float]]:
         """The stages that end now, each with how long it took in ms."""
         passed = []
         while self.stage is not Stage.FULL:
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -24,11 +24,11 @@
     RESET_AFTER,
     Asking,
     Drains,
-    Facts,
     Floor,
     Return,
     Stage,
     StageLimits,
+    StartupFacts,
 )
 from lupinreach.fleet.wire import Drain, Message
 from lupinreach.model import ListedState, Listing, UpdateKind
@@ -426,7 +426,7 @@
             self._hold()
         ready = [e for e in self._raw.values() if e.state is ListedState.READY]
         cold = sum(e.boot_time > 0 and now < e.boot_time + self._cold for e in ready)
-        facts = Facts(
+        facts = StartupFacts(
             True,
             self._asked,
             len(ready),
--- a/lupinreach/trial/models/order.py
+++ b/lupinreach/trial/models/order.py
@@ -9,7 +9,7 @@
 from collections.abc import Hashable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from lupinreach.fleet.recovery import TABLE, Facts, Return, Stage, StageLimits
+from lupinreach.fleet.recovery import TABLE, Return, Stage, StageLimits, StartupFacts
 
 STAYS = StageLimits(read=1.0, ask=2.0, hold=3.0, cold=4.0)
 LONGEST = 6.0  # units of time in one stage that are told apart: past all of `STAYS`
@@ -19,7 +19,7 @@
 class State:
     stage: Stage
     stayed: float
-    facts: Facts
+    facts: StartupFacts
     wrong: str = ""
 
 
@@ -33,7 +33,7 @@
         self.fair = fair
 
     def first(self) -> Iterable[State]:
-        return [State(Stage.DARK, 0.0, Facts())]
+        return [State(Stage.DARK, 0.0, StartupFacts())]
 
     def moves(self, state: State) -> Iterator[tuple[str, State]]:
         yield "time", self._looked(state)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,11 +14,11 @@
     RESET_AFTER,
     Asking,
     Drains,
-    Facts,
     Floor,
     Return,
     Stage,
     StageLimits,
+    StartupFacts,
 )
 from lupinreach.fleet.wire import ASK, BEAT, TELL, Drain, Malformed, Member, Message
 from lupinreach.trial.models.lives import Lives
@@ -339,11 +339,11 @@
     one, now = Return(0.0, STAYS), 0.0
     while one.stage is not Stage.FULL:
         now += 0.5
-        one.look(now, Facts(listed=1))
+        one.look(now, StartupFacts(listed=1))
     assert now <= 1 + 2 + 3 + 4 + 2
     alone = Return(0.0, STAYS)
     for now in range(1, 100):
-        alone.look(float(now), Facts())
+        alone.look(float(now), StartupFacts())
     assert (
         alone.stage is Stage.LISTENING and alone.ready
     )  # no list, no service: it says so API call by API call
