--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -242,7 +242,7 @@
 )
 
 
-class Return:
+class StartupSequence:
     """Where an agent is on its way back; goes forward alone, several steps at one look if it can."""
 
     def __init__(self, now: float, stays: StageLimits) -> None:
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -25,10 +25,10 @@
     Asking,
     Drains,
     Floor,
-    Return,
     Stage,
     StageLimits,
     StartupFacts,
+    StartupSequence,
 )
 from lupinreach.fleet.wire import Drain, Message
 from lupinreach.model import ListedState, Listing, UpdateKind
@@ -79,7 +79,7 @@
         self.members = Members(self._me, settings.agents, config.beat, self._chance)
         self.floor = Floor(_whole(kept.get("floor")), settings.rules.ask_within)
         self.drains = Drains(_drains(kept))
-        self.returned = Return(
+        self.returned = StartupSequence(
             now,
             StageLimits(
                 READ,
--- a/lupinreach/trial/models/order.py
+++ b/lupinreach/trial/models/order.py
@@ -9,7 +9,7 @@
 from collections.abc import Hashable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from lupinreach.fleet.recovery import TABLE, Return, Stage, StageLimits, StartupFacts
+from lupinreach.fleet.recovery import TABLE, Stage, StageLimits, StartupFacts, StartupSequence
 
 STAYS = StageLimits(read=1.0, ask=2.0, hold=3.0, cold=4.0)
 LONGEST = 6.0  # units of time in one stage that are told apart: past all of `STAYS`
@@ -27,7 +27,9 @@
     """The model, with the `Return` that it is played on."""
 
     def __init__(
-        self, of: type[Return] = Return, fair: frozenset[str] = frozenset({"time", "listed"})
+        self,
+        of: type[StartupSequence] = StartupSequence,
+        fair: frozenset[str] = frozenset({"time", "listed"}),
     ) -> None:
         self._of = of
         self.fair = fair
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,10 +15,10 @@
     Asking,
     Drains,
     Floor,
-    Return,
     Stage,
     StageLimits,
     StartupFacts,
+    StartupSequence,
 )
 from lupinreach.fleet.wire import ASK, BEAT, TELL, Drain, Malformed, Member, Message
 from lupinreach.trial.models.lives import Lives
@@ -315,7 +315,7 @@
     without = search(Order(fair=frozenset({"time"})))  # no list for ever: it listens for ever
     assert without.story[-1] == "never done" and "time" in without.cycle
 
-    class Waits(Return):
+    class Waits(StartupSequence):
         """The planted mistake: no longest stay."""
 
         def __init__(self, now, stays):
@@ -323,7 +323,7 @@
 
     assert search(Order(Waits)).story[-1] == "stays in standing too long"
 
-    class Forgets(Return):
+    class Forgets(StartupSequence):
         """And one that goes back to trying when it is asked again."""
 
         def look(self, now, facts):
@@ -336,12 +336,12 @@
 
 
 def test_with_a_list_a_return_ends_in_the_sum_of_its_longest_stays_whatever_else_happens():
-    one, now = Return(0.0, STAYS), 0.0
+    one, now = StartupSequence(0.0, STAYS), 0.0
     while one.stage is not Stage.FULL:
         now += 0.5
         one.look(now, StartupFacts(listed=1))
     assert now <= 1 + 2 + 3 + 4 + 2
-    alone = Return(0.0, STAYS)
+    alone = StartupSequence(0.0, STAYS)
     for now in range(1, 100):
         alone.look(float(now), StartupFacts())
     assert (
