--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -219,7 +219,7 @@
     none: float = inf
 
 
-TABLE = (
+STAGE_TABLE = (
     Step(Stage.DARK, False, lambda f: f.read, "read", "errored at once"),
     Step(
         Stage.STANDING, False, lambda f: f.asked, "ask", "by the list of before, if any; else errored at once"
@@ -252,13 +252,13 @@
 
     @property
     def ready(self) -> bool:
-        return self.stage is Stage.FULL or TABLE[self.stage].ready
+        return self.stage is Stage.FULL or STAGE_TABLE[self.stage].ready
 
     def look(self, now: float, facts: StartupFacts) -> list[tuple[Stage, float]]:
         """The stages that end now, each with how long it took in ms."""
         passed = []
         while self.stage is not Stage.FULL:
-            step = TABLE[self.stage]
+            step = STAGE_TABLE[self.stage]
             if not (step.ends(facts) or now - self._since >= getattr(self._stays, step.longest)):
                 break
             passed.append((self.stage, now - self._since))
--- a/lupinreach/trial/models/order.py
+++ b/lupinreach/trial/models/order.py
@@ -9,7 +9,7 @@
 from collections.abc import Hashable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from lupinreach.fleet.recovery import TABLE, Stage, StageLimits, StartupFacts, StartupSequence
+from lupinreach.fleet.recovery import STAGE_TABLE, Stage, StageLimits, StartupFacts, StartupSequence
 
 STAYS = StageLimits(read=1.0, ask=2.0, hold=3.0, cold=4.0)
 LONGEST = 6.0  # units of time in one stage that are told apart: past all of `STAYS`
@@ -61,7 +61,7 @@
         elif one.ready != (one.stage >= Stage.LISTENING):
             wrong = "says ready, or not, at the wrong stage"
         elif one.stage is state.stage is not Stage.FULL and state.stayed + 1 >= getattr(
-            STAYS, TABLE[one.stage].longest
+            STAYS, STAGE_TABLE[one.stage].longest
         ):
             wrong = f"stays in {one.stage.name.lower()} too long"
         return State(
