--- a/lupinreach/fleet/membership.py
+++ b/lupinreach/fleet/membership.py
@@ -33,7 +33,7 @@
     GONE = "gone"
 
 
-class Selfhood(Enum):
+class SelfStatus(Enum):
     """What an agent holds of itself."""
 
     SOUND = "sound"
@@ -84,18 +84,18 @@
         self._looked = now
         self.beat += 1
 
-    def own(self, now: float) -> Selfhood:
+    def own(self, now: float) -> SelfStatus:
         if now < self._late_until:
-            return Selfhood.LATE
+            return SelfStatus.LATE
         if self._agents > 1 and self._rows and now - self._any_heard > self.silence:
-            return Selfhood.DEAF
-        return Selfhood.SOUND
+            return SelfStatus.DEAF
+        return SelfStatus.SOUND
 
     def heard(
         self, now: float, sender: int, life: Incarnation, beat: int, members: tuple[wire.Member, ...]
     ) -> None:
         """A beat has come: what it says of its sender, and of others."""
-        if self.own(now) is Selfhood.DEAF:
+        if self.own(now) is SelfStatus.DEAF:
             for row in self._rows.values():
                 row.heard += now - self._any_heard  # what it didn't hear meanwhile is no one's silence
         self._any_heard = now
@@ -121,7 +121,7 @@
         row = self._rows.get(agent)
         if row is None:
             return None
-        if self.own(now) is not Selfhood.SOUND:
+        if self.own(now) is not SelfStatus.SOUND:
             return Standing.THERE  # it has no ground to say otherwise
         silent = now - row.heard
         return (
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -18,7 +18,7 @@
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation, OwnIncarnation
-from lupinreach.fleet.membership import NOBODY, Members, Selfhood
+from lupinreach.fleet.membership import NOBODY, Members, SelfStatus
 from lupinreach.fleet.recovery import (
     ASKED,
     RESET_AFTER,
@@ -327,7 +327,7 @@
             standing=self._asking.standing(),
             held=len(self._held),
         )
-        said = Selfhood.SOUND, False
+        said = SelfStatus.SOUND, False
         while True:
             await asyncio.sleep(self._config.beat * (1 + JITTER * (self._chance() - 0.5)) / 1000)
             now = clock.now()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import MOST_JUMP, Incarnation, OwnIncarnation, believed
-from lupinreach.fleet.membership import NOBODY, SILENT, Members, Selfhood, Standing
+from lupinreach.fleet.membership import NOBODY, SILENT, Members, SelfStatus, Standing
 from lupinreach.fleet.recovery import (
     LONE,
     MOST_DRAINS,
@@ -201,10 +201,10 @@
     )
     net.beats(79)
     deaf = net.tables[4]
-    assert deaf.own(net.now) is Selfhood.DEAF and deaf.count(net.now) == 12
+    assert deaf.own(net.now) is SelfStatus.DEAF and deaf.count(net.now) == 12
     assert set(net.views(7)) <= {Standing.GONE, Standing.THERE} and net.views(4).count(Standing.THERE) >= 10
     net.beats(2)  # both are back
-    assert net.tables[7].own(net.now) is Selfhood.LATE
+    assert net.tables[7].own(net.now) is SelfStatus.LATE
     assert net.tables[7].count(net.now) == 12 and deaf.count(net.now) == 12
     net.beats(20)
     assert all(t.count(net.now) == 12 for t in net.tables)
