--- a/lupinreach/fleet/membership.py
+++ b/lupinreach/fleet/membership.py
@@ -27,7 +27,7 @@
 LATE = 2.0  # beats between two looks, from which on this agent was late itself
 
 
-class Standing(Enum):
+class MemberStatus(Enum):
     THERE = "there"
     SUSPECTED = "suspected"
     GONE = "gone"
@@ -116,31 +116,31 @@
         row = self._rows.get(agent)
         return (row.life, row.beat) if row else NOBODY
 
-    def standing(self, now: float, agent: int) -> Standing | None:
+    def standing(self, now: float, agent: int) -> MemberStatus | None:
         """None: never heard of."""
         row = self._rows.get(agent)
         if row is None:
             return None
         if self.own(now) is not SelfStatus.SOUND:
-            return Standing.THERE  # it has no ground to say otherwise
+            return MemberStatus.THERE  # it has no ground to say otherwise
         silent = now - row.heard
         return (
-            Standing.THERE
+            MemberStatus.THERE
             if silent <= self.silence
-            else Standing.SUSPECTED
+            else MemberStatus.SUSPECTED
             if silent <= 2 * self.silence
-            else Standing.GONE
+            else MemberStatus.GONE
         )
 
-    def all(self, now: float) -> list[tuple[int, Incarnation, Standing]]:
+    def all(self, now: float) -> list[tuple[int, Incarnation, MemberStatus]]:
         """Every agent that was heard of, by number."""
         return [
-            (a, row.life, self.standing(now, a) or Standing.GONE) for a, row in sorted(self._rows.items())
+            (a, row.life, self.standing(now, a) or MemberStatus.GONE) for a, row in sorted(self._rows.items())
         ]
 
     def count(self, now: float) -> int:
         """How many stand, this one among them."""
-        return 1 + sum(self.standing(now, a) is Standing.THERE for a in self._rows)
+        return 1 + sum(self.standing(now, a) is MemberStatus.THERE for a in self._rows)
 
     def digest(self, now: float) -> tuple[wire.Member, ...]:
         """The rows for one datagram, those told least often first; they count as told."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import MOST_JUMP, Incarnation, OwnIncarnation, believed
-from lupinreach.fleet.membership import NOBODY, SILENT, Members, SelfStatus, Standing
+from lupinreach.fleet.membership import NOBODY, SILENT, Members, MemberStatus, SelfStatus
 from lupinreach.fleet.recovery import (
     LONE,
     MOST_DRAINS,
@@ -189,7 +189,7 @@
     assert net.sent <= 2 * agents * warm  # two a beat each, whatever the fleet
     net.up.discard(1)
     net.beats(int(2 * silence / BEAT_MS) + 2)
-    assert set(net.views(1)) == {Standing.GONE}
+    assert set(net.views(1)) == {MemberStatus.GONE}
     assert all(t.count(net.now) == agents - 1 for n, t in enumerate(net.tables) if n != 1)
 
 
@@ -202,7 +202,10 @@
     net.beats(79)
     deaf = net.tables[4]
     assert deaf.own(net.now) is SelfStatus.DEAF and deaf.count(net.now) == 12
-    assert set(net.views(7)) <= {Standing.GONE, Standing.THERE} and net.views(4).count(Standing.THERE) >= 10
+    assert (
+        set(net.views(7)) <= {MemberStatus.GONE, MemberStatus.THERE}
+        and net.views(4).count(MemberStatus.THERE) >= 10
+    )
     net.beats(2)  # both are back
     assert net.tables[7].own(net.now) is SelfStatus.LATE
     assert net.tables[7].count(net.now) == 12 and deaf.count(net.now) == 12
