--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -23,7 +23,7 @@
 from lupinreach.bed.world.chance import stream
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
-from lupinreach.fleet.membership import FAN, Members
+from lupinreach.fleet.membership import FANOUT, Members
 from lupinreach.fleet.uptimes import Uptime, Uptimes
 from lupinreach.ops.fleet_agent import FleetAgent
 from lupinreach.store import records
@@ -107,7 +107,7 @@
     known: list[float] = []
     for step in range(1, 400):
         now = step * SHARE
-        words = [(one.digest(now, room), n) for n, one in enumerate(each) for _ in range(FAN)]
+        words = [(one.digest(now, room), n) for n, one in enumerate(each) for _ in range(FANOUT)]
         for word, _ in words:
             to = int(chance() * agents)
             each[to].heard(now, word)
--- a/lupinreach/fleet/membership.py
+++ b/lupinreach/fleet/membership.py
@@ -20,7 +20,7 @@
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
 
-FAN = 2  # peers that each beat goes to
+FANOUT = 2  # peers that each beat goes to
 AGE = 100.0  # ms in a step of an age
 SILENT = 16.0  # beats without a newer one: in 12 to 100 agents, nothing lost, the oldest of 400,000 was 10.5
 NOBODY = Incarnation(0, 0), 0
@@ -67,7 +67,7 @@
     @property
     def silence(self) -> float:
         """Ms without a newer beat from which on an agent is suspected."""
-        return SILENT * self._every * max(1.0, self._agents / (FAN * wire.MEMBERS))
+        return SILENT * self._every * max(1.0, self._agents / (FANOUT * wire.MEMBERS))
 
     def look(self, now: float) -> None:
         """Once a beat."""
@@ -155,7 +155,7 @@
     def targets(self) -> list[int]:
         """Whom the next beat goes to: any of the fleet's agents, known or not, so that parts find each other again."""
         found: list[int] = []
-        while len(found) < min(FAN, self._agents - 1):
+        while len(found) < min(FANOUT, self._agents - 1):
             other = min(self._agents - 1, int(self._chance() * self._agents))
             if other != self.me and other not in found:
                 found.append(other)
