--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lupinreach.net.agent import Agent
-from lupinreach.ops.carry import Carry
+from lupinreach.ops.snapshot import Carry
 from lupinreach.store.files import Disk
 from lupinreach.store.store import Store
 
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -13,7 +13,7 @@
 
 from lupinreach.config import BadConfig
 from lupinreach.model import BackendSnapshot, Listing, PolicySnapshot, UpdateKind
-from lupinreach.ops.carry import MOST_BACKENDS, Carry, Unfit, judged, plain
+from lupinreach.ops.snapshot import MOST_BACKENDS, Carry, Unfit, judged, plain
 from lupinreach.store import records
 from lupinreach.store.store import Store
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -13,7 +13,7 @@
 from lupinreach.bed.ways.disk import CARRIED, Folder, MemoryDisk
 from lupinreach.bed.world.chance import stream
 from lupinreach.model import BackendSnapshot, PolicySnapshot
-from lupinreach.ops.carry import Carry, judged
+from lupinreach.ops.snapshot import Carry, judged
 from lupinreach.store import records
 from lupinreach.store.files import Disk, replace
 from lupinreach.store.store import Store
