--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from lupinreach.net.agent import Agent
-from lupinreach.ops.snapshot import Carry
+from lupinreach.ops.snapshot import SnapshotStore
 from lupinreach.store.files import Disk
 from lupinreach.store.store import Store
 
 
-def restore_state(agent: Agent, disk: Disk | None = None, token: int | None = None) -> Carry | None:
+def restore_state(agent: Agent, disk: Disk | None = None, token: int | None = None) -> SnapshotStore | None:
     """Begin with what the process before has left, before the agent starts; None where nothing is configured.
 
     What is returned leaves it to the next.
@@ -20,7 +20,7 @@
         return None
     store = Store(config.store, config.name, disk, lambda why: agent.log.event("store failed", why=why))
     found = store.open()
-    carry = Carry(agent, store, config.carry_age)
+    carry = SnapshotStore(agent, store, config.carry_age)
     carry.take(found)
     agent.tasks.spawn("carry", carry.leave_on())
     ran = None
--- a/lupinreach/ops/snapshot.py
+++ b/lupinreach/ops/snapshot.py
@@ -77,7 +77,7 @@
     return float(value)
 
 
-class Carry:
+class SnapshotStore:
     """What is handed on, as one process does it."""
 
     def __init__(self, agent: Agent, store: Store, most_age: float | None) -> None:
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -13,7 +13,7 @@
 
 from lupinreach.config import BadConfig
 from lupinreach.model import BackendSnapshot, Listing, PolicySnapshot, UpdateKind
-from lupinreach.ops.snapshot import MOST_BACKENDS, Carry, Unfit, judged, plain
+from lupinreach.ops.snapshot import MOST_BACKENDS, SnapshotStore, Unfit, judged, plain
 from lupinreach.store import records
 from lupinreach.store.store import Store
 
@@ -162,9 +162,9 @@
 
     async def work():
         async with Site() as blind, Site(target("s-1", "127.0.0.1:9")) as sees:
-            await Carry(blind.agent, Store(str(path), "n"), 1e4).leave()
+            await SnapshotStore(blind.agent, Store(str(path), "n"), 1e4).leave()
             assert path.read_bytes() == b"left by another"
-            await Carry(sees.agent, Store(str(path), "n"), 1e4).leave()
+            await SnapshotStore(sees.agent, Store(str(path), "n"), 1e4).leave()
 
     run(work())
     assert len(carried(path)[1].backends) == 1
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -13,7 +13,7 @@
 from lupinreach.bed.ways.disk import CARRIED, Folder, MemoryDisk
 from lupinreach.bed.world.chance import stream
 from lupinreach.model import BackendSnapshot, PolicySnapshot
-from lupinreach.ops.snapshot import Carry, judged
+from lupinreach.ops.snapshot import SnapshotStore, judged
 from lupinreach.store import records
 from lupinreach.store.files import Disk, replace
 from lupinreach.store.store import Store
@@ -155,7 +155,7 @@
         counters = SimpleNamespace(others=Counter())
 
     async def main():
-        carry = Carry(Agent(), Store(str(tmp_path / CARRIED), "a", Hangs()), 1e4)
+        carry = SnapshotStore(Agent(), Store(str(tmp_path / CARRIED), "a", Hangs()), 1e4)
         leaves, ticks = asyncio.create_task(carry.leave()), [time.monotonic()]
         while not leaves.done():
             await asyncio.sleep(0.005)
