--- a/lupinreach/ops/snapshot.py
+++ b/lupinreach/ops/snapshot.py
@@ -42,7 +42,7 @@
     }
 
 
-def judged(raw: Any) -> tuple[float, PolicySnapshot]:
+def parse_snapshot(raw: Any) -> tuple[float, PolicySnapshot]:
     """When the value was put, and what it holds: read whole before any of it counts."""
     try:
         if raw["form"] != FORM:
@@ -108,7 +108,7 @@
         raw = trust.believed(found.state).get(LEARNT)
         if raw is None:
             raise Unfit(found.why or "nothing learnt")
-        at, learnt = judged(raw)
+        at, learnt = parse_snapshot(raw)
         age = self._agent.clock.now() - at
         most = self._most_age
         if most is not None and not 0 <= age <= most:
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -13,7 +13,7 @@
 
 from lupinreach.config import BadConfig
 from lupinreach.model import BackendSnapshot, Listing, PolicySnapshot, UpdateKind
-from lupinreach.ops.snapshot import MOST_BACKENDS, SnapshotStore, Unfit, judged, plain
+from lupinreach.ops.snapshot import MOST_BACKENDS, SnapshotStore, Unfit, parse_snapshot, plain
 from lupinreach.store import records
 from lupinreach.store.store import Store
 
@@ -111,11 +111,11 @@
 
 def again(learnt, at):
     """What was put, as the next process reads it."""
-    return judged(json.loads(json.dumps(plain(learnt, at))))
+    return parse_snapshot(json.loads(json.dumps(plain(learnt, at))))
 
 
 def carried(path, agent="n"):
-    return judged(records.read(path.read_bytes(), agent).state["learnt"])
+    return parse_snapshot(records.read(path.read_bytes(), agent).state["learnt"])
 
 
 def test_the_file_reads_back_and_is_bounded():
@@ -150,10 +150,10 @@
         {"backends": [row] * (MOST_BACKENDS + 1)},
     ):
         with pytest.raises(Unfit):
-            judged(good | change)
+            parse_snapshot(good | change)
     for other in ([], 3, None, good | {"slos": [float("nan")]}):
         with pytest.raises(Unfit):
-            judged(other)
+            parse_snapshot(other)
 
 
 def test_an_agent_that_saw_no_list_leaves_what_another_has_left(tmp_path):
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -13,7 +13,7 @@
 from lupinreach.bed.ways.disk import CARRIED, Folder, MemoryDisk
 from lupinreach.bed.world.chance import stream
 from lupinreach.model import BackendSnapshot, PolicySnapshot
-from lupinreach.ops.snapshot import SnapshotStore, judged
+from lupinreach.ops.snapshot import SnapshotStore, parse_snapshot
 from lupinreach.store import records
 from lupinreach.store.files import Disk, replace
 from lupinreach.store.store import Store
@@ -164,4 +164,7 @@
 
     longest, took = asyncio.run(main())
     assert took >= 0.4 and longest < 0.3
-    assert judged(records.read((tmp_path / CARRIED).read_bytes(), "a").state["learnt"]) == (1000.0, LEARNT)
+    assert parse_snapshot(records.read((tmp_path / CARRIED).read_bytes(), "a").state["learnt"]) == (
+        1000.0,
+        LEARNT,
+    )
