--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -25,7 +25,7 @@
     agent.tasks.spawn("carry", carry.leave_on())
     ran = None
     if config.ran:
-        from lupinreach.ops.ran import Ran  # nor one that has nothing to keep of this
+        from lupinreach.ops.request_journal import Ran  # nor one that has nothing to keep of this
 
         ran = Ran(agent, store, found)
         agent.tasks.spawn("ran", ran.run())
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -21,7 +21,7 @@
 from lupinreach.model import Idempotency
 from lupinreach.net.ids import Ids, Remembered
 from lupinreach.ops import fleet_agent
-from lupinreach.ops.ran import Ran
+from lupinreach.ops.request_journal import Ran
 from lupinreach.store import records
 from lupinreach.store.store import Store
 from lupinreach.trial import play, spec
