--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -25,9 +25,9 @@
     agent.tasks.spawn("carry", carry.leave_on())
     ran = None
     if config.ran:
-        from lupinreach.ops.request_journal import Ran  # nor one that has nothing to keep of this
+        from lupinreach.ops.request_journal import RequestJournal  # nor one that has nothing to keep of this
 
-        ran = Ran(agent, store, found)
+        ran = RequestJournal(agent, store, found)
         agent.tasks.spawn("ran", ran.run())
     if config.fleet is not None:
         from lupinreach.ops.fleet_agent import FleetAgent  # an agent that is alone doesn't load it
--- a/lupinreach/ops/request_journal.py
+++ b/lupinreach/ops/request_journal.py
@@ -26,7 +26,7 @@
 PREFIX = "ran/"
 
 
-class Ran:
+class RequestJournal:
     """One process's part. Its tables hold the ids of two longest client timeouts, and no more than the store's keys."""
 
     def __init__(self, agent: Agent, store: Store, found: Found) -> None:
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -21,7 +21,7 @@
 from lupinreach.model import Idempotency
 from lupinreach.net.ids import Ids, Remembered
 from lupinreach.ops import fleet_agent
-from lupinreach.ops.request_journal import Ran
+from lupinreach.ops.request_journal import RequestJournal
 from lupinreach.store import records
 from lupinreach.store.store import Store
 from lupinreach.trial import play, spec
@@ -177,7 +177,7 @@
         clock=SimpleNamespace(now=lambda: 0.0),
         tasks=SimpleNamespace(spawn=lambda _, work: asyncio.ensure_future(work)),
     )
-    return agent, Ran(agent, store, found or store.open())
+    return agent, RequestJournal(agent, store, found or store.open())
 
 
 def test_an_id_is_safe_before_it_counts_and_goes_after_two_turns():
