--- a/lupinreach/fleet/grants.py
+++ b/lupinreach/fleet/grants.py
@@ -14,7 +14,7 @@
     total x FLOOR  <=  what all agents together may use  <=  total
 
 where two processes of one agent count as one only as far as they know of each other: until the older one has heard of the newer and
-falls silent, each has its own, and the upper bound is (1 + twins / n) x total, `most()`.
+falls silent, each has its own, and the upper bound is (1 + twins / n) x total, `upper_bound()`.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 LEAST = 0.01  # of an own share: less isn't worth a word
 
 
-def most(total: float, agents: int, twins: int = 0) -> float:
+def upper_bound(total: float, agents: int, twins: int = 0) -> float:
     """The most that all agents together may use, with so many unknown second processes of agents."""
     return total * (1 + twins / agents)
 
 
-def least(total: float) -> float:
+def lower_bound(total: float) -> float:
     """What all have together at the least, whatever is lost."""
     return total * FLOOR
 
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -1,6 +1,6 @@
 """The bounds of what agents share, beside what they reach: at every look of every agent of a run in virtual time.
 
-Each figure is the most that was seen over the bound's own formula (`grants.most`, `evidence.harm`, `counts.most`, `warmth.earliest`), so that over 1 is
+Each figure is the most that was seen over the bound's own formula (`grants.upper_bound`, `evidence.harm`, `counts.most`, `warmth.earliest`), so that over 1 is
 past it.
 """
 
@@ -51,7 +51,7 @@
         if part.trials is not None:
             # By the longest list that any of them has: who hears of fewer backends has a smaller part.
             total = self.agents * max(p.trials.own for p in self.parts.values() if p.trials is not None)
-            most["trials"] = max(most["trials"], sum(uses) / grants.most(total, self.agents) / EXACT)
+            most["trials"] = max(most["trials"], sum(uses) / grants.upper_bound(total, self.agents) / EXACT)
             most["lent"] += part.trials.out[0]
         factors = [b.cost_factor for b, _ in part._agent.balancer.relative_latencies()]
         if factors:
--- a/lupinreach/trial/models/lending.py
+++ b/lupinreach/trial/models/lending.py
@@ -102,7 +102,7 @@
     def wrong(self) -> str | None:
         """What no history may lead to."""
         uses = [b.usable(self.now(n)) for n, b in enumerate(self.budgets)]
-        if sum(uses) > grants.most(TOTAL, AGENTS) + EXACT:
+        if sum(uses) > grants.upper_bound(TOTAL, AGENTS) + EXACT:
             return f"{sum(uses):.3f} of {TOTAL}"
         if min(uses) < FLOOR * TOTAL / AGENTS - EXACT:
             return f"{min(uses):.3f} under the floor"
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -192,8 +192,8 @@
                 all_of[to].granted(there, about, amount)
         uses = [b.usable(now * r) for b, r in zip(all_of, rates, strict=True)]
         assert (
-            sum(uses) <= grants.most(TOTAL, agents) + EXACT
-            and min(uses) >= grants.least(TOTAL) / agents - EXACT
+            sum(uses) <= grants.upper_bound(TOTAL, agents) + EXACT
+            and min(uses) >= grants.lower_bound(TOTAL) / agents - EXACT
         )
 
 
