--- a/benchmarks/shared_bounds.py
+++ b/benchmarks/shared_bounds.py
@@ -3,7 +3,7 @@
     python benchmarks/shared_bounds.py --agents 12 --seeds 20 [--seconds 20]
 
 One line of JSON a hard case: each figure is the most that was seen over the bound's formula (`grants.upper_bound`, `evidence.harm`,
-`counts.most`), so that over 1 is past it. Virtual time; demands for trials are made unlike, so that shares are lent.
+`counts.rate_bound`), so that over 1 is past it. Virtual time; demands for trials are made unlike, so that shares are lent.
 """
 
 from __future__ import annotations
--- a/lupinreach/fleet/counts.py
+++ b/lupinreach/fleet/counts.py
@@ -11,7 +11,7 @@
 Of an agent that is not heard its last rate is held for `HELD`, then fades within `FADES`: it may ask anything meanwhile, and what others assume
 of it is a guess that ends. So with asked_a(s, t) what agent a was asked from s to t, whatever is lost, late or doubled, and in any cut,
 
-    rate(t)  <=  most(...) = sum over a of the greatest asked_a(s, u) / (u - s) of two moments t - `REACHES` windows <= s < u <= t at which a counted
+    rate(t)  <=  rate_bound(...) = sum over a of the greatest asked_a(s, u) / (u - s) of two moments t - `REACHES` windows <= s < u <= t at which a counted
 
 which is what the checker holds it against: nobody is counted twice. It can be too low by as much as is not heard.
 """
@@ -40,7 +40,7 @@
     )
 
 
-def most(now: float, counted: Iterable[Sequence[tuple[float, int]]], window: float) -> float:
+def rate_bound(now: float, counted: Iterable[Sequence[tuple[float, int]]], window: float) -> float:
     """The most that any agent may take for the fleet's rate, a s: of each life, when (ms) it counted how much in all."""
     total = 0.0
     for life in counted:
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -1,6 +1,6 @@
 """The bounds of what agents share, beside what they reach: at every look of every agent of a run in virtual time.
 
-Each figure is the most that was seen over the bound's own formula (`grants.upper_bound`, `evidence.harm`, `counts.most`, `warmth.earliest`), so that over 1 is
+Each figure is the most that was seen over the bound's own formula (`grants.upper_bound`, `evidence.harm`, `counts.rate_bound`, `warmth.earliest`), so that over 1 is
 past it.
 """
 
@@ -75,7 +75,7 @@
             for cell, rate in enumerate(part.counts.rates(now)):
                 of = [points[-120:] for key, points in self.counted.items() if key[0] == cell]
                 # Each by its own clock, and all that is kept of it: longer than what the bound reaches.
-                bound = sum(counts.most(points[-1][0], [points], 1e9) for points in of)
+                bound = sum(counts.rate_bound(points[-1][0], [points], 1e9) for points in of)
                 if rate > 0:
                     most["counts"] = max(most["counts"], rate / (bound * DRIFTS) if bound else 2.0)
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -373,7 +373,7 @@
             agents[word[1]].heard(now, word[2])
         for agent in agents if step % 8 == 7 else ():
             for c, rate in enumerate(agent.rates(now)):
-                if rate > counting.most(now, [v for k, v in true.items() if k[0] == c], window) + EXACT:
+                if rate > counting.rate_bound(now, [v for k, v in true.items() if k[0] == c], window) + EXACT:
                     return True
     return False
 
