--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -23,7 +23,7 @@
 
 QUORUM = 3  # agents that must have met a backend for their word to count
 SHARE = 0.25  # of the ready backends that hearsay may make dearer
-MOST = 4.0  # x: the most that a turn becomes dearer by it
+MAX_COST_FACTOR = 4.0  # x: the most that a turn becomes dearer by it
 BAD = 2.0  # x the median of the agent's own figures: from there on a figure is news
 TELLERS = 6  # rows kept for a backend: the newest
 MOST_BACKENDS = 512  # with rows
@@ -34,7 +34,7 @@
 
 def max_diverted_share() -> float:
     """The largest part of an agent's turns that hearsay can move, whatever is said."""
-    return SHARE * (1 - 1 / MOST)
+    return SHARE * (1 - 1 / MAX_COST_FACTOR)
 
 
 @dataclass(frozen=True)
@@ -164,7 +164,7 @@
         raised = []
         for key, (figure, fade) in self.said(now, own).items():
             mine = own[key][0]
-            over = min(MOST, figure / mine) - 1 if mine > 0 else 0.0
+            over = min(MAX_COST_FACTOR, figure / mine) - 1 if mine > 0 else 0.0
             if over * fade > 0:
                 follow = 0.5 + 0.5 * (crc32(b"%d:%d:%d" % (self.me, *key)) * 2654435761 % 2**32 / 2**32)
                 raised.append((over * fade, key, 1 + follow * fade * over))
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 
 from lupinreach.fleet import counts, grants
-from lupinreach.fleet.observations import MOST, SHARE, max_diverted_share
+from lupinreach.fleet.observations import MAX_COST_FACTOR, SHARE, max_diverted_share
 from lupinreach.fleet.uptimes import earliest_up_since
 from lupinreach.ops.sharing import Sharing
 
@@ -59,7 +59,7 @@
             most["dearer"] = max(
                 most["dearer"],
                 moved / max_diverted_share() / EXACT,
-                max(factors) / MOST / EXACT,
+                max(factors) / MAX_COST_FACTOR / EXACT,
                 sum(f > 1 for f in factors) / len(factors) / SHARE / EXACT,
             )
         refused = {b.name: b.refused_at for b in part._agent.balancer.recently_started(now)}
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -18,7 +18,7 @@
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.observations import (
     HIGHEST,
-    MOST,
+    MAX_COST_FACTOR,
     QUORUM,
     SHARE,
     TELLERS,
@@ -245,7 +245,7 @@
     here.heard(10_000.0, said)
     own = {(b, 1): (0.3, 0.0) for b in range(1, ready + 1)}
     factors = here.factors(10_000.0, own)
-    assert len(factors) <= SHARE * ready and all(1 <= f <= MOST for f in factors.values())
+    assert len(factors) <= SHARE * ready and all(1 <= f <= MAX_COST_FACTOR for f in factors.values())
     assert sum(1 - 1 / f for f in factors.values()) / ready <= max_diverted_share() + EXACT
     assert here.refused == sum(not 0 <= r.figure <= HIGHEST or r.age < 0 for r in said)
 
@@ -264,7 +264,10 @@
         assert here.factors(9000.0, own | {(7, 1): (0.25, 9500.0)}) == {}  # own samples overrule
         assert here.factors(9000.0 + here.lasts / 2, own)[7, 1] < factors[-1]
         assert here.factors(9000.0 + here.lasts, own) == {}
-    assert 1 + (MOST - 1) / 2 <= min(factors) < max(factors) <= MOST and len(set(factors)) == 20
+    assert (
+        1 + (MAX_COST_FACTOR - 1) / 2 <= min(factors) < max(factors) <= MAX_COST_FACTOR
+        and len(set(factors)) == 20
+    )
 
 
 def test_a_third_of_liars_makes_nothing_dearer_where_the_others_have_met_it_too():
