--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -22,7 +22,7 @@
 from zlib import crc32
 
 QUORUM = 3  # agents that must have met a backend for their word to count
-SHARE = 0.25  # of the ready backends that hearsay may make dearer
+MAX_AFFECTED_SHARE = 0.25  # of the ready backends that hearsay may make dearer
 MAX_COST_FACTOR = 4.0  # x: the most that a turn becomes dearer by it
 BAD = 2.0  # x the median of the agent's own figures: from there on a figure is news
 TELLERS = 6  # rows kept for a backend: the newest
@@ -34,7 +34,7 @@
 
 def max_diverted_share() -> float:
     """The largest part of an agent's turns that hearsay can move, whatever is said."""
-    return SHARE * (1 - 1 / MAX_COST_FACTOR)
+    return MAX_AFFECTED_SHARE * (1 - 1 / MAX_COST_FACTOR)
 
 
 @dataclass(frozen=True)
@@ -169,7 +169,7 @@
                 follow = 0.5 + 0.5 * (crc32(b"%d:%d:%d" % (self.me, *key)) * 2654435761 % 2**32 / 2**32)
                 raised.append((over * fade, key, 1 + follow * fade * over))
         raised.sort(reverse=True)
-        return {key: factor for _, key, factor in raised[: int(SHARE * len(own))]}
+        return {key: factor for _, key, factor in raised[: int(MAX_AFFECTED_SHARE * len(own))]}
 
     def __len__(self) -> int:
         return sum(map(len, self._rows.values()))
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 
 from lupinreach.fleet import counts, grants
-from lupinreach.fleet.observations import MAX_COST_FACTOR, SHARE, max_diverted_share
+from lupinreach.fleet.observations import MAX_AFFECTED_SHARE, MAX_COST_FACTOR, max_diverted_share
 from lupinreach.fleet.uptimes import earliest_up_since
 from lupinreach.ops.sharing import Sharing
 
@@ -60,7 +60,7 @@
                 most["dearer"],
                 moved / max_diverted_share() / EXACT,
                 max(factors) / MAX_COST_FACTOR / EXACT,
-                sum(f > 1 for f in factors) / len(factors) / SHARE / EXACT,
+                sum(f > 1 for f in factors) / len(factors) / MAX_AFFECTED_SHARE / EXACT,
             )
         refused = {b.name: b.refused_at for b in part._agent.balancer.recently_started(now)}
         for name, since in part.warmth.since(part._began, refused).items():
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -18,9 +18,9 @@
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.observations import (
     HIGHEST,
+    MAX_AFFECTED_SHARE,
     MAX_COST_FACTOR,
     QUORUM,
-    SHARE,
     TELLERS,
     Observation,
     Observations,
@@ -245,7 +245,9 @@
     here.heard(10_000.0, said)
     own = {(b, 1): (0.3, 0.0) for b in range(1, ready + 1)}
     factors = here.factors(10_000.0, own)
-    assert len(factors) <= SHARE * ready and all(1 <= f <= MAX_COST_FACTOR for f in factors.values())
+    assert len(factors) <= MAX_AFFECTED_SHARE * ready and all(
+        1 <= f <= MAX_COST_FACTOR for f in factors.values()
+    )
     assert sum(1 - 1 / f for f in factors.values()) / ready <= max_diverted_share() + EXACT
     assert here.refused == sum(not 0 <= r.figure <= HIGHEST or r.age < 0 for r in said)
 
