--- a/benchmarks/shared_bounds.py
+++ b/benchmarks/shared_bounds.py
@@ -79,7 +79,7 @@
     """One run, and the most that was seen of each figure over its bound."""
 
     def wants(part: Sharing) -> float:
-        return 1e3 if part.evidence.me % 3 == 0 else 0.0
+        return 1e3 if part.observations.me % 3 == 0 else 0.0
 
     with bounds.watched(agents, wants) as watch:
         trial = spec.read(world(case, agents, seconds))
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -65,7 +65,7 @@
         self._send = send
         self._chance = chance
         slo = max(p.slo for p in settings.products) or settings.longest_wait / 2
-        self.evidence = Observations(settings.me, settings.zone, slo, chance)
+        self.observations = Observations(settings.me, settings.zone, slo, chance)
         self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, chance)
         self.warmth = Uptimes(settings.me, settings.rules.cold, chance)
         self._fractions = [c.fraction for c in settings.customers]
@@ -85,7 +85,7 @@
         now = self._agent.clock.now()
         if m.kind == wire.NEWS:
             self._heard_at = now
-            self.evidence.heard(now, m.mets)
+            self.observations.heard(now, m.mets)
             self.counts.heard(now, m.counts)
             self.warmth.heard(now, m.stood)
         elif self.trials is not None and m.budget == TRIALS:
@@ -124,25 +124,27 @@
         )
         met = balancer.relative_latencies()
         known = {(b.name, boot_mark(b.boot_time)): (b, figure) for b, figure in met}
-        self.evidence.own(
+        self.observations.own(
             now,
             [
-                Observation(self.evidence.me, self.evidence.zone, name, boot, figure, now - b.observed_at)
+                Observation(
+                    self.observations.me, self.observations.zone, name, boot, figure, now - b.observed_at
+                )
                 for (name, boot), (b, figure) in known.items()
                 if b.latency_ms[0] is not None
             ],
         )
-        self.evidence.look(now, known)
+        self.observations.look(now, known)
         self.counts.look(now, self._self()[0], now - self._began)
         self._budget(now, len(met))
         young = {b.name: b for b in balancer.recently_started(now)}
         self.warmth.own(now, {name: (b.up_since, b.observed_at) for name, b in young.items() if b.up_since})
         self.warmth.look(now, young)
         own = {key: (figure, b.observed_at) for key, (b, figure) in known.items()}
-        dearer = {name: factor for (name, _), factor in self.evidence.factors(now, own).items()}
+        dearer = {name: factor for (name, _), factor in self.observations.factors(now, own).items()}
         due = frozenset(
             name
-            for (name, boot), (figure, _) in self.evidence.said(now, own).items()
+            for (name, boot), (figure, _) in self.observations.said(now, own).items()
             if figure < WELL and any(known[name, boot][0].ejected_until)
         )
         balancer.apply_shared(
@@ -183,10 +185,10 @@
         met = self._agent.balancer.relative_latencies()
         return {
             "stage": self.stage.value,
-            "rows": len(self.evidence),
+            "rows": len(self.observations),
             "counts": len(self.counts),
             "stood": len(self.warmth),
-            "refused": self.evidence.refused + self.counts.refused + self.warmth.refused,
+            "refused": self.observations.refused + self.counts.refused + self.warmth.refused,
             "dearer": {str(b.name): round(b.cost_factor, 2) for b, _ in met if b.cost_factor > 1},
             "customers_per_s": [round(rate, 2) for rate in self.counts.rates(now)],
             "over": sorted(self._over(now) or ()),
@@ -223,6 +225,6 @@
         stood = self.warmth.digest(now, wire.NEWS_ROOM // 2 // wire.STOOD_ROW.size)
         room = wire.NEWS_ROOM - len(stood) * wire.STOOD_ROW.size
         counts = min(len(self.counts), room // 2 // wire.COUNT_ROW.size)
-        mets = self.evidence.digest(now, (room - counts * wire.COUNT_ROW.size) // wire.MET_ROW.size)
+        mets = self.observations.digest(now, (room - counts * wire.COUNT_ROW.size) // wire.MET_ROW.size)
         left = room - len(mets) * wire.MET_ROW.size
         return {"stood": stood, "mets": mets, "counts": self.counts.digest(now, left // wire.COUNT_ROW.size)}
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -44,7 +44,7 @@
         }
 
     def look(self, part: Sharing) -> None:
-        n, now = part.evidence.me, part._agent.clock.now()
+        n, now = part.observations.me, part._agent.clock.now()
         self.parts[n], most = part, self.most
         most["looks"] += 1
         uses = [p.trials.usable(p._agent.clock.now()) for p in self.parts.values() if p.trials is not None]
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -92,7 +92,7 @@
 
     def seen(self):
         look(self)
-        if (past := stages.setdefault(self.evidence.me, []))[-1:] != [self.stage.value]:
+        if (past := stages.setdefault(self.observations.me, []))[-1:] != [self.stage.value]:
             past.append(self.stage.value)
 
     monkeypatch.setattr(Sharing, "look", seen)
