--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -67,7 +67,7 @@
         slo = max(p.slo for p in settings.products) or settings.longest_wait / 2
         self.observations = Observations(settings.me, settings.zone, slo, chance)
         self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, chance)
-        self.warmth = Uptimes(settings.me, settings.rules.cold, chance)
+        self.uptimes = Uptimes(settings.me, settings.rules.cold, chance)
         self._fractions = [c.fraction for c in settings.customers]
         self._hold = EJECTION_SLOS * slo
         self._backends = 0
@@ -87,7 +87,7 @@
             self._heard_at = now
             self.observations.heard(now, m.mets)
             self.counts.heard(now, m.counts)
-            self.warmth.heard(now, m.stood)
+            self.uptimes.heard(now, m.stood)
         elif self.trials is not None and m.budget == TRIALS:
             own = self.trials.own
             if m.kind == wire.WANT:
@@ -138,8 +138,8 @@
         self.counts.look(now, self._self()[0], now - self._began)
         self._budget(now, len(met))
         young = {b.name: b for b in balancer.recently_started(now)}
-        self.warmth.own(now, {name: (b.up_since, b.observed_at) for name, b in young.items() if b.up_since})
-        self.warmth.look(now, young)
+        self.uptimes.own(now, {name: (b.up_since, b.observed_at) for name, b in young.items() if b.up_since})
+        self.uptimes.look(now, young)
         own = {key: (figure, b.observed_at) for key, (b, figure) in known.items()}
         dearer = {name: factor for (name, _), factor in self.observations.factors(now, own).items()}
         due = frozenset(
@@ -154,7 +154,7 @@
                 due,
                 self._over(now),
                 None if self.trials is None else self.trials.usable(now) / 1000,
-                self.warmth.since(self._began, {name: b.refused_at for name, b in young.items()}),
+                self.uptimes.since(self._began, {name: b.refused_at for name, b in young.items()}),
             ),
         )
 
@@ -187,8 +187,8 @@
             "stage": self.stage.value,
             "rows": len(self.observations),
             "counts": len(self.counts),
-            "stood": len(self.warmth),
-            "refused": self.observations.refused + self.counts.refused + self.warmth.refused,
+            "stood": len(self.uptimes),
+            "refused": self.observations.refused + self.counts.refused + self.uptimes.refused,
             "dearer": {str(b.name): round(b.cost_factor, 2) for b, _ in met if b.cost_factor > 1},
             "customers_per_s": [round(rate, 2) for rate in self.counts.rates(now)],
             "over": sorted(self._over(now) or ()),
@@ -222,7 +222,7 @@
 
     def _news(self, now: float) -> dict[str, object]:
         """As much as a datagram takes: half of it for who stands, where there is so much, half of the rest for each of the others."""
-        stood = self.warmth.digest(now, wire.NEWS_ROOM // 2 // wire.STOOD_ROW.size)
+        stood = self.uptimes.digest(now, wire.NEWS_ROOM // 2 // wire.STOOD_ROW.size)
         room = wire.NEWS_ROOM - len(stood) * wire.STOOD_ROW.size
         counts = min(len(self.counts), room // 2 // wire.COUNT_ROW.size)
         mets = self.observations.digest(now, (room - counts * wire.COUNT_ROW.size) // wire.MET_ROW.size)
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -63,7 +63,7 @@
                 sum(f > 1 for f in factors) / len(factors) / MAX_AFFECTED_SHARE / EXACT,
             )
         refused = {b.name: b.refused_at for b in part._agent.balancer.recently_started(now)}
-        for name, since in part.warmth.since(part._began, refused).items():
+        for name, since in part.uptimes.since(part._began, refused).items():
             most["stood"] = max(
                 most["stood"], 1.0 if since >= earliest_up_since(part._began, refused[name]) else 2.0
             )
