--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -111,7 +111,7 @@
         held = sum(any(b.ejected_until) for b, _ in self._agent.balancer.relative_latencies())
         return 1000 * held / self._hold
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Once between two words: take what is own, and hand the module what follows from all of it."""
         now, balancer = self._agent.clock.now(), self._agent.balancer
         silent = now - self._heard_at
@@ -202,7 +202,7 @@
         said = Silence.FRESH
         while True:
             await asyncio.sleep(self._config.share * (1 + JITTER * (self._chance() - 0.5)) / 1000)
-            self.look()
+            self.update()
             if self.stage is not said:
                 said = self.stage
                 self._agent.log.event("shared", stage=said.value)
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -83,14 +83,14 @@
 @contextmanager
 def watched(agents: int, wants: Callable[[Sharing], float] | None = None) -> Iterator[Watch]:
     """Every look of every agent that is played meanwhile, in this process; `wants`: trials a s in place of what they'd want."""
-    watch, plain_look, plain_wants = Watch(agents), Sharing.look, Sharing._wants
+    watch, plain_look, plain_wants = Watch(agents), Sharing.update, Sharing._wants
 
     def look(part: Sharing) -> None:
         plain_look(part)
         watch.look(part)
 
-    Sharing.look, Sharing._wants = look, wants or plain_wants  # type: ignore[method-assign]
+    Sharing.update, Sharing._wants = look, wants or plain_wants  # type: ignore[method-assign]
     try:
         yield watch
     finally:
-        Sharing.look, Sharing._wants = plain_look, plain_wants  # type: ignore[method-assign]
+        Sharing.update, Sharing._wants = plain_look, plain_wants  # type: ignore[method-assign]
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -181,7 +181,7 @@
     assert one((number, None, raw, number)).passed == ()
     monkeypatch.setattr("lupinreach.fleet.grants.Budget.usable", lambda self, now: 2 * self.own)
     assert one((number, None, raw, number)).passed == ("trials",)
-    assert Sharing.look.__name__ == "look"  # and the watch is gone
+    assert Sharing.update.__name__ == "update"  # and the watch is gone
 
 
 def test_a_bad_book_and_bad_words_end_with_2_and_nothing_played(tmp_path):
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -88,14 +88,14 @@
 
 
 def test_silence_comes_and_goes_in_stages(monkeypatch):
-    stages, look = {}, Sharing.look
+    stages, look = {}, Sharing.update
 
     def seen(self):
         look(self)
         if (past := stages.setdefault(self.observations.me, []))[-1:] != [self.stage.value]:
             past.append(self.stage.value)
 
-    monkeypatch.setattr(Sharing, "look", seen)
+    monkeypatch.setattr(Sharing, "update", seen)
     deaf = {"kind": "deaf-agents", "at": 1, "seconds": 7, "targets": [1]}
     trial = spec.read(SMALL | AGENTS | {"seconds": 12, "troubles": [deaf]})
     assert play.run(trial, 3).verdict == play.KEPT
