--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -254,7 +254,7 @@
     def ready(self) -> bool:
         return self.stage is Stage.FULL or STAGE_TABLE[self.stage].ready
 
-    def look(self, now: float, facts: StartupFacts) -> list[tuple[Stage, float]]:
+    def advance(self, now: float, facts: StartupFacts) -> list[tuple[Stage, float]]:
         """The stages that end now, each with how long it took in ms."""
         passed = []
         while self.stage is not Stage.FULL:
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -434,7 +434,7 @@
             self._agent.counters.answered["fulfilled"] > 0,
             2 * cold >= len(ready),
         )
-        for stage, took in self.returned.look(now, facts):
+        for stage, took in self.returned.advance(now, facts):
             self._agent.log.event(
                 "returned", stage=stage.name.lower(), took_ms=round(took), to=Stage(stage + 1).name.lower()
             )
--- a/lupinreach/trial/models/order.py
+++ b/lupinreach/trial/models/order.py
@@ -54,7 +54,7 @@
     def _looked(self, state: State) -> State:
         one = self._of(0.0, STAYS)
         one.stage, one._since = state.stage, -state.stayed
-        passed = one.look(1.0, state.facts)
+        passed = one.advance(1.0, state.facts)
         wrong = ""
         if [stage for stage, _ in passed] != list(Stage)[state.stage : one.stage]:
             wrong = "skips a stage, or goes back"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -329,8 +329,8 @@
     class Forgets(StartupSequence):
         """And one that goes back to trying when it is asked again."""
 
-        def look(self, now, facts):
-            passed = super().look(now, facts)
+        def advance(self, now, facts):
+            passed = super().advance(now, facts)
             if self.stage is Stage.RISING and not facts.registry:
                 self.stage = Stage.TRYING
             return passed
@@ -342,11 +342,11 @@
     one, now = StartupSequence(0.0, STAYS), 0.0
     while one.stage is not Stage.FULL:
         now += 0.5
-        one.look(now, StartupFacts(listed=1))
+        one.advance(now, StartupFacts(listed=1))
     assert now <= 1 + 2 + 3 + 4 + 2
     alone = StartupSequence(0.0, STAYS)
     for now in range(1, 100):
-        alone.look(float(now), StartupFacts())
+        alone.advance(float(now), StartupFacts())
     assert (
         alone.stage is Stage.LISTENING and alone.ready
     )  # no list, no service: it says so API call by API call
