--- a/lupinreach/fleet/incarnation.py
+++ b/lupinreach/fleet/incarnation.py
@@ -22,7 +22,7 @@
     token: int
 
 
-def believed(kept: int, claims: Sequence[int]) -> int:
+def credible_number(kept: int, claims: Sequence[int]) -> int:
     """The highest number that counts: what the disk holds, or peers claim. An absurd claim waits for a second.
 
     Guards against one peer that is wrong, or lies, and would use all numbers up.
@@ -36,7 +36,7 @@
 
     def __init__(self, kept: int, token: int, kept_beat: int = 0) -> None:
         """`kept` and `kept_beat` are the life that the disk knows of, and a beat that this life hadn't told before."""
-        self.life = Incarnation(believed(kept, ()) + 1, token)
+        self.life = Incarnation(credible_number(kept, ()) + 1, token)
         self.settled = False  # the time to ask is over: from here on a higher life is another process
         self.superseded = False
         self._claims: dict[int, int] = {}  # by peer; no more than there are peers
@@ -59,7 +59,7 @@
             self.superseded = self.superseded or other.number <= self.life.number + MOST_JUMP
             return False
         self._claims[peer] = max(other.number, self._claims.get(peer, 0))
-        number = believed(self._kept[0], list(self._claims.values())) + 1
+        number = credible_number(self._kept[0], list(self._claims.values())) + 1
         raised = number > self.life.number
         if raised:
             self.life = Incarnation(number, self.life.token)
--- a/lupinreach/trial/models/lives.py
+++ b/lupinreach/trial/models/lives.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable, Iterable, Iterator
 from dataclasses import dataclass, replace
 
-from lupinreach.fleet.incarnation import Incarnation, OwnIncarnation, believed
+from lupinreach.fleet.incarnation import Incarnation, OwnIncarnation, credible_number
 
 MOST_STARTED, MOST_DISKS = 2, 3
 Running = tuple[int, int, int, bool, bool]  # life number, token, which process, settled, superseded
@@ -55,7 +55,7 @@
             yield "kill", replace(s, running=s.running[:-1])
 
     def _started(self, s: State, kept: int) -> State:
-        fresh = believed(kept, ()) + 1, self._token(s.started), s.started, False, False
+        fresh = credible_number(kept, ()) + 1, self._token(s.started), s.started, False, False
         return replace(s, running=(*s.running, fresh), started=s.started + 1)
 
     def _told(self, s: State, to: int) -> State:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as some
 
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import MOST_JUMP, Incarnation, OwnIncarnation, believed
+from lupinreach.fleet.incarnation import MOST_JUMP, Incarnation, OwnIncarnation, credible_number
 from lupinreach.fleet.membership import NOBODY, SILENT, Members, MemberStatus, SelfStatus
 from lupinreach.fleet.recovery import (
     LONE,
@@ -55,7 +55,7 @@
     ],
 )
 def test_a_life_s_number_follows_disk_and_peers_and_no_absurd_claim_of_one(kept, claims, number):
-    assert believed(kept, claims) == number
+    assert credible_number(kept, claims) == number
 
 
 def test_no_two_lives_are_alike_in_any_short_history_and_without_tokens_some_are():
