--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -63,7 +63,7 @@
     await stop.wait()
     succeeded = succession is not None and succession.other() is not None
     if carry is not None and not succeeded:
-        await carry.leave()  # with a successor the file is that one's
+        await carry.save()  # with a successor the file is that one's
     await agent.stop(succeeded)
     if door is not None:
         door.close()
--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -21,8 +21,8 @@
     store = Store(config.store, config.name, disk, lambda why: agent.log.event("store failed", why=why))
     found = store.open()
     carry = SnapshotStore(agent, store, config.carry_age)
-    carry.take(found)
-    agent.tasks.spawn("carry", carry.leave_on())
+    carry.restore(found)
+    agent.tasks.spawn("carry", carry.save_periodically())
     ran = None
     if config.ran:
         from lupinreach.ops.request_journal import RequestJournal  # nor one that has nothing to keep of this
--- a/lupinreach/ops/snapshot.py
+++ b/lupinreach/ops/snapshot.py
@@ -89,7 +89,7 @@
         self._store = store
         self._most_age = most_age
 
-    def take(self, found: Found) -> None:
+    def restore(self, found: Found) -> None:
         """Begin with what the process before has left, if it still means the same."""
         log = self._agent.log
         if found.lost:
@@ -115,7 +115,7 @@
             raise Unfit(f"{age / 1000:.0f} s old")
         return learnt, age
 
-    async def leave(self) -> None:
+    async def save(self) -> None:
         """Put it for the process that comes next; the event loop serves on while the disk syncs."""
         learnt = self._agent.balancer.snapshot()
         # Guards against a process that never saw a list and would wipe out what another has left.
@@ -124,7 +124,7 @@
         if not await self._store.flush():
             self._agent.counters.others["store: not written"] += 1
 
-    async def leave_on(self) -> None:
+    async def save_periodically(self) -> None:
         while True:
             await asyncio.sleep(EVERY)
-            await self.leave()
+            await self.save()
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -162,9 +162,9 @@
 
     async def work():
         async with Site() as blind, Site(target("s-1", "127.0.0.1:9")) as sees:
-            await SnapshotStore(blind.agent, Store(str(path), "n"), 1e4).leave()
+            await SnapshotStore(blind.agent, Store(str(path), "n"), 1e4).save()
             assert path.read_bytes() == b"left by another"
-            await SnapshotStore(sees.agent, Store(str(path), "n"), 1e4).leave()
+            await SnapshotStore(sees.agent, Store(str(path), "n"), 1e4).save()
 
     run(work())
     assert len(carried(path)[1].backends) == 1
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -156,7 +156,7 @@
 
     async def main():
         carry = SnapshotStore(Agent(), Store(str(tmp_path / CARRIED), "a", Hangs()), 1e4)
-        leaves, ticks = asyncio.create_task(carry.leave()), [time.monotonic()]
+        leaves, ticks = asyncio.create_task(carry.save()), [time.monotonic()]
         while not leaves.done():
             await asyncio.sleep(0.005)
             ticks.append(time.monotonic())
