--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -72,7 +72,7 @@
         self._seed = agent.config.seed
         self._drawn = 0
         now = agent.clock.now()
-        kept = trust.believed(found.state)
+        kept = trust.restorable(found.state)
         self._token = token if token is not None else int.from_bytes(os.urandom(4), "big")
         life = _whole(kept.get("life"))
         self.own = OwnIncarnation(life, self._token, _beat(kept.get("beat"), life))
--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -16,7 +16,7 @@
 from lupinreach.net.channel import Channel
 from lupinreach.net.ends import End, Ended
 from lupinreach.net.sockets import Sockets
-from lupinreach.ops import figures
+from lupinreach.ops import metrics
 
 MOST_HELD = (
     16  # connections at once, of the agent's descriptors; with all held, the one held longest makes room
@@ -165,7 +165,7 @@
     def _vars(self) -> Said:
         agent = self._agent
         products = [product.name for product in agent.config.settings.products]
-        found = figures.report(
+        found = metrics.report(
             products, agent.counters, agent.directory.listed, agent.balancer.avoided_count(agent.clock.now())
         )
         return Said(200, figures=found if agent.tells is None else found | {"fleet": agent.tells()})
--- a/lupinreach/ops/request_journal.py
+++ b/lupinreach/ops/request_journal.py
@@ -32,7 +32,7 @@
     def __init__(self, agent: Agent, store: Store, found: Found) -> None:
         self._agent = agent
         self._store = store
-        kept = [key for key in trust.believed(found.state) if key.startswith(PREFIX)]
+        kept = [key for key in trust.restorable(found.state) if key.startswith(PREFIX)]
         agent.serving.ids.recall(key.removeprefix(PREFIX).encode("latin-1") for key in kept)
         self._fresh: list[str] = kept  # keys put since the last turn
         self._older: list[str] = []  # and before it
--- a/lupinreach/ops/snapshot.py
+++ b/lupinreach/ops/snapshot.py
@@ -105,7 +105,7 @@
         log.event("carried", backends=len(learnt.backends), age_ms=round(age))
 
     def _read(self, found: Found) -> tuple[PolicySnapshot, float]:
-        raw = trust.believed(found.state).get(LEARNT)
+        raw = trust.restorable(found.state).get(LEARNT)
         if raw is None:
             raise Unfit(found.why or "nothing learnt")
         at, learnt = parse_snapshot(raw)
--- a/lupinreach/store/trust.py
+++ b/lupinreach/store/trust.py
@@ -82,7 +82,7 @@
     return ITEMS.get(key.partition("/")[0])
 
 
-def believed(state: Mapping[str, Any]) -> dict[str, Any]:
+def restorable(state: Mapping[str, Any]) -> dict[str, Any]:
     """What a new life goes on with; what it doesn't know is another version's, and not its to use."""
     return {k: v for k, v in state.items() if (row := item(k)) is not None and row.trust is not Trust.NEVER}
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -11,7 +11,7 @@
 from lupinreach.net.agent import Agent
 from lupinreach.net.counters import Counters, Outcome
 from lupinreach.net.standing import SETTLES, Standing, State
-from lupinreach.ops import figures
+from lupinreach.ops import metrics
 from lupinreach.ops.operator_endpoint import MOST_HELD, OperatorEndpoint
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
@@ -217,7 +217,7 @@
     counters.told("fulfilled", "a")
     counters.told("left", "a")
     counters.told("no room", None)
-    said = figures.report(["a", "b"], counters, 2, 3)
+    said = metrics.report(["a", "b"], counters, 2, 3)
     assert said == {
         "success": {"a": 1, "b": 0},
         "overload": {"a": 0, "b": 0},
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,7 +14,7 @@
 from lupinreach.store import records, trust
 from lupinreach.store.records import HEAD, record, whole
 from lupinreach.store.store import Store
-from lupinreach.store.trust import ITEMS, Trust, believed
+from lupinreach.store.trust import ITEMS, Trust, restorable
 
 PUTS = [("life", 3), ("drain/b-1", [5, 1000]), ("life", 4), ("drain/b-1", None), ("floor", 77)]
 
@@ -183,7 +183,7 @@
 
 def test_each_item_of_a_former_life_is_believed_as_the_table_says():
     state = {name: 1 for name in ITEMS} | {"drain/b-1": 2, "of a later version": 3}
-    kept = {key.partition("/")[0] for key in believed(state)}
+    kept = {key.partition("/")[0] for key in restorable(state)}
     assert kept == {name for name, item in ITEMS.items() if item.trust is not Trust.NEVER}
     assert Counter(item.trust for item in ITEMS.values())[Trust.NEVER] >= 4
     assert trust.merged({"of a later version": 3, "life": "x"}, {"life": 2}) == {
