--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -75,7 +75,10 @@
         "bytes_s": round(sum(o["datagram bytes sent"] for o in others) / each),
         "synced_bytes_s": round(sum(part._store.written for part in parts) / each),
         "known_at_the_end": round(
-            sum(len(part.members.all(part._agent.clock.now())) + 1 for part in parts) / len(parts) / agents, 3
+            sum(len(part.members.statuses(part._agent.clock.now())) + 1 for part in parts)
+            / len(parts)
+            / agents,
+            3,
         ),
         "rules": played.verdict,
         "cpu_s_of_the_run": round(took, 1),
@@ -89,8 +92,8 @@
     before = tracemalloc.get_traced_memory()[0]
     members, warmth = Members(0, agents, BEAT, chance), Uptimes(0, 20_000.0, chance)
     for n in range(1, agents):
-        members.heard(1.0, n, Incarnation(3, n), 7, ())
-        warmth.heard(30_000.0, [Uptime(n, n % 60, 5000.0, 10.0)])
+        members.receive(1.0, n, Incarnation(3, n), 7, ())
+        warmth.receive(30_000.0, [Uptime(n, n % 60, 5000.0, 10.0)])
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return after - before
@@ -100,17 +103,17 @@
     """Ms until one agent's word of one backend, among `rows` that two agents each tell of, is known to half and to 99% of all."""
     chance = stream(agents, "spread").random
     each = [Uptimes(n, 60_000.0, chance) for n in range(agents)]
-    room = wire.NEWS_ROOM // 2 // wire.STOOD_ROW.size
+    room = wire.UPDATE_ROW_BYTES // 2 // wire.UPTIME_ROW.size
     for backend in range(rows):
         for teller in (backend % agents, (backend * 7 + 1) % agents):
-            each[teller]._put(0.0, backend, teller, 0.0, 0.0)
+            each[teller]._merge(0.0, backend, teller, 0.0, 0.0)
     known: list[float] = []
     for step in range(1, 400):
         now = step * SHARE
         words = [(one.digest(now, room), n) for n, one in enumerate(each) for _ in range(FANOUT)]
         for word, _ in words:
             to = int(chance() * agents)
-            each[to].heard(now, word)
+            each[to].receive(now, word)
         known.append(sum(0 in one._rows for one in each) / agents)
         if known[-1] >= 1:
             break
--- a/lupinreach/fleet/counts.py
+++ b/lupinreach/fleet/counts.py
@@ -22,35 +22,37 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-CELLS = 64  # in all: one a customer, or the sketch's
-ROWS, WIDTH = 2, 32
-HELD = 3.0  # windows without a newer count: from then on a rate fades
-FADES = 3.0  # windows within which it does
-REACHES = HELD + FADES + 2.0  # windows: from the older of two counts to the end of what was made of them
-MOST_ROWS = 1 << 16  # agents times cells: the newest
+MAX_CELLS = 64  # in all: one a customer, or the sketch's
+SKETCH_ROWS, SKETCH_WIDTH = 2, 32
+HOLD_WINDOWS = 3.0  # windows without a newer count: from then on a rate fades
+FADE_WINDOWS = 3.0  # windows within which it does
+BOUND_WINDOWS = (
+    HOLD_WINDOWS + FADE_WINDOWS + 2.0
+)  # windows: from the older of two counts to the end of what was made of them
+MAX_ROWS = 1 << 16  # agents times cells: the newest
 
 
 def cells(customer: int, customers: int) -> tuple[int, ...]:
     """Where a customer is counted."""
-    if customers <= CELLS:
+    if customers <= MAX_CELLS:
         return (customer,)
     return tuple(
-        row * WIDTH + crc32(b"%d:%d" % (row, customer)) * 2654435761 % 2**32 * WIDTH // 2**32
-        for row in range(ROWS)
+        row * SKETCH_WIDTH + crc32(b"%d:%d" % (row, customer)) * 2654435761 % 2**32 * SKETCH_WIDTH // 2**32
+        for row in range(SKETCH_ROWS)
     )
 
 
-def rate_bound(now: float, counted: Iterable[Sequence[tuple[float, int]]], window: float) -> float:
+def rate_bound(now: float, histories: Iterable[Sequence[tuple[float, int]]], window: float) -> float:
     """The most that any agent may take for the fleet's rate, a s: of each life, when (ms) it counted how much in all."""
     total = 0.0
-    for life in counted:
-        points = [(at, count) for at, count in life if now - REACHES * window <= at <= now]
+    for incarnation in histories:
+        points = [(at, count) for at, count in incarnation if now - BOUND_WINDOWS * window <= at <= now]
         total += max(
             (
-                1000 * (late[1] - early[1]) / (late[0] - early[0])
-                for i, early in enumerate(points)
-                for late in points[i + 1 :]
-                if late[0] > early[0]
+                1000 * (later[1] - earlier[1]) / (later[0] - earlier[0])
+                for i, earlier in enumerate(points)
+                for later in points[i + 1 :]
+                if later[0] > earlier[0]
             ),
             default=0.0,
         )
@@ -60,7 +62,7 @@
 @dataclass(frozen=True)
 class Count:
     agent: int
-    life: int  # its number
+    incarnation: int  # its number
     cell: int
     total: int  # since that life began
     stamp: float  # ms since then, by that agent's clock
@@ -69,75 +71,77 @@
 
 @dataclass
 class _Row:
-    life: int
+    incarnation: int
     total: int
     stamp: float
     at: float  # ms, by this agent's clock: when it was heard
     since: float  # the stamp and
     base: int  # the total that the rate counts from: half a window older at least
     rate: float = 0.0  # a ms
-    told: int = 0
+    times_sent: int = 0
 
 
 class Counts:
     """One agent's rows, its own among them. Bounded by `MOST_ROWS`; a row leaves when it has faded."""
 
-    def __init__(self, me: int, customers: int, window: float, chance: Callable[[], float]) -> None:
+    def __init__(self, me: int, customers: int, window: float, draw: Callable[[], float]) -> None:
         """`window` in ms."""
         self.me = me
         self._customers = customers
         self.window = window
-        self._chance = chance
+        self._draw = draw
         self._rows: dict[tuple[int, int], _Row] = {}  # by agent and cell
         self._own: dict[int, int] = {}  # by cell; as many as there are cells
-        self.refused = 0
+        self.rejected = 0
 
-    def took(self, customer: int) -> None:
+    def record_call(self, customer: int) -> None:
         """An API call of that customer's was taken here."""
         for cell in cells(customer, self._customers):
             self._own[cell] = self._own.get(cell, 0) + 1
 
-    def look(self, now: float, life: int, lived: float) -> None:
+    def refresh(self, now: float, incarnation: int, age: float) -> None:
         """Once between two words: own counts, of a life that has lasted so many ms, become rows; what has faded goes."""
         for cell, total in self._own.items():
-            self._put(now, Count(self.me, life, cell, total, lived, 0.0))
-        for key in [k for k, row in self._rows.items() if now - row.at >= (HELD + FADES) * self.window]:
+            self._merge(now, Count(self.me, incarnation, cell, total, age, 0.0))
+        for key in [
+            k for k, row in self._rows.items() if now - row.at >= (HOLD_WINDOWS + FADE_WINDOWS) * self.window
+        ]:
             del self._rows[key]
 
-    def heard(self, now: float, counts: Iterable[Count]) -> None:
+    def receive(self, now: float, counts: Iterable[Count]) -> None:
         for c in counts:
-            if not 0 <= c.cell < CELLS or c.total < 0 or c.age < 0 or c.stamp < 0:
-                self.refused += 1
+            if not 0 <= c.cell < MAX_CELLS or c.total < 0 or c.age < 0 or c.stamp < 0:
+                self.rejected += 1
             elif c.agent != self.me:
-                self._put(now, c)
+                self._merge(now, c)
 
-    def _put(self, now: float, c: Count) -> None:
+    def _merge(self, now: float, c: Count) -> None:
         key, at = (c.agent, c.cell), now - c.age
-        if now - at >= (HELD + FADES) * self.window:
+        if now - at >= (HOLD_WINDOWS + FADE_WINDOWS) * self.window:
             return
         row = self._rows.get(key)
-        if row is None or c.life > row.life:
-            if row is None and len(self._rows) >= MOST_ROWS:
+        if row is None or c.incarnation > row.incarnation:
+            if row is None and len(self._rows) >= MAX_ROWS:
                 return
             # No rate yet: what that life was asked before is of no known time.
-            self._rows[key] = _Row(c.life, c.total, c.stamp, at, c.stamp, c.total)
-        elif c.life == row.life and c.stamp > row.stamp and c.total >= row.total:
+            self._rows[key] = _Row(c.incarnation, c.total, c.stamp, at, c.stamp, c.total)
+        elif c.incarnation == row.incarnation and c.stamp > row.stamp and c.total >= row.total:
             if c.stamp - row.since >= self.window / 2:
                 row.rate = (c.total - row.base) / (c.stamp - row.since)
             if c.stamp - row.since >= self.window:
                 row.since, row.base = row.stamp, row.total
             if c.total > row.total or at - row.at >= self.window / 2:
-                row.told = 0
+                row.times_sent = 0
             row.total, row.stamp, row.at = c.total, c.stamp, max(at, row.at)
 
-    def digest(self, now: float, most: int) -> tuple[Count, ...]:
+    def digest(self, now: float, limit: int) -> tuple[Count, ...]:
         """So many rows for one datagram, those told least often first."""
-        rarest = sorted(self._rows.items(), key=lambda item: (item[1].told, self._chance()))[:most]
-        for _, row in rarest:
-            row.told += 1
+        least_sent = sorted(self._rows.items(), key=lambda item: (item[1].times_sent, self._draw()))[:limit]
+        for _, row in least_sent:
+            row.times_sent += 1
         return tuple(
-            Count(agent, row.life, cell, row.total, row.stamp, max(0.0, now - row.at))
-            for (agent, cell), row in rarest
+            Count(agent, row.incarnation, cell, row.total, row.stamp, max(0.0, now - row.at))
+            for (agent, cell), row in least_sent
         )
 
     def rates(self, now: float) -> list[float]:
@@ -145,8 +149,8 @@
         by_cell: dict[int, float] = {}
         for (_, cell), row in self._rows.items():
             windows = (now - row.at) / self.window
-            keeps = 1.0 if windows <= HELD else max(0.0, 1 - (windows - HELD) / FADES)
-            by_cell[cell] = by_cell.get(cell, 0.0) + 1000 * row.rate * keeps
+            weight = 1.0 if windows <= HOLD_WINDOWS else max(0.0, 1 - (windows - HOLD_WINDOWS) / FADE_WINDOWS)
+            by_cell[cell] = by_cell.get(cell, 0.0) + 1000 * row.rate * weight
         return [
             min(by_cell.get(cell, 0.0) for cell in cells(c, self._customers)) for c in range(self._customers)
         ]
--- a/lupinreach/fleet/grants.py
+++ b/lupinreach/fleet/grants.py
@@ -21,14 +21,14 @@
 
 from dataclasses import dataclass
 
-FLOOR = 0.25  # of its own share that an owner never lends
-LEND = (
+UNLENT_SHARE = 0.25  # of its own share that an owner never lends
+MAX_LOAN_SHARE = (
     0.5  # of what an owner could lend now that one question gets at most, so that a second asker finds some
 )
 DRIFT = 0.01  # by which clocks run apart each way
-LEASE = 8.0  # beats
-MOST_LENT = 64  # leases that an owner has out at once
-LEAST = 0.01  # of an own share: less isn't worth a word
+LEASE_HEARTBEATS = 8.0  # beats
+MAX_LEASES = 64  # leases that an owner has out at once
+MIN_LOAN_SHARE = 0.01  # of an own share: less isn't worth a word
 
 
 def upper_bound(total: float, agents: int, twins: int = 0) -> float:
@@ -38,7 +38,7 @@
 
 def lower_bound(total: float) -> float:
     """What all have together at the least, whatever is lost."""
-    return total * FLOOR
+    return total * UNLENT_SHARE
 
 
 @dataclass
@@ -68,21 +68,21 @@
 
     def usable(self, now: float) -> float:
         """A s, at this moment."""
-        self._look(now)
+        self._expire(now)
         if now < self._bound_until:
-            mine = FLOOR * self.own
+            available = UNLENT_SHARE * self.own
         else:
-            mine = self.own - sum(lease.amount for lease in self._lent.values())
-        return mine + sum(lease.amount for lease in self._borrowed.values())
+            available = self.own - sum(lease.amount for lease in self._lent.values())
+        return available + sum(lease.amount for lease in self._borrowed.values())
 
     def lendable(self, now: float) -> float:
         """What of the own share could go to others now: what is borrowed is not passed on."""
-        self._look(now)
-        if now < self._bound_until or len(self._lent) >= MOST_LENT:
+        self._expire(now)
+        if now < self._bound_until or len(self._lent) >= MAX_LEASES:
             return 0.0
-        return max(0.0, (1 - FLOOR) * self.own - sum(lease.amount for lease in self._lent.values()))
+        return max(0.0, (1 - UNLENT_SHARE) * self.own - sum(lease.amount for lease in self._lent.values()))
 
-    def _look(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         for table in (self._lent, self._borrowed):
             for key in [k for k, lease in table.items() if now >= lease.until]:
                 del table[key]  # type: ignore[attr-defined]
@@ -105,19 +105,21 @@
 
     # One that may have some to spare.
 
-    def grant(self, now: float, peer: int, life: int, number: int, wants: float, spare: float) -> float:
+    def grant(
+        self, now: float, peer: int, incarnation: int, number: int, wanted: float, spare: float
+    ) -> float:
         """What that peer gets, of `spare` that this agent doesn't use; asked once more, the same."""
-        self._look(now)
-        key = peer, life, number
+        self._expire(now)
+        key = peer, incarnation, number
         if key in self._lent:
             return self._lent[key].amount
-        amount = min(wants, self.own, LEND * min(spare, self.lendable(now)))
-        if amount < LEAST * self.own:
+        amount = min(wanted, self.own, MAX_LOAN_SHARE * min(spare, self.lendable(now)))
+        if amount < MIN_LOAN_SHARE * self.own:
             return 0.0
         self._lent[key] = _Lease(amount, now + self._lease)
         return amount
 
     @property
-    def out(self) -> tuple[int, int]:
+    def lease_counts(self) -> tuple[int, int]:
         """Leases lent, and borrowed."""
         return len(self._lent), len(self._borrowed)
--- a/lupinreach/fleet/incarnation.py
+++ b/lupinreach/fleet/incarnation.py
@@ -10,10 +10,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MOST_JUMP = (
+MAX_JUMP = (
     1 << 12
 )  # lives by which one peer's word alone may raise a number: more restarts than it can have missed
-MOST_NUMBER = (1 << 32) - 1
+MAX_NUMBER = (1 << 32) - 1
 
 
 @dataclass(frozen=True, order=True)
@@ -22,45 +22,45 @@
     token: int
 
 
-def credible_number(kept: int, claims: Sequence[int]) -> int:
+def credible_number(stored: int, claims: Sequence[int]) -> int:
     """The highest number that counts: what the disk holds, or peers claim. An absurd claim waits for a second.
 
     Guards against one peer that is wrong, or lies, and would use all numbers up.
     """
-    sound = [c for c in claims if c <= kept + MOST_JUMP or sum(other >= c for other in claims) > 1]
-    return min(max([kept, *sound]), MOST_NUMBER - 1)
+    sound = [c for c in claims if c <= stored + MAX_JUMP or sum(other >= c for other in claims) > 1]
+    return min(max([stored, *sound]), MAX_NUMBER - 1)
 
 
 class OwnIncarnation:
     """The life of this process: raised by what is heard while it returns, never after."""
 
-    def __init__(self, kept: int, token: int, kept_beat: int = 0) -> None:
+    def __init__(self, stored: int, token: int, stored_heartbeat: int = 0) -> None:
         """`kept` and `kept_beat` are the life that the disk knows of, and a beat that this life hadn't told before."""
-        self.life = Incarnation(credible_number(kept, ()) + 1, token)
+        self.incarnation = Incarnation(credible_number(stored, ()) + 1, token)
         self.settled = False  # the time to ask is over: from here on a higher life is another process
         self.superseded = False
         self._claims: dict[int, int] = {}  # by peer; no more than there are peers
-        self._kept = kept, kept_beat
-        self._met = (0, 0)  # the latest life and beat of this agent's that peers have met
+        self._stored = stored, stored_heartbeat
+        self._seen_by_peers = (0, 0)  # the latest life and beat of this agent's that peers have met
 
     @property
     def behind(self) -> bool:
         """If peers have met more of a former life than the disk knows of: it is an older one."""
-        return self._met > self._kept
+        return self._seen_by_peers > self._stored
 
-    def hear(self, peer: int, other: Incarnation, beat: int = 0) -> bool:
+    def observe(self, peer: int, other: Incarnation, heartbeat: int = 0) -> bool:
         """A peer knows that life of this agent's; true if this one's number was raised for it."""
-        if other.token != self.life.token and not self.settled:
-            self._met = max(self._met, (other.number, beat))
-        if other <= self.life or other.token == self.life.token:
+        if other.token != self.incarnation.token and not self.settled:
+            self._seen_by_peers = max(self._seen_by_peers, (other.number, heartbeat))
+        if other <= self.incarnation or other.token == self.incarnation.token:
             return False
         if self.settled:
             # Guards against two processes that outbid each other for ever: the older one falls silent.
-            self.superseded = self.superseded or other.number <= self.life.number + MOST_JUMP
+            self.superseded = self.superseded or other.number <= self.incarnation.number + MAX_JUMP
             return False
         self._claims[peer] = max(other.number, self._claims.get(peer, 0))
-        number = credible_number(self._kept[0], list(self._claims.values())) + 1
-        raised = number > self.life.number
+        number = credible_number(self._stored[0], list(self._claims.values())) + 1
+        raised = number > self.incarnation.number
         if raised:
-            self.life = Incarnation(number, self.life.token)
+            self.incarnation = Incarnation(number, self.incarnation.token)
         return raised
--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -24,12 +24,12 @@
 QUORUM = 3  # agents that must have met a backend for their word to count
 MAX_AFFECTED_SHARE = 0.25  # of the ready backends that hearsay may make dearer
 MAX_COST_FACTOR = 4.0  # x: the most that a turn becomes dearer by it
-BAD = 2.0  # x the median of the agent's own figures: from there on a figure is news
-TELLERS = 6  # rows kept for a backend: the newest
-MOST_BACKENDS = 512  # with rows
-LASTS = 6.0  # x the longest latency SLO: age from which on a row counts for nothing
-HIGHEST = 4.0  # x SLO: a figure above is absurd, since a miss counts for two
-STEP = 64  # steps of a figure in one SLO
+SLOW_FACTOR = 2.0  # x the median of the agent's own figures: from there on a figure is news
+MAX_REPORTERS = 6  # rows kept for a backend: the newest
+MAX_BACKENDS = 512  # with rows
+MAX_AGE_SLOS = 6.0  # x the longest latency SLO: age from which on a row counts for nothing
+MAX_RELATIVE_LATENCY = 4.0  # x SLO: a figure above is absurd, since a miss counts for two
+LATENCY_STEPS_PER_SLO = 64  # steps of a figure in one SLO
 
 
 def max_diverted_share() -> float:
@@ -41,11 +41,11 @@
 class Observation:
     """What one agent has met of one backend process itself."""
 
-    teller: int
+    reporter: int
     zone: int
     backend: int  # its name, alike at all agents
     boot: int  # 16 bits of its boot time
-    figure: float  # smoothed latency as a share of the SLO
+    relative_latency: float  # smoothed latency as a share of the SLO
     age: float  # ms since its last sample
 
 
@@ -53,10 +53,10 @@
 class _Row:
     met: Observation
     at: float  # ms, by this agent's clock: its last sample
-    told: int = 0  # times since it came
+    times_sent: int = 0  # times since it came
 
 
-def boot_mark(boot_time: float) -> int:
+def boot_hash(boot_time: float) -> int:
     """Tells processes of one backend apart."""
     return crc32(b"%d" % int(boot_time)) & 0xFFFF
 
@@ -64,81 +64,87 @@
 class Observations:
     """One agent's rows. Bounded by `MOST_BACKENDS` and `TELLERS`; a row leaves when it has aged or its backend goes."""
 
-    def __init__(self, me: int, zone: int, slo: float, chance: Callable[[], float]) -> None:
+    def __init__(self, me: int, zone: int, slo: float, draw: Callable[[], float]) -> None:
         """`slo` is the longest latency SLO, ms; `chance` draws from 0 to 1."""
         self.me = me
         self.zone = zone
-        self.lasts = LASTS * slo
-        self._chance = chance
+        self.max_age = MAX_AGE_SLOS * slo
+        self._draw = draw
         self._rows: dict[tuple[int, int], dict[int, _Row]] = {}
-        self._said: set[tuple[int, int]] = set()  # own news that isn't taken back yet
-        self.refused = 0  # absurd rows
+        self._announced: set[tuple[int, int]] = set()  # own news that isn't taken back yet
+        self.rejected = 0  # absurd rows
 
     # What comes in.
 
-    def own(self, now: float, mets: Iterable[Observation]) -> None:
+    def record_own(self, now: float, observations: Iterable[Observation]) -> None:
         """What this agent has met, once a look; only what is news goes on to others."""
-        mets = list(mets)
-        figures = sorted(m.figure for m in mets)
-        usual = figures[len(figures) // 2] if figures else 0.0
-        alike = sum(m.figure >= BAD * usual for m in mets) if usual else 0
+        observations = list(observations)
+        latencies = sorted(m.relative_latency for m in observations)
+        median = latencies[len(latencies) // 2] if latencies else 0.0
+        slow_count = sum(m.relative_latency >= SLOW_FACTOR * median for m in observations) if median else 0
         # Guards against an agent that finds most backends bad, whose trouble is its own: it says nothing new.
-        doubts_itself = sum(f >= 1.0 for f in figures) > len(figures) / 2
-        for m in mets:
+        suspects_itself = sum(f >= 1.0 for f in latencies) > len(latencies) / 2
+        for m in observations:
             key = m.backend, m.boot
-            bad = m.figure >= max(BAD * usual, 0.5) and not doubts_itself and alike <= len(mets) / 2
-            if bad or key in self._said:
+            slow = (
+                m.relative_latency >= max(SLOW_FACTOR * median, 0.5)
+                and not suspects_itself
+                and slow_count <= len(observations) / 2
+            )
+            if slow or key in self._announced:
                 # Once it was said to be bad, that it isn't any more is said for as long as others may believe it.
-                self._put(now, m)
-                self._said.add(key)
-        self._said &= self._rows.keys()
-
-    def heard(self, now: float, mets: Iterable[Observation]) -> None:
-        for m in mets:
-            if not 0 <= m.figure <= HIGHEST or m.age < 0:
-                self.refused += 1
-            elif m.teller != self.me:
-                self._put(now, m)
-
-    def _put(self, now: float, m: Observation) -> None:
+                self._merge(now, m)
+                self._announced.add(key)
+        self._announced &= self._rows.keys()
+
+    def receive(self, now: float, observations: Iterable[Observation]) -> None:
+        for m in observations:
+            if not 0 <= m.relative_latency <= MAX_RELATIVE_LATENCY or m.age < 0:
+                self.rejected += 1
+            elif m.reporter != self.me:
+                self._merge(now, m)
+
+    def _merge(self, now: float, m: Observation) -> None:
         at = now - m.age
-        if now - at >= self.lasts:
+        if now - at >= self.max_age:
             return
         key = m.backend, m.boot
-        if key not in self._rows and len(self._rows) >= MOST_BACKENDS:
+        if key not in self._rows and len(self._rows) >= MAX_BACKENDS:
             return
         rows = self._rows.setdefault(key, {})
-        old = rows.get(m.teller)
+        old = rows.get(m.reporter)
         if old is None or at > old.at:
-            rows[m.teller] = _Row(m, at)
-            if len(rows) > TELLERS:
+            rows[m.reporter] = _Row(m, at)
+            if len(rows) > MAX_REPORTERS:
                 del rows[min((t for t in rows if t != self.me), key=lambda t: rows[t].at)]
 
-    def look(self, now: float, there: Iterable[tuple[int, int]] | None = None) -> None:
+    def expire(self, now: float, listed: Iterable[tuple[int, int]] | None = None) -> None:
         """Drop what has aged, and what is said of backends that are not `there`."""
-        known = None if there is None else set(there)
+        current = None if listed is None else set(listed)
         for key, rows in list(self._rows.items()):
-            for teller in [t for t, row in rows.items() if now - row.at >= self.lasts]:
-                del rows[teller]
-            if not rows or (known is not None and key not in known):
+            for reporter in [t for t, row in rows.items() if now - row.at >= self.max_age]:
+                del rows[reporter]
+            if not rows or (current is not None and key not in current):
                 del self._rows[key]
 
     # What goes out.
 
-    def digest(self, now: float, most: int) -> tuple[Observation, ...]:
+    def digest(self, now: float, limit: int) -> tuple[Observation, ...]:
         """So many rows for one datagram: this agent's own first, then those told least often."""
-        rows = [row for each in self._rows.values() for row in each.values() if now - row.at < self.lasts]
-        rows.sort(key=lambda row: (row.told, row.met.teller != self.me, self._chance()))
-        for row in rows[:most]:
-            row.told += 1
+        rows = [row for each in self._rows.values() for row in each.values() if now - row.at < self.max_age]
+        rows.sort(key=lambda row: (row.times_sent, row.met.reporter != self.me, self._draw()))
+        for row in rows[:limit]:
+            row.times_sent += 1
         return tuple(
-            Observation(r.met.teller, r.met.zone, r.met.backend, r.met.boot, r.met.figure, now - r.at)
-            for r in rows[:most]
+            Observation(
+                r.met.reporter, r.met.zone, r.met.backend, r.met.boot, r.met.relative_latency, now - r.at
+            )
+            for r in rows[:limit]
         )
 
     # What follows.
 
-    def said(
+    def estimates(
         self, now: float, own: Mapping[tuple[int, int], tuple[float, float]]
     ) -> dict[tuple[int, int], tuple[float, float]]:
         """By backend and boot: the figure that others have met, and 0 to 1 for how fresh that is.
@@ -152,24 +158,24 @@
             if len(rows) < QUORUM or sum(r.at > met_at for r in rows) < QUORUM:
                 continue
             rows = [r for r in rows if r.at > met_at]
-            middle = sorted(rows, key=lambda r: r.met.figure)[(len(rows) - 1) // 2]
+            median = sorted(rows, key=lambda r: r.met.relative_latency)[(len(rows) - 1) // 2]
             newest = sorted((r.at for r in rows), reverse=True)[QUORUM - 1]
-            found[key] = middle.met.figure, max(0.0, 1 - (now - newest) / self.lasts)
+            found[key] = median.met.relative_latency, max(0.0, 1 - (now - newest) / self.max_age)
         return found
 
-    def factors(
+    def cost_factors(
         self, now: float, own: Mapping[tuple[int, int], tuple[float, float]]
     ) -> dict[tuple[int, int], float]:
         """By backend and boot: what a turn there costs more, `MOST` times at most, for `SHARE` of those in `own` at most."""
-        raised = []
-        for key, (figure, fade) in self.said(now, own).items():
-            mine = own[key][0]
-            over = min(MAX_COST_FACTOR, figure / mine) - 1 if mine > 0 else 0.0
-            if over * fade > 0:
+        slower = []
+        for key, (figure, fade) in self.estimates(now, own).items():
+            own_latency = own[key][0]
+            excess = min(MAX_COST_FACTOR, figure / own_latency) - 1 if own_latency > 0 else 0.0
+            if excess * fade > 0:
                 follow = 0.5 + 0.5 * (crc32(b"%d:%d:%d" % (self.me, *key)) * 2654435761 % 2**32 / 2**32)
-                raised.append((over * fade, key, 1 + follow * fade * over))
-        raised.sort(reverse=True)
-        return {key: factor for _, key, factor in raised[: int(MAX_AFFECTED_SHARE * len(own))]}
+                slower.append((excess * fade, key, 1 + follow * fade * excess))
+        slower.sort(reverse=True)
+        return {key: factor for _, key, factor in slower[: int(MAX_AFFECTED_SHARE * len(own))]}
 
     def __len__(self) -> int:
         return sum(map(len, self._rows.values()))
--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -10,33 +10,33 @@
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.wire import Drain, Message
 
-ASKED = 5  # peers that an agent which stands up asks
-LONE = 0.25  # share of the ready backends that the word of one peer alone may hold back
+QUERIED_PEERS = 5  # peers that an agent which stands up asks
+LONE_CLAIM_SHARE = 0.25  # share of the ready backends that the word of one peer alone may hold back
 RESET_AFTER = (
     3.0  # x the time within which a registry has to be asked: below the floor for so long, it was reset
 )
-MOST_DRAINS = 1024
+MAX_DRAINS = 1024
 
 
 # What others say.
 
 
 @dataclass
-class Answer:
+class PeerAnswer:
     revision: int
     remembers: bool
-    standing: int
+    alive: int
     known: Incarnation
     drains: set[Drain] = field(default_factory=set)
     parts: set[int] = field(default_factory=set)
-    of: int = 1
+    expected_parts: int = 1
 
     @property
-    def whole(self) -> bool:
-        return len(self.parts) == self.of
+    def complete(self) -> bool:
+        return len(self.parts) == self.expected_parts
 
 
-class Asking:
+class PeerQuery:
     """The question of one that stands up, to a few peers; over when all have answered whole, or after `within` ms.
 
     A fleet in which nobody remembers doesn't wait: who has just stood up says so at once, in one part.
@@ -46,34 +46,34 @@
         self.peers = tuple(peers)
         self.nonce = nonce
         self._until = now + within
-        self.answers: dict[int, Answer] = {}  # by peer
+        self.answers: dict[int, PeerAnswer] = {}  # by peer
 
-    def hear(self, m: Message) -> bool:
+    def add_answer(self, m: Message) -> bool:
         """An answer's part; false where nobody asked for it."""
         if m.nonce != self.nonce or m.sender not in self.peers:
             return False
-        one = self.answers.setdefault(
-            m.sender, Answer(m.revision, m.remembers, m.standing, m.known, of=m.parts)
+        answer = self.answers.setdefault(
+            m.sender, PeerAnswer(m.revision, m.remembers, m.alive, m.known, expected_parts=m.parts)
         )
-        one.parts.add(m.part)
-        one.drains.update(m.drains)
+        answer.parts.add(m.part)
+        answer.drains.update(m.drains)
         return True
 
-    def over(self, now: float) -> bool:
+    def is_over(self, now: float) -> bool:
         return now >= self._until or (
-            len(self.answers) == len(self.peers) and all(a.whole for a in self.answers.values())
+            len(self.answers) == len(self.peers) and all(a.complete for a in self.answers.values())
         )
 
-    def standing(self) -> int:
+    def alive(self) -> int:
         """How many agents stand, by the median of who remembers; 0: nobody does."""
-        counts = sorted(a.standing for a in self.answers.values() if a.remembers)
+        counts = sorted(a.alive for a in self.answers.values() if a.remembers)
         return counts[len(counts) // 2] if counts else 0
 
 
 # Which list is believed.
 
 
-class Floor:
+class RevisionFloor:
     """The highest revision that is surely the registry's, and if a list is older than that.
 
     A registry that was reset on purpose stays below for good, one that came back with an old list catches up or is
@@ -84,15 +84,15 @@
     def __init__(self, revision: int, within: float) -> None:
         """`within` in ms."""
         self.revision = revision
-        self._patience = RESET_AFTER * within
+        self._reset_after = RESET_AFTER * within
         self._below_since: float | None = None
         self._claims: dict[int, int] = {}  # by peer: the highest it has seen; no more than there are peers
 
-    def raised(self, revision: int) -> None:
+    def raise_to(self, revision: int) -> None:
         """This agent has it from the registry, or from its own disk."""
         self.revision = max(self.revision, revision)
 
-    def claimed(self, peer: int, revision: int) -> None:
+    def add_claim(self, peer: int, revision: int) -> None:
         """A peer says that it has seen this revision: it counts as soon as a second one has.
 
         Good news from one alone waits: a lone claim of 2^60 makes no list old.
@@ -100,23 +100,23 @@
         self._claims[peer] = revision
         claims = sorted(self._claims.values(), reverse=True)
         if len(claims) > 1:
-            self.raised(claims[1])
+            self.raise_to(claims[1])
 
-    def older(self, now: float, revision: int) -> bool:
+    def is_older(self, now: float, revision: int) -> bool:
         """The registry has spoken: is it older than what is known of it?"""
         if revision >= self.revision:
             self.revision, self._below_since = revision, None
             return False
         if self._below_since is None:
             self._below_since = now
-        if now - self._below_since < self._patience:
+        if now - self._below_since < self._reset_after:
             return True
         self.revision, self._below_since = revision, None
         self._claims.clear()  # they were of before
         return False
 
 
-class Drains:
+class DrainSet:
     """Backend processes that get nothing new whatever an older list says. Emptied as they restart, go or are lifted."""
 
     def __init__(self, kept: Iterable[Drain] = ()) -> None:
@@ -125,41 +125,41 @@
         )  # told by the registry, in this life or a former one
         self._claims: dict[Drain, set[int]] = {}  # by peers
 
-    def told(self, drain: Drain) -> bool:
+    def add(self, drain: Drain) -> bool:
         """The registry says so; true if that is new."""
-        if drain in self._own or len(self._own) >= MOST_DRAINS:
+        if drain in self._own or len(self._own) >= MAX_DRAINS:
             return False
         self._own[drain] = None
         return True
 
-    def lifted(self, backend: int, boot: int) -> bool:
+    def lift(self, backend: int, boot: int) -> bool:
         """The registry, not older than the floor, says that it is ready, or gone; true if it was held to drain."""
-        struck = [d for d in (*self._own, *self._claims) if d.backend == backend and d.boot <= boot]
-        for d in struck:
+        lifted = [d for d in (*self._own, *self._claims) if d.backend == backend and d.boot <= boot]
+        for d in lifted:
             self._own.pop(d, None)
             self._claims.pop(d, None)
-        return bool(struck)
+        return bool(lifted)
 
-    def claimed(self, peer: int, drains: Iterable[Drain]) -> None:
+    def add_claims(self, peer: int, drains: Iterable[Drain]) -> None:
         for d in drains:
-            if d in self._claims or len(self._claims) < MOST_DRAINS:
+            if d in self._claims or len(self._claims) < MAX_DRAINS:
                 self._claims.setdefault(d, set()).add(peer)
 
-    def settled(self) -> bool:
+    def drop_claims(self) -> bool:
         """What peers claimed counts no more; true if anything did.
 
         Guards against a lie, or a late word, that no change of the list would ever lift. Not done as soon as the registry
         is past the floor: one that came back with an old list counts on from there, and its drains are still missing.
         """
-        any_claims = bool(self._claims)
+        had_claims = bool(self._claims)
         self._claims.clear()
-        return any_claims
+        return had_claims
 
     def all(self) -> list[Drain]:
         """What this agent says to others: what it has of the registry itself, not what it has of hearsay."""
         return list(self._own)
 
-    def held(self, ready: Iterable[Drain]) -> set[int]:
+    def withheld(self, ready: Iterable[Drain]) -> set[int]:
         """Which of these ready backends (name and boot) get nothing new.
 
         Bad news counts at once, but one peer's word alone holds back at most `LONE` of them: guards against a peer
@@ -167,11 +167,11 @@
         """
         ready = list(ready)
         found = {d.backend for d in ready if d in self._own or len(self._claims.get(d, ())) > 1}
-        room = int(LONE * len(ready))
+        remaining = int(LONE_CLAIM_SHARE * len(ready))
         for d in sorted(ready, key=lambda d: (d.backend, d.boot)):
-            if room > 0 and d.backend not in found and d in self._claims:
+            if remaining > 0 and d.backend not in found and d in self._claims:
                 found.add(d.backend)
-                room -= 1
+                remaining -= 1
         return found
 
 
@@ -200,12 +200,12 @@
 
 
 @dataclass(frozen=True)
-class Step:
+class StageRule:
     stage: Stage
     ready: bool  # what `/health/ready` says
-    ends: Callable[[StartupFacts], bool]
-    longest: str  # its longest stay, as a name of `Stays`
-    meanwhile: str
+    done: Callable[[StartupFacts], bool]
+    limit: str  # its longest stay, as a name of `Stays`
+    service: str
 
 
 @dataclass(frozen=True)
@@ -220,19 +220,19 @@
 
 
 STAGE_TABLE = (
-    Step(Stage.DARK, False, lambda f: f.read, "read", "errored at once"),
-    Step(
+    StageRule(Stage.DARK, False, lambda f: f.read, "read", "errored at once"),
+    StageRule(
         Stage.STANDING, False, lambda f: f.asked, "ask", "by the list of before, if any; else errored at once"
     ),
-    Step(Stage.LISTENING, True, lambda f: f.listed > 0, "none", "rate-limited at once"),
-    Step(
+    StageRule(Stage.LISTENING, True, lambda f: f.listed > 0, "none", "rate-limited at once"),
+    StageRule(
         Stage.TRYING,
         True,
         lambda f: f.answered,
         "hold",
         "as far as backends answer; the rest rate-limited at once",
     ),
-    Step(
+    StageRule(
         Stage.RISING,
         True,
         lambda f: f.registry and not f.cold,
@@ -245,10 +245,10 @@
 class StartupSequence:
     """Where an agent is on its way back; goes forward alone, several steps at one look if it can."""
 
-    def __init__(self, now: float, stays: StageLimits) -> None:
+    def __init__(self, now: float, limits: StageLimits) -> None:
         self.stage = Stage.DARK
         self._since = now
-        self._stays = stays
+        self._limits = limits
 
     @property
     def ready(self) -> bool:
@@ -258,8 +258,8 @@
         """The stages that end now, each with how long it took in ms."""
         passed = []
         while self.stage is not Stage.FULL:
-            step = STAGE_TABLE[self.stage]
-            if not (step.ends(facts) or now - self._since >= getattr(self._stays, step.longest)):
+            rule = STAGE_TABLE[self.stage]
+            if not (rule.done(facts) or now - self._since >= getattr(self._limits, rule.limit)):
                 break
             passed.append((self.stage, now - self._since))
             self.stage, self._since = Stage(self.stage + 1), now
--- a/lupinreach/fleet/uptimes.py
+++ b/lupinreach/fleet/uptimes.py
@@ -17,10 +17,10 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-TELLERS = (
+MIN_REPORTERS = (
     2  # that must say so; as many rows are kept for a backend beside the own: those of the longest standing
 )
-MOST_BACKENDS = 512  # with rows
+MAX_BACKENDS = 512  # with rows
 
 
 def earliest_up_since(began: float, refused_at: float) -> float:
@@ -32,7 +32,7 @@
 class Uptime:
     """What one agent has had of one backend process."""
 
-    teller: int
+    reporter: int
     backend: int  # its name, alike at all agents
     first: float  # ms since its first answer
     last: float  # ms since its last one
@@ -42,70 +42,70 @@
 class _Row:
     first: float  # ms, by this agent's clock
     last: float
-    told: int = 0  # times since it came
+    times_sent: int = 0  # times since it came
 
 
 class Uptimes:
     """One agent's rows. Bounded by `MOST_BACKENDS` and `TELLERS` + 1; a row leaves when it has aged or the backend is no longer cold."""
 
-    def __init__(self, me: int, lasts: float, chance: Callable[[], float]) -> None:
-        """`lasts` in ms: how old a last answer may be; for as long as backends are cold."""
+    def __init__(self, me: int, max_age: float, draw: Callable[[], float]) -> None:
+        """`max_age` in ms: how old a last answer may be; for as long as backends are cold."""
         self.me = me
-        self.lasts = lasts
-        self._chance = chance
+        self.max_age = max_age
+        self._draw = draw
         self._rows: dict[int, dict[int, _Row]] = {}  # by backend and teller
-        self.refused = 0  # absurd rows
+        self.rejected = 0  # absurd rows
 
-    def own(self, now: float, met: Mapping[int, tuple[float, float]]) -> None:
+    def record_own(self, now: float, met: Mapping[int, tuple[float, float]]) -> None:
         """What this agent has had itself (first and last, ms) of the backends that it takes to be cold."""
         for backend, (first, last) in met.items():
-            self._put(now, backend, self.me, first, last)
+            self._merge(now, backend, self.me, first, last)
         for backend, rows in self._rows.items():
             if backend not in met:
                 rows.pop(self.me, None)  # it restarted, or refused
 
-    def heard(self, now: float, rows: Iterable[Uptime]) -> None:
+    def receive(self, now: float, rows: Iterable[Uptime]) -> None:
         for row in rows:
             if not 0 <= row.last <= row.first:
-                self.refused += 1
-            elif row.teller != self.me:
-                self._put(now, row.backend, row.teller, now - row.first, now - row.last)
+                self.rejected += 1
+            elif row.reporter != self.me:
+                self._merge(now, row.backend, row.reporter, now - row.first, now - row.last)
 
-    def _put(self, now: float, backend: int, teller: int, first: float, last: float) -> None:
-        if now - last >= self.lasts or (backend not in self._rows and len(self._rows) >= MOST_BACKENDS):
+    def _merge(self, now: float, backend: int, reporter: int, first: float, last: float) -> None:
+        if now - last >= self.max_age or (backend not in self._rows and len(self._rows) >= MAX_BACKENDS):
             return
         rows = self._rows.setdefault(backend, {})
-        old = rows.get(teller)
+        old = rows.get(reporter)
         if old is None:
-            rows[teller] = _Row(first, last)
+            rows[reporter] = _Row(first, last)
             others = [t for t in rows if t != self.me]
-            if len(others) > TELLERS:
+            if len(others) > MIN_REPORTERS:
                 del rows[max(others, key=lambda t: (rows[t].first, t))]
         elif last > old.last:
             # A row is news where the process is another one; that its teller has met it again is none.
-            old.told = 0 if first > old.last else old.told
+            old.times_sent = 0 if first > old.last else old.times_sent
             old.first, old.last = first, last
 
-    def look(self, now: float, cold: Iterable[int]) -> None:
+    def expire(self, now: float, cold: Iterable[int]) -> None:
         """Drop what has aged, and what is said of backends that are not cold, or gone."""
-        there = set(cold)
+        current = set(cold)
         for backend, rows in list(self._rows.items()):
-            for teller in [t for t, row in rows.items() if now - row.last >= self.lasts]:
-                del rows[teller]
-            if not rows or backend not in there:
+            for reporter in [t for t, row in rows.items() if now - row.last >= self.max_age]:
+                del rows[reporter]
+            if not rows or backend not in current:
                 del self._rows[backend]
 
-    def digest(self, now: float, most: int) -> tuple[Uptime, ...]:
+    def digest(self, now: float, limit: int) -> tuple[Uptime, ...]:
         """So many rows for one datagram, those told least often first."""
         rows = [
-            (row, teller, backend) for backend, each in self._rows.items() for teller, row in each.items()
+            (row, reporter, backend) for backend, each in self._rows.items() for reporter, row in each.items()
         ]
-        rows.sort(key=lambda item: (item[0].told, self._chance()))
-        for row, _, _ in rows[:most]:
-            row.told += 1
+        rows.sort(key=lambda item: (item[0].times_sent, self._draw()))
+        for row, _, _ in rows[:limit]:
+            row.times_sent += 1
         return tuple(
-            Uptime(teller, backend, now - row.first, max(0.0, now - row.last))
-            for row, teller, backend in rows[:most]
+            Uptime(reporter, backend, now - row.first, max(0.0, now - row.last))
+            for row, reporter, backend in rows[:limit]
         )
 
     def since(self, began: float, refused: Mapping[int, float]) -> dict[int, float]:
@@ -114,8 +114,8 @@
         for backend, at in refused.items():
             at = earliest_up_since(began, at)
             firsts = sorted(row.first for row in self._rows.get(backend, {}).values() if row.last > at)
-            if len(firsts) >= TELLERS:
-                found[backend] = max(firsts[TELLERS - 1], at)
+            if len(firsts) >= MIN_REPORTERS:
+                found[backend] = max(firsts[MIN_REPORTERS - 1], at)
         return found
 
     def __len__(self) -> int:
--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -26,35 +26,35 @@
 
 from lupinreach.fleet.counts import Count
 from lupinreach.fleet.incarnation import Incarnation
-from lupinreach.fleet.observations import STEP, Observation
+from lupinreach.fleet.observations import LATENCY_STEPS_PER_SLO, Observation
 from lupinreach.fleet.uptimes import Uptime
 
-FORM = 1
-MOST = 256  # bytes
-BEAT, ASK, TELL, NEWS, WANT, GRANT = 1, 2, 3, 4, 5, 6
-MET, COUNT, STOOD = 1, 2, 3  # kinds of sections
-HEAD = struct.Struct("!BBHIIIBQ")
-MEMBER, DRAIN, NONCE, PART = (
+FORMAT = 1
+MAX_BYTES = 256  # bytes
+HEARTBEAT, QUERY, REPLY, UPDATE, BORROW, GRANT = 1, 2, 3, 4, 5, 6
+OBSERVATION, COUNT, UPTIME = 1, 2, 3  # kinds of sections
+HEADER = struct.Struct("!BBHIIIBQ")
+MEMBER, DRAIN, NONCE_FIELD, REPLY_HEADER = (
     struct.Struct("!HIIIH"),
     struct.Struct("!IQ"),
     struct.Struct("!I"),
     struct.Struct("!IBBHIII"),
 )
-SECTION, MET_ROW, COUNT_ROW, STOOD_ROW = (
+SECTION, OBSERVATION_ROW, COUNT_ROW, UPTIME_ROW = (
     struct.Struct("!BBB"),
     struct.Struct("!HBIHBH"),
     struct.Struct("!HIBIIH"),
     struct.Struct("!HIHH"),
 )
-SHARE = struct.Struct("!IBH")
-NEWS_ROOM = MOST - HEAD.size - 3 * SECTION.size  # bytes for rows
-AGE, MOST_ROWS = 10.0, 255  # ms in a step of an age of news; rows in a section
-REMEMBERS = 1  # flag: the sender knows more than it was told since it stood up
-MEMBERS = (MOST - HEAD.size) // MEMBER.size  # that one BEAT names
-DRAINS = (MOST - HEAD.size - PART.size) // DRAIN.size  # that one TELL names
-MOST_PARTS = 8
-MOST_AGE = (1 << 16) - 1
-MOST_REVISION = (1 << 64) - 1
+LOAN = struct.Struct("!IBH")
+UPDATE_ROW_BYTES = MAX_BYTES - HEADER.size - 3 * SECTION.size  # bytes for rows
+AGE_STEP_MS, MAX_ROWS = 10.0, 255  # ms in a step of an age of news; rows in a section
+FLAG_REMEMBERS = 1  # flag: the sender knows more than it was told since it stood up
+MAX_MEMBERS = (MAX_BYTES - HEADER.size) // MEMBER.size  # that one BEAT names
+MAX_DRAINS = (MAX_BYTES - HEADER.size - REPLY_HEADER.size) // DRAIN.size  # that one TELL names
+MAX_PARTS = 8
+MAX_AGE_STEPS = (1 << 16) - 1
+MAX_REVISION = (1 << 64) - 1
 
 
 class Malformed(ValueError):
@@ -66,8 +66,8 @@
     """One agent as a digest has it."""
 
     agent: int
-    life: Incarnation
-    beat: int
+    incarnation: Incarnation
+    heartbeat: int
     age: int = 0  # in 0.1 s: since the teller heard of that beat, and who told it before
 
 
@@ -83,17 +83,17 @@
 class Message:
     kind: int
     sender: int
-    life: Incarnation
-    beat: int
+    incarnation: Incarnation
+    heartbeat: int
     remembers: bool
     revision: int  # the highest that the sender has seen; 0: none
     members: tuple[Member, ...] = ()
     nonce: int = 0
     part: int = 0
     parts: int = 1
-    standing: int = 0
+    alive: int = 0
     known: Incarnation = field(default=Incarnation(0, 0))  # as which the asker is known; (0, 0): not at all
-    known_beat: int = 0  # of that life, the last one heard
+    known_heartbeat: int = 0  # of that life, the last one heard
     drains: tuple[Drain, ...] = ()
     mets: tuple[Observation, ...] = ()
     counts: tuple[Count, ...] = ()
@@ -102,89 +102,98 @@
     amount: int = 0  # thousandths of an own share
 
 
-def written(m: Message) -> bytes:
+def encode(m: Message) -> bytes:
     """The datagram; what doesn't fit is the writer's fault and raises struct.error or ValueError."""
-    text = HEAD.pack(
-        FORM,
+    text = HEADER.pack(
+        FORMAT,
         m.kind,
         m.sender,
-        m.life.number,
-        m.life.token,
-        m.beat & 0xFFFFFFFF,
-        REMEMBERS if m.remembers else 0,
-        min(m.revision, MOST_REVISION),
+        m.incarnation.number,
+        m.incarnation.token,
+        m.heartbeat & 0xFFFFFFFF,
+        FLAG_REMEMBERS if m.remembers else 0,
+        min(m.revision, MAX_REVISION),
     )
-    if m.kind == BEAT:
+    if m.kind == HEARTBEAT:
         text += b"".join(
-            MEMBER.pack(e.agent, e.life.number, e.life.token, e.beat & 0xFFFFFFFF, min(e.age, MOST_AGE))
+            MEMBER.pack(
+                e.agent,
+                e.incarnation.number,
+                e.incarnation.token,
+                e.heartbeat & 0xFFFFFFFF,
+                min(e.age, MAX_AGE_STEPS),
+            )
             for e in m.members
         )
-    elif m.kind == NEWS:
+    elif m.kind == UPDATE:
         mets = [
-            MET_ROW.pack(
-                e.teller,
+            OBSERVATION_ROW.pack(
+                e.reporter,
                 e.zone,
                 e.backend,
                 e.boot,
-                min(255, int(e.figure * STEP)),
-                min(MOST_AGE, int(e.age / AGE)),
+                min(255, int(e.relative_latency * LATENCY_STEPS_PER_SLO)),
+                min(MAX_AGE_STEPS, int(e.age / AGE_STEP_MS)),
             )
             for e in m.mets
         ]
         counts = [
             COUNT_ROW.pack(
                 e.agent,
-                e.life,
+                e.incarnation,
                 e.cell,
                 e.total & 0xFFFFFFFF,
-                int(e.stamp / AGE) & 0xFFFFFFFF,
-                min(MOST_AGE, int(e.age / AGE)),
+                int(e.stamp / AGE_STEP_MS) & 0xFFFFFFFF,
+                min(MAX_AGE_STEPS, int(e.age / AGE_STEP_MS)),
             )
             for e in m.counts
         ]
         stood = [
-            STOOD_ROW.pack(
-                e.teller, e.backend, min(MOST_AGE, int(e.first / AGE)), min(MOST_AGE, int(e.last / AGE))
+            UPTIME_ROW.pack(
+                e.reporter,
+                e.backend,
+                min(MAX_AGE_STEPS, int(e.first / AGE_STEP_MS)),
+                min(MAX_AGE_STEPS, int(e.last / AGE_STEP_MS)),
             )
             for e in m.stood
         ]
         for kind, size, rows in (
-            (MET, MET_ROW.size, mets),
+            (OBSERVATION, OBSERVATION_ROW.size, mets),
             (COUNT, COUNT_ROW.size, counts),
-            (STOOD, STOOD_ROW.size, stood),
+            (UPTIME, UPTIME_ROW.size, stood),
         ):
             text += SECTION.pack(kind, len(rows), size) + b"".join(rows) if rows else b""
-    elif m.kind in (WANT, GRANT):
-        text += SHARE.pack(m.nonce, m.budget, m.amount)
-    elif m.kind == ASK:
-        text += NONCE.pack(m.nonce)
+    elif m.kind in (BORROW, GRANT):
+        text += LOAN.pack(m.nonce, m.budget, m.amount)
+    elif m.kind == QUERY:
+        text += NONCE_FIELD.pack(m.nonce)
     else:
-        text += PART.pack(
-            m.nonce, m.part, m.parts, m.standing, m.known.number, m.known.token, m.known_beat & 0xFFFFFFFF
+        text += REPLY_HEADER.pack(
+            m.nonce, m.part, m.parts, m.alive, m.known.number, m.known.token, m.known_heartbeat & 0xFFFFFFFF
         )
         text += b"".join(DRAIN.pack(d.backend, d.boot) for d in m.drains)
-    if len(text) > MOST:
+    if len(text) > MAX_BYTES:
         raise ValueError(f"{len(text)} bytes")
     return text
 
 
-def read(data: bytes) -> Message:
+def decode(data: bytes) -> Message:
     """What a datagram says; Malformed where it says nothing."""
-    if len(data) < HEAD.size or len(data) > MOST:
+    if len(data) < HEADER.size or len(data) > MAX_BYTES:
         raise Malformed("length")
-    form, kind, sender, number, token, beat, flags, revision = HEAD.unpack_from(data)
-    if form != FORM:
+    form, kind, sender, number, token, heartbeat, flags, revision = HEADER.unpack_from(data)
+    if form != FORMAT:
         raise Malformed(f"form {form}")
     head = {
         "kind": kind,
         "sender": sender,
-        "life": Incarnation(number, token),
-        "beat": beat,
-        "remembers": bool(flags & REMEMBERS),
+        "incarnation": Incarnation(number, token),
+        "heartbeat": heartbeat,
+        "remembers": bool(flags & FLAG_REMEMBERS),
         "revision": revision,
     }
-    rest = data[HEAD.size :]
-    if kind == BEAT:
+    rest = data[HEADER.size :]
+    if kind == HEARTBEAT:
         if len(rest) % MEMBER.size:
             raise Malformed("members")
         return Message(
@@ -193,26 +202,26 @@
                 Member(a, Incarnation(n, t), b, age) for a, n, t, b, age in MEMBER.iter_unpack(rest)
             ),
         )
-    if kind == NEWS:
+    if kind == UPDATE:
         return Message(**head, **_news(rest))
-    if kind in (WANT, GRANT) and len(rest) >= SHARE.size:
-        nonce, budget, amount = SHARE.unpack_from(rest)
+    if kind in (BORROW, GRANT) and len(rest) >= LOAN.size:
+        nonce, budget, amount = LOAN.unpack_from(rest)
         return Message(**head, nonce=nonce, budget=budget, amount=amount)
-    if kind == ASK and len(rest) == NONCE.size:
-        return Message(**head, nonce=NONCE.unpack(rest)[0])
-    if kind == TELL and len(rest) >= PART.size and (len(rest) - PART.size) % DRAIN.size == 0:
-        nonce, part, parts, standing, known, known_token, known_beat = PART.unpack_from(rest)
-        if not part < parts <= MOST_PARTS:
+    if kind == QUERY and len(rest) == NONCE_FIELD.size:
+        return Message(**head, nonce=NONCE_FIELD.unpack(rest)[0])
+    if kind == REPLY and len(rest) >= REPLY_HEADER.size and (len(rest) - REPLY_HEADER.size) % DRAIN.size == 0:
+        nonce, part, parts, alive, known, known_token, known_heartbeat = REPLY_HEADER.unpack_from(rest)
+        if not part < parts <= MAX_PARTS:
             raise Malformed("parts")
         return Message(
             **head,
             nonce=nonce,
             part=part,
             parts=parts,
-            standing=standing,
+            alive=alive,
             known=Incarnation(known, known_token),
-            known_beat=known_beat,
-            drains=tuple(Drain(b, boot) for b, boot in DRAIN.iter_unpack(rest[PART.size :])),
+            known_heartbeat=known_heartbeat,
+            drains=tuple(Drain(b, boot) for b, boot in DRAIN.iter_unpack(rest[REPLY_HEADER.size :])),
         )
     raise Malformed(f"kind {kind}")
 
@@ -229,17 +238,23 @@
         at += SECTION.size
         if not size or at + rows * size > len(rest):
             raise Malformed("rows")
-        known = {MET: MET_ROW, COUNT: COUNT_ROW, STOOD: STOOD_ROW}.get(kind)
+        known = {OBSERVATION: OBSERVATION_ROW, COUNT: COUNT_ROW, UPTIME: UPTIME_ROW}.get(kind)
         if known is not None and size >= known.size:
             for row in (known.unpack_from(rest, at + i * size) for i in range(rows)):
-                if kind == MET:
-                    teller, zone, backend, boot, figure, age = row
-                    mets.append(Observation(teller, zone, backend, boot, figure / STEP, age * AGE))
-                elif kind == STOOD:
-                    teller, backend, first, last = row
-                    stood.append(Uptime(teller, backend, first * AGE, last * AGE))
+                if kind == OBSERVATION:
+                    reporter, zone, backend, boot, figure, age = row
+                    mets.append(
+                        Observation(
+                            reporter, zone, backend, boot, figure / LATENCY_STEPS_PER_SLO, age * AGE_STEP_MS
+                        )
+                    )
+                elif kind == UPTIME:
+                    reporter, backend, first, last = row
+                    stood.append(Uptime(reporter, backend, first * AGE_STEP_MS, last * AGE_STEP_MS))
                 else:
-                    agent, life, cell, total, stamp, age = row
-                    counts.append(Count(agent, life, cell, total, stamp * AGE, age * AGE))
+                    agent, incarnation, cell, total, stamp, age = row
+                    counts.append(
+                        Count(agent, incarnation, cell, total, stamp * AGE_STEP_MS, age * AGE_STEP_MS)
+                    )
         at += rows * size
     return {"mets": tuple(mets), "counts": tuple(counts), "stood": tuple(stood)}
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -18,13 +18,13 @@
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation, OwnIncarnation
-from lupinreach.fleet.membership import NOBODY, Members, SelfStatus
+from lupinreach.fleet.membership import NEVER_HEARD, Members, SelfStatus
 from lupinreach.fleet.recovery import (
-    ASKED,
+    QUERIED_PEERS,
     RESET_AFTER,
-    Asking,
-    Drains,
-    Floor,
+    DrainSet,
+    PeerQuery,
+    RevisionFloor,
     Stage,
     StageLimits,
     StartupFacts,
@@ -70,15 +70,15 @@
         self._config = config
         self._me = settings.me
         self._seed = agent.config.seed
-        self._drawn = 0
+        self._draws = 0
         now = agent.clock.now()
         kept = trust.restorable(found.state)
         self._token = token if token is not None else int.from_bytes(os.urandom(4), "big")
         life = _whole(kept.get("life"))
         self.own = OwnIncarnation(life, self._token, _beat(kept.get("beat"), life))
-        self.members = Members(self._me, settings.agents, config.beat, self._chance)
-        self.floor = Floor(_whole(kept.get("floor")), settings.rules.ask_within)
-        self.drains = Drains(_drains(kept))
+        self.members = Members(self._me, settings.agents, config.beat, self._draw)
+        self.floor = RevisionFloor(_whole(kept.get("floor")), settings.rules.ask_within)
+        self.drains = DrainSet(_drains(kept))
         self.returned = StartupSequence(
             now,
             StageLimits(
@@ -99,7 +99,7 @@
         self._seen = dict(
             _seen(kept.get("seen"), settings.agents)
         )  # of the agents before it, as far as `WITNESSES`
-        self._asking: Asking | None = None
+        self._asking: PeerQuery | None = None
         self._synced: asyncio.Task[None] | None = None  # the last writing
         self._marking: asyncio.Task[None] | None = None  # the last mark after payments
         self._asked = False
@@ -112,27 +112,27 @@
                 agent,
                 config,
                 self.members,
-                lambda: (self.own.life.number, self.own.superseded),
+                lambda: (self.own.incarnation.number, self.own.superseded),
                 lambda peer, kind, more: self._send(peer, self._message(kind, **more)),
-                self._chance,
+                self._draw,
             )
             agent.tasks.spawn("sharing", self.sharing.run())
-        store.put("life", self.own.life.number)
+        store.put("life", self.own.incarnation.number)
         self._put_beat()
         agent.hears, agent.sees, agent.tells = self.hear, self.see, self.figures
         agent.directory.older = self.older
         agent.standing.returning = not self.returned.ready
 
-    def _chance(self) -> float:
-        self._drawn += 1
-        return crc32(b"fleet:%d:%d" % (self._seed, self._drawn)) * 2654435761 % 2**32 / 2**32
+    def _draw(self) -> float:
+        self._draws += 1
+        return crc32(b"fleet:%d:%d" % (self._seed, self._draws)) * 2654435761 % 2**32 / 2**32
 
     # What is believed of lists.
 
     def older(self, version: int) -> bool:
         """If the registry that speaks with this version is older than what is known of it."""
         before = self.floor.revision
-        older = self.floor.older(self._agent.clock.now(), version)
+        older = self.floor.is_older(self._agent.clock.now(), version)
         if older:
             self._agent.counters.others["fleet: older lists"] += 1
         elif self.floor.revision < before:
@@ -143,7 +143,7 @@
     def see(self, news: UpdateKind, entries: list[Listing], older: bool) -> list[Listing]:
         """A list as the module is to have it: what drains doesn't become ready by an older one."""
         if news is UpdateKind.CACHED:
-            self.floor.raised(self._agent.directory.version)
+            self.floor.raise_to(self._agent.directory.version)
         spoken = news is not UpdateKind.CACHED and not older
         named = {e.backend for e in entries}
         if news is UpdateKind.FULL:
@@ -157,7 +157,7 @@
                 self._raw[e.backend] = e
             if e.state is ListedState.DRAINING:
                 drain = _drain(e)
-                if self.drains.told(drain):
+                if self.drains.add(drain):
                     self._store.put(f"drain/{drain.backend}", drain.boot)
                     self._sync()  # guards against a power loss before the next beat: others have it of their disks alone
             elif spoken:
@@ -181,12 +181,12 @@
         ]
 
     def _lifted(self, e: Listing) -> None:
-        if self.drains.lifted(e.name, int(e.boot_time)):
+        if self.drains.lift(e.name, int(e.boot_time)):
             self._store.put(f"drain/{e.name}", None)
 
     def _to_hold(self) -> set[int]:
         ready = {_drain(e): e.backend for e in self._raw.values() if e.state is ListedState.READY}
-        names = self.drains.held(ready)
+        names = self.drains.withheld(ready)
         return {index for drain, index in ready.items() if drain.backend in names}
 
     def _hold(self) -> None:
@@ -217,7 +217,7 @@
         """A datagram has come from the address of that peer's."""
         others, now = self._agent.counters.others, self._agent.clock.now()
         try:
-            m = wire.read(data)
+            m = wire.decode(data)
         except wire.Malformed:
             others["fleet: malformed"] += 1
             return
@@ -226,29 +226,29 @@
             others["fleet: from a wrong address"] += 1
             return
         known = self._known(sender)  # before this word, which is of its new life
-        self.members.heard(now, sender, m.life, m.beat, m.members)
+        self.members.receive(now, sender, m.incarnation, m.heartbeat, m.members)
         if m.remembers:
-            self.floor.claimed(sender, m.revision)
-        mine = [(e.life, e.beat) for e in m.members if e.agent == self._me]
-        if m.kind == wire.TELL and m.known.number:
-            mine.append((m.known, m.known_beat))
+            self.floor.add_claim(sender, m.revision)
+        mine = [(e.incarnation, e.heartbeat) for e in m.members if e.agent == self._me]
+        if m.kind == wire.REPLY and m.known.number:
+            mine.append((m.known, m.known_heartbeat))
         for life, beat in mine:
-            if self.own.hear(sender, life, beat):
-                self._store.put("life", self.own.life.number)
+            if self.own.observe(sender, life, beat):
+                self._store.put("life", self.own.incarnation.number)
                 self._put_beat()
         if (
             self.sharing is not None
-            and m.kind in (wire.NEWS, wire.WANT, wire.GRANT)
+            and m.kind in (wire.UPDATE, wire.BORROW, wire.GRANT)
             and not self.own.superseded
         ):
             self.sharing.hear(m)
-        elif m.kind == wire.ASK and not self.own.superseded:
+        elif m.kind == wire.QUERY and not self.own.superseded:
             self._answer(m, known)
-        elif m.kind == wire.BEAT and not m.members and sender in self._witnesses(-1):
+        elif m.kind == wire.HEARTBEAT and not m.members and sender in self._witnesses(-1):
             self._bear_witness()
             self._sync()
-        elif m.kind == wire.TELL and self._asking is not None and self._asking.hear(m):
-            self.drains.claimed(sender, m.drains)
+        elif m.kind == wire.REPLY and self._asking is not None and self._asking.add_answer(m):
+            self.drains.add_claims(sender, m.drains)
             if self._asked:
                 self._hold()
 
@@ -256,30 +256,32 @@
         return Message(
             kind,
             self._me,
-            self.own.life,
-            self.members.beat,
+            self.own.incarnation,
+            self.members.heartbeat,
             self.floor.revision > 0,
             self.floor.revision,
             **more,
         )  # type: ignore[arg-type]
 
     def _send(self, peer: int, message: Message) -> None:
-        self._agent.peers.send(peer, wire.written(message))
+        self._agent.peers.send(peer, wire.encode(message))
 
     def _answer(self, m: Message, known: tuple[Incarnation, int]) -> None:
-        drains = self.drains.all()[: wire.DRAINS * wire.MOST_PARTS]
-        parts = [tuple(drains[i : i + wire.DRAINS]) for i in range(0, len(drains), wire.DRAINS)] or [()]
+        drains = self.drains.all()[: wire.MAX_DRAINS * wire.MAX_PARTS]
+        parts = [tuple(drains[i : i + wire.MAX_DRAINS]) for i in range(0, len(drains), wire.MAX_DRAINS)] or [
+            ()
+        ]
         for i, part in enumerate(parts):
             self._send(
                 m.sender,
                 self._message(
-                    wire.TELL,
+                    wire.REPLY,
                     nonce=m.nonce,
                     part=i,
                     parts=len(parts),
-                    standing=self.members.count(self._agent.clock.now()),
+                    alive=self.members.alive_count(self._agent.clock.now()),
                     known=known[0],
-                    known_beat=known[1],
+                    known_heartbeat=known[1],
                     drains=part,
                 ),
             )
@@ -289,11 +291,13 @@
         now = self._agent.clock.now()
         return {
             "stage": self.returned.stage.name.lower(),
-            "life": self.own.life.number,
+            "life": self.own.incarnation.number,
             "superseded": self.own.superseded,
-            "own": self.members.own(now).value,
-            "standing": self.members.count(now),
-            "agents": {str(n): [life.number, standing.value] for n, life, standing in self.members.all(now)},
+            "own": self.members.self_status(now).value,
+            "standing": self.members.alive_count(now),
+            "agents": {
+                str(n): [life.number, standing.value] for n, life, standing in self.members.statuses(now)
+            },
             "floor": self.floor.revision,
             "list": self._agent.directory.version,
             "drains": [d.backend for d in self.drains.all()],
@@ -311,38 +315,44 @@
         # writing goes on by itself, since one that is broken off would forget what it was to write.
         if not (await asyncio.wait({self._sync()}, timeout=self._config.ask / 1000))[0]:
             self._agent.counters.others["fleet: life not synced in time"] += 1
-        await asyncio.sleep(SPREAD * self._config.ask * self._chance() / 1000)
-        self._asking = Asking(clock.now(), self._to_ask(), self._token, self._config.ask)
+        await asyncio.sleep(SPREAD * self._config.ask * self._draw() / 1000)
+        self._asking = PeerQuery(clock.now(), self._to_ask(), self._token, self._config.ask)
         self._step()
         self._ask()
-        while not self._asking.over(clock.now()):
+        while not self._asking.is_over(clock.now()):
             await asyncio.sleep(self._config.ask / 20000)
         self._conclude()
         log.event(
             "asked",
             peers=len(self._asking.peers),
             answered=len(self._asking.answers),
-            life=[self.own.life.number, self.own.life.token],
+            life=[self.own.incarnation.number, self.own.incarnation.token],
             floor=self.floor.revision,
-            standing=self._asking.standing(),
+            standing=self._asking.alive(),
             held=len(self._held),
         )
-        said = SelfStatus.SOUND, False
+        said = SelfStatus.HEALTHY, False
         while True:
-            await asyncio.sleep(self._config.beat * (1 + JITTER * (self._chance() - 0.5)) / 1000)
+            await asyncio.sleep(self._config.beat * (1 + JITTER * (self._draw() - 0.5)) / 1000)
             now = clock.now()
-            self.members.look(now)
+            self.members.tick(now)
             self._put_beat()
             self._bear_witness()
-            if not self.own.superseded and now < self._claims_until and self.members.beat % ASK_AGAIN == 0:
+            if (
+                not self.own.superseded
+                and now < self._claims_until
+                and self.members.heartbeat % ASK_AGAIN == 0
+            ):
                 self._ask()  # guards against a cut that was there while it asked: what drains is known behind it
             self._step()
-            if (self.members.own(now), self.own.superseded) != said:
-                said = self.members.own(now), self.own.superseded
-                log.event("fleet", own=said[0].value, superseded=said[1], standing=self.members.count(now))
+            if (self.members.self_status(now), self.own.superseded) != said:
+                said = self.members.self_status(now), self.own.superseded
+                log.event(
+                    "fleet", own=said[0].value, superseded=said[1], standing=self.members.alive_count(now)
+                )
             if not self.own.superseded:
-                for peer in self.members.targets():
-                    self._send(peer, self._message(wire.BEAT, members=self.members.digest(now)))
+                for peer in self.members.draw_targets():
+                    self._send(peer, self._message(wire.HEARTBEAT, members=self.members.digest(now)))
             self._sync()
 
     def _sync(self) -> asyncio.Task[None]:
@@ -365,11 +375,11 @@
     async def _mark(self) -> None:
         await asyncio.sleep(MARK * self._config.beat / 1000)
         # By two, and synced before it is told: the disk held the next one before.
-        self.members.beat += 2
+        self.members.heartbeat += 2
         self._put_beat()
         if await self._store.flush() and self.own.settled and not self.own.superseded:
             for peer in self._witnesses(1):
-                self._send(peer, self._message(wire.BEAT))
+                self._send(peer, self._message(wire.HEARTBEAT))
 
     def _witnesses(self, step: int) -> list[int]:
         """Agents after this one, which keep its beats (1), or before it, of which it does (-1)."""
@@ -378,15 +388,15 @@
 
     def _put_beat(self) -> None:
         """The next one, so that by the time it is told it is synced: peers know of none that the disk doesn't."""
-        self._store.put("beat", [self.own.life.number, self.members.beat + 1])
+        self._store.put("beat", [self.own.incarnation.number, self.members.heartbeat + 1])
 
     def _known(self, agent: int) -> tuple[Incarnation, int]:
-        return max(self.members.met(agent), self._seen.get(agent, NOBODY))
+        return max(self.members.latest(agent), self._seen.get(agent, NEVER_HEARD))
 
     def _bear_witness(self) -> None:
         """Keep what is known of a few others: where all lose power, their disks are held against it."""
         for agent in self._witnesses(-1):
-            if (known := self._known(agent)) != NOBODY:
+            if (known := self._known(agent)) != NEVER_HEARD:
                 self._seen[agent] = known
         self._store.put(
             "seen",
@@ -397,7 +407,7 @@
         """Those that haven't answered."""
         for peer in self._asking.peers if self._asking else ():
             if peer not in self._asking.answers:
-                self._send(peer, self._message(wire.ASK, nonce=self._token))
+                self._send(peer, self._message(wire.QUERY, nonce=self._token))
 
     def _to_ask(self) -> list[int]:
         """Its witnesses, and any others."""
@@ -405,7 +415,8 @@
         first = self._witnesses(1)
         others = [n for n in range(agents) if n != self._me and n not in first]
         return first + [
-            others.pop(int(self._chance() * len(others))) for _ in range(min(ASKED - len(first), len(others)))
+            others.pop(int(self._draw() * len(others)))
+            for _ in range(min(QUERIED_PEERS - len(first), len(others)))
         ]
 
     def _conclude(self) -> None:
@@ -422,7 +433,7 @@
         now, directory = self._agent.clock.now(), self._agent.directory
         current = directory.age is not None and directory.version >= self.floor.revision
         self._registry = self._registry or current
-        if current and now >= self._claims_until and self.drains.settled():
+        if current and now >= self._claims_until and self.drains.drop_claims():
             self._hold()
         ready = [e for e in self._raw.values() if e.state is ListedState.READY]
         cold = sum(e.boot_time > 0 and now < e.boot_time + self._cold for e in ready)
@@ -446,7 +457,7 @@
 
 
 def _whole(value: object) -> int:
-    return value if type(value) is int and 0 <= value <= wire.MOST_REVISION else 0
+    return value if type(value) is int and 0 <= value <= wire.MAX_REVISION else 0
 
 
 def _beat(value: object, life: int) -> int:
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -15,9 +15,9 @@
 from lupinreach.config import FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.counts import Counts
-from lupinreach.fleet.grants import LEASE, Budget
+from lupinreach.fleet.grants import LEASE_HEARTBEATS, Budget
 from lupinreach.fleet.membership import Members
-from lupinreach.fleet.observations import Observation, Observations, boot_mark
+from lupinreach.fleet.observations import Observation, Observations, boot_hash
 from lupinreach.fleet.uptimes import Uptimes
 from lupinreach.fleet.wire import Message
 from lupinreach.model import SharedEstimates
@@ -53,7 +53,7 @@
         members: Members,
         me: Callable[[], tuple[int, bool]],
         send: Callable[[int, int, dict[str, object]], None],
-        chance: Callable[[], float],
+        draw: Callable[[], float],
     ) -> None:
         """`me` gives this agent's life and if a newer one has taken its place; `send` a peer, a kind and what is said."""
         settings = agent.config.settings
@@ -63,37 +63,37 @@
         self._members = members
         self._self = me
         self._send = send
-        self._chance = chance
+        self._draw = draw
         slo = max(p.slo for p in settings.products) or settings.longest_wait / 2
-        self.observations = Observations(settings.me, settings.zone, slo, chance)
-        self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, chance)
-        self.uptimes = Uptimes(settings.me, settings.rules.cold, chance)
+        self.observations = Observations(settings.me, settings.zone, slo, draw)
+        self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, draw)
+        self.uptimes = Uptimes(settings.me, settings.rules.cold, draw)
         self._fractions = [c.fraction for c in settings.customers]
         self._hold = EJECTION_SLOS * slo
         self._backends = 0
         self.trials: Budget | None = None  # from the first list on, by whose length the fleet's trials go
-        self._lease = LEASE * config.beat
+        self._lease = LEASE_HEARTBEATS * config.beat
         self._began = self._heard_at = now
         self._count = 0  # questions of this life
         self.stage = Silence.FRESH
         if settings.customers:
-            agent.serving.took = self.counts.took
+            agent.serving.took = self.counts.record_call
 
     # Datagrams.
 
     def hear(self, m: Message) -> None:
         now = self._agent.clock.now()
-        if m.kind == wire.NEWS:
+        if m.kind == wire.UPDATE:
             self._heard_at = now
-            self.observations.heard(now, m.mets)
-            self.counts.heard(now, m.counts)
-            self.uptimes.heard(now, m.stood)
+            self.observations.receive(now, m.mets)
+            self.counts.receive(now, m.counts)
+            self.uptimes.receive(now, m.stood)
         elif self.trials is not None and m.budget == TRIALS:
             own = self.trials.own
-            if m.kind == wire.WANT:
+            if m.kind == wire.BORROW:
                 spare = self.trials.usable(now) - self._wants()
                 amount = self.trials.grant(
-                    now, m.sender, m.life.number, m.nonce, m.amount / 1000 * own, spare
+                    now, m.sender, m.incarnation.number, m.nonce, m.amount / 1000 * own, spare
                 )
                 if amount:
                     self._send(
@@ -123,8 +123,8 @@
             else Silence.ALONE
         )
         met = balancer.relative_latencies()
-        known = {(b.name, boot_mark(b.boot_time)): (b, figure) for b, figure in met}
-        self.observations.own(
+        known = {(b.name, boot_hash(b.boot_time)): (b, figure) for b, figure in met}
+        self.observations.record_own(
             now,
             [
                 Observation(
@@ -134,17 +134,19 @@
                 if b.latency_ms[0] is not None
             ],
         )
-        self.observations.look(now, known)
-        self.counts.look(now, self._self()[0], now - self._began)
+        self.observations.expire(now, known)
+        self.counts.refresh(now, self._self()[0], now - self._began)
         self._budget(now, len(met))
         young = {b.name: b for b in balancer.recently_started(now)}
-        self.uptimes.own(now, {name: (b.up_since, b.observed_at) for name, b in young.items() if b.up_since})
-        self.uptimes.look(now, young)
+        self.uptimes.record_own(
+            now, {name: (b.up_since, b.observed_at) for name, b in young.items() if b.up_since}
+        )
+        self.uptimes.expire(now, young)
         own = {key: (figure, b.observed_at) for key, (b, figure) in known.items()}
-        dearer = {name: factor for (name, _), factor in self.observations.factors(now, own).items()}
+        dearer = {name: factor for (name, _), factor in self.observations.cost_factors(now, own).items()}
         due = frozenset(
             name
-            for (name, boot), (figure, _) in self.observations.said(now, own).items()
+            for (name, boot), (figure, _) in self.observations.estimates(now, own).items()
             if figure < WELL and any(known[name, boot][0].ejected_until)
         )
         balancer.apply_shared(
@@ -188,12 +190,12 @@
             "rows": len(self.observations),
             "counts": len(self.counts),
             "stood": len(self.uptimes),
-            "refused": self.observations.refused + self.counts.refused + self.uptimes.refused,
+            "refused": self.observations.rejected + self.counts.rejected + self.uptimes.rejected,
             "dearer": {str(b.name): round(b.cost_factor, 2) for b, _ in met if b.cost_factor > 1},
             "customers_per_s": [round(rate, 2) for rate in self.counts.rates(now)],
             "over": sorted(self._over(now) or ()),
             "trials_per_s": None if self.trials is None else round(self.trials.usable(now), 4),
-            "leases": None if self.trials is None else self.trials.out,
+            "leases": None if self.trials is None else self.trials.lease_counts,
         }
 
     # From start to end.
@@ -201,7 +203,7 @@
     async def run(self) -> None:
         said = Silence.FRESH
         while True:
-            await asyncio.sleep(self._config.share * (1 + JITTER * (self._chance() - 0.5)) / 1000)
+            await asyncio.sleep(self._config.share * (1 + JITTER * (self._draw() - 0.5)) / 1000)
             self.update()
             if self.stage is not said:
                 said = self.stage
@@ -209,22 +211,26 @@
             if self._self()[1]:
                 continue  # a newer process of this agent speaks for it
             now = self._agent.clock.now()
-            for peer in self._members.targets():
-                self._send(peer, wire.NEWS, self._news(now))
+            for peer in self._members.draw_targets():
+                self._send(peer, wire.UPDATE, self._news(now))
             if self.trials is not None and self._wants() > self.trials.usable(now):
                 self._count += 1
                 # Guards against a late answer to a question of the life before, which would pass its owner's lease.
                 number = (self._self()[0] & 0xFFFF) << 16 | self._count & 0xFFFF
                 self.trials.ask(now, number)
                 self._send(
-                    self._members.targets()[0], wire.WANT, {"nonce": number, "budget": TRIALS, "amount": 1000}
+                    self._members.draw_targets()[0],
+                    wire.BORROW,
+                    {"nonce": number, "budget": TRIALS, "amount": 1000},
                 )
 
     def _news(self, now: float) -> dict[str, object]:
         """As much as a datagram takes: half of it for who stands, where there is so much, half of the rest for each of the others."""
-        stood = self.uptimes.digest(now, wire.NEWS_ROOM // 2 // wire.STOOD_ROW.size)
-        room = wire.NEWS_ROOM - len(stood) * wire.STOOD_ROW.size
+        stood = self.uptimes.digest(now, wire.UPDATE_ROW_BYTES // 2 // wire.UPTIME_ROW.size)
+        room = wire.UPDATE_ROW_BYTES - len(stood) * wire.UPTIME_ROW.size
         counts = min(len(self.counts), room // 2 // wire.COUNT_ROW.size)
-        mets = self.observations.digest(now, (room - counts * wire.COUNT_ROW.size) // wire.MET_ROW.size)
-        left = room - len(mets) * wire.MET_ROW.size
+        mets = self.observations.digest(
+            now, (room - counts * wire.COUNT_ROW.size) // wire.OBSERVATION_ROW.size
+        )
+        left = room - len(mets) * wire.OBSERVATION_ROW.size
         return {"stood": stood, "mets": mets, "counts": self.counts.digest(now, left // wire.COUNT_ROW.size)}
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -52,7 +52,7 @@
             # By the longest list that any of them has: who hears of fewer backends has a smaller part.
             total = self.agents * max(p.trials.own for p in self.parts.values() if p.trials is not None)
             most["trials"] = max(most["trials"], sum(uses) / grants.upper_bound(total, self.agents) / EXACT)
-            most["lent"] += part.trials.out[0]
+            most["lent"] += part.trials.lease_counts[0]
         factors = [b.cost_factor for b, _ in part._agent.balancer.relative_latencies()]
         if factors:
             moved = sum(1 - 1 / f for f in factors) / len(factors)
--- a/lupinreach/trial/models/lending.py
+++ b/lupinreach/trial/models/lending.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from lupinreach.fleet import grants
-from lupinreach.fleet.grants import DRIFT, FLOOR, Budget
+from lupinreach.fleet.grants import DRIFT, UNLENT_SHARE, Budget
 
 LEASE, TOTAL, AGENTS = 8.0, 3.0, 3
 EXACT = 1e-9
@@ -104,7 +104,7 @@
         uses = [b.usable(self.now(n)) for n, b in enumerate(self.budgets)]
         if sum(uses) > grants.upper_bound(TOTAL, AGENTS) + EXACT:
             return f"{sum(uses):.3f} of {TOTAL}"
-        if min(uses) < FLOOR * TOTAL / AGENTS - EXACT:
+        if min(uses) < UNLENT_SHARE * TOTAL / AGENTS - EXACT:
             return f"{min(uses):.3f} under the floor"
         return None
 
--- a/lupinreach/trial/models/lives.py
+++ b/lupinreach/trial/models/lives.py
@@ -64,11 +64,14 @@
         one.settled, one.superseded = settled, silent
         known = s.peers[to]
         if known is not None and self._raises:
-            one.hear(to, Incarnation(*known))
-        running = (*s.running[:-1], (one.life.number, one.life.token, process, one.settled, one.superseded))
+            one.observe(to, Incarnation(*known))
+        running = (
+            *s.running[:-1],
+            (one.incarnation.number, one.incarnation.token, process, one.settled, one.superseded),
+        )
         if one.superseded:
             return replace(s, running=running)
-        life = one.life.number, one.life.token
+        life = one.incarnation.number, one.incarnation.token
         twice = next((n for n, mark, other in s.said if (n, mark) == life and other != process), s.twice)
         peers = tuple(max(life, p or (0, 0)) if i == to else p for i, p in enumerate(s.peers))
         return replace(s, running=running, said=s.said | {(*life, process)}, peers=peers, twice=twice)
--- a/lupinreach/trial/models/order.py
+++ b/lupinreach/trial/models/order.py
@@ -61,7 +61,7 @@
         elif one.ready != (one.stage >= Stage.LISTENING):
             wrong = "says ready, or not, at the wrong stage"
         elif one.stage is state.stage is not Stage.FULL and state.stayed + 1 >= getattr(
-            STAYS, STAGE_TABLE[one.stage].longest
+            STAYS, STAGE_TABLE[one.stage].limit
         ):
             wrong = f"stays in {one.stage.name.lower()} too long"
         return State(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,21 +6,27 @@
 from hypothesis import strategies as some
 
 from lupinreach.fleet import wire
-from lupinreach.fleet.incarnation import MOST_JUMP, Incarnation, OwnIncarnation, credible_number
-from lupinreach.fleet.membership import NOBODY, SILENT, Members, MemberStatus, SelfStatus
+from lupinreach.fleet.incarnation import MAX_JUMP, Incarnation, OwnIncarnation, credible_number
+from lupinreach.fleet.membership import (
+    NEVER_HEARD,
+    SUSPECT_AFTER_HEARTBEATS,
+    Members,
+    MemberStatus,
+    SelfStatus,
+)
 from lupinreach.fleet.recovery import (
-    LONE,
-    MOST_DRAINS,
+    LONE_CLAIM_SHARE,
+    MAX_DRAINS,
     RESET_AFTER,
-    Asking,
-    Drains,
-    Floor,
+    DrainSet,
+    PeerQuery,
+    RevisionFloor,
     Stage,
     StageLimits,
     StartupFacts,
     StartupSequence,
 )
-from lupinreach.fleet.wire import ASK, BEAT, TELL, Drain, Malformed, Member, Message
+from lupinreach.fleet.wire import HEARTBEAT, QUERY, REPLY, Drain, Malformed, Member, Message
 from lupinreach.trial.models.lives import Lives
 from lupinreach.trial.models.order import STAYS, Order
 from lupinreach.trial.models.search import search
@@ -49,8 +55,8 @@
         (5, [9], 9),
         (5, [9, 2**31], 9),
         (5, [2**31, 2**31 - 3], 2**31 - 3),
-        (0, [MOST_JUMP], MOST_JUMP),
-        (0, [MOST_JUMP + 1], 0),
+        (0, [MAX_JUMP], MAX_JUMP),
+        (0, [MAX_JUMP + 1], 0),
         (3, [2**32 - 1, 2**32 - 1], 2**32 - 2),
     ],
 )
@@ -67,45 +73,51 @@
 
 def test_a_settled_process_that_hears_a_newer_one_falls_silent_and_doesn_t_outbid_it():
     one, two = OwnIncarnation(4, 11), OwnIncarnation(4, 22)
-    assert one.life < two.life == Incarnation(5, 22)
+    assert one.incarnation < two.incarnation == Incarnation(5, 22)
     one.settled = True
-    assert not one.hear(3, two.life) and one.superseded and one.life.number == 5
-    assert not two.hear(3, one.life) and not two.superseded
+    assert not one.observe(3, two.incarnation) and one.superseded and one.incarnation.number == 5
+    assert not two.observe(3, one.incarnation) and not two.superseded
     three = OwnIncarnation(2, 1)
-    assert three.hear(9, Incarnation(7, 5)) and three.life == Incarnation(8, 1) and not three.superseded
+    assert (
+        three.observe(9, Incarnation(7, 5))
+        and three.incarnation == Incarnation(8, 1)
+        and not three.superseded
+    )
     three.settled = True
-    three.hear(9, Incarnation(2**31, 5))
+    three.observe(9, Incarnation(2**31, 5))
     assert not three.superseded  # an absurd claim of one silences nobody
 
 
 # Datagrams.
 
 u8, u16, u32 = (some.integers(0, 2**bits - 1) for bits in (8, 16, 32))
-life = some.builds(Incarnation, u32, u32)
+incarnations = some.builds(Incarnation, u32, u32)
 head = {
     "sender": u16,
-    "life": life,
-    "beat": u32,
+    "incarnation": incarnations,
+    "heartbeat": u32,
     "remembers": some.booleans(),
     "revision": some.integers(0, 2**64 - 1),
 }
 messages = some.one_of(
     some.builds(
         Message,
-        kind=some.just(BEAT),
-        members=some.lists(some.builds(Member, u16, life, u32, u16), max_size=wire.MEMBERS).map(tuple),
+        kind=some.just(HEARTBEAT),
+        members=some.lists(some.builds(Member, u16, incarnations, u32, u16), max_size=wire.MAX_MEMBERS).map(
+            tuple
+        ),
         **head,
     ),
-    some.builds(Message, kind=some.just(ASK), nonce=u32, **head),
+    some.builds(Message, kind=some.just(QUERY), nonce=u32, **head),
     some.builds(
         Message,
-        kind=some.just(TELL),
+        kind=some.just(REPLY),
         nonce=u32,
         part=some.just(2),
         parts=some.integers(3, 8),
-        standing=u16,
-        known=life,
-        drains=some.lists(some.builds(Drain, u32, some.integers(0, 2**64 - 1)), max_size=wire.DRAINS).map(
+        alive=u16,
+        known=incarnations,
+        drains=some.lists(some.builds(Drain, u32, some.integers(0, 2**64 - 1)), max_size=wire.MAX_DRAINS).map(
             tuple
         ),
         **head,
@@ -116,15 +128,15 @@
 @played(max_examples=300, derandomize=True, deadline=None)
 @given(messages)
 def test_every_datagram_reads_back_and_fits(message):
-    data = wire.written(message)
-    assert len(data) <= 256 and wire.read(data) == message
+    data = wire.encode(message)
+    assert len(data) <= 256 and wire.decode(data) == message
 
 
 @played(max_examples=300, derandomize=True, deadline=None)
 @given(
     some.one_of(
         some.binary(max_size=300),
-        messages.map(wire.written).flatmap(
+        messages.map(wire.encode).flatmap(
             lambda d: some.tuples(some.integers(0, len(d)), some.integers(0, 255)).map(
                 lambda c: d[: c[0]] + bytes([c[1]]) + d[c[0] + 1 :]
             )
@@ -133,15 +145,15 @@
 )
 def test_no_bytes_do_anything_but_read_or_be_refused(data):
     try:
-        wire.read(data)
+        wire.decode(data)
     except Malformed:
         pass
 
 
 def test_a_datagram_with_too_much_in_it_is_the_writer_s_fault():
-    many = tuple(Member(n, Incarnation(1, 1), 1) for n in range(wire.MEMBERS + 1))
+    many = tuple(Member(n, Incarnation(1, 1), 1) for n in range(wire.MAX_MEMBERS + 1))
     with pytest.raises(ValueError, match="bytes"):
-        wire.written(Message(BEAT, 0, Incarnation(1, 1), 1, True, 1, members=many))
+        wire.encode(Message(HEARTBEAT, 0, Incarnation(1, 1), 1, True, 1, members=many))
 
 
 # Membership.
@@ -162,21 +174,27 @@
             for n, table in enumerate(self.tables):
                 if n not in self.up or self.sleeps(self.now, n):
                     continue
-                table.look(self.now)
-                for to in table.targets():
-                    data = wire.written(
+                table.tick(self.now)
+                for to in table.draw_targets():
+                    data = wire.encode(
                         Message(
-                            BEAT, n, Incarnation(1, n), table.beat, True, 1, members=table.digest(self.now)
+                            HEARTBEAT,
+                            n,
+                            Incarnation(1, n),
+                            table.heartbeat,
+                            True,
+                            1,
+                            members=table.digest(self.now),
                         )
                     )
                     assert len(data) <= 256
                     self.sent += 1
                     if to in self.up and self.passes(self.now, n, to) and not self.sleeps(self.now, to):
-                        m = wire.read(data)
-                        self.tables[to].heard(self.now, m.sender, m.life, m.beat, m.members)
+                        m = wire.decode(data)
+                        self.tables[to].receive(self.now, m.sender, m.incarnation, m.heartbeat, m.members)
 
     def views(self, of):
-        return [t.standing(self.now, of) for n, t in enumerate(self.tables) if n in self.up and n != of]
+        return [t.status(self.now, of) for n, t in enumerate(self.tables) if n in self.up and n != of]
 
 
 @pytest.mark.parametrize("agents", [3, 40, 80])
@@ -185,12 +203,12 @@
     silence = net.tables[0].silence
     warm = int(silence / BEAT_MS)
     net.beats(warm)
-    assert all(t.count(net.now) == agents for t in net.tables)
+    assert all(t.alive_count(net.now) == agents for t in net.tables)
     assert net.sent <= 2 * agents * warm  # two a beat each, whatever the fleet
     net.up.discard(1)
     net.beats(int(2 * silence / BEAT_MS) + 2)
-    assert set(net.views(1)) == {MemberStatus.GONE}
-    assert all(t.count(net.now) == agents - 1 for n, t in enumerate(net.tables) if n != 1)
+    assert set(net.views(1)) == {MemberStatus.DEAD}
+    assert all(t.alive_count(net.now) == agents - 1 for n, t in enumerate(net.tables) if n != 1)
 
 
 def test_a_deaf_agent_doubts_itself_and_not_the_others_and_so_does_a_sleeper():
@@ -201,96 +219,103 @@
     )
     net.beats(79)
     deaf = net.tables[4]
-    assert deaf.own(net.now) is SelfStatus.DEAF and deaf.count(net.now) == 12
+    assert deaf.self_status(net.now) is SelfStatus.ISOLATED and deaf.alive_count(net.now) == 12
     assert (
-        set(net.views(7)) <= {MemberStatus.GONE, MemberStatus.THERE}
-        and net.views(4).count(MemberStatus.THERE) >= 10
+        set(net.views(7)) <= {MemberStatus.DEAD, MemberStatus.ALIVE}
+        and net.views(4).count(MemberStatus.ALIVE) >= 10
     )
     net.beats(2)  # both are back
-    assert net.tables[7].own(net.now) is SelfStatus.LATE
-    assert net.tables[7].count(net.now) == 12 and deaf.count(net.now) == 12
+    assert net.tables[7].self_status(net.now) is SelfStatus.STALLED
+    assert net.tables[7].alive_count(net.now) == 12 and deaf.alive_count(net.now) == 12
     net.beats(20)
-    assert all(t.count(net.now) == 12 for t in net.tables)
+    assert all(t.alive_count(net.now) == 12 for t in net.tables)
 
 
 def test_two_halves_count_themselves_and_find_each_other_again():
     cut = Net(20, passes=lambda now, a, b: (a < 10) == (b < 10) or not 20_000 < now < 80_000)
     cut.beats(70)
-    assert {t.count(cut.now) for t in cut.tables} == {10}
+    assert {t.alive_count(cut.now) for t in cut.tables} == {10}
     cut.beats(25)
-    assert {t.count(cut.now) for t in cut.tables} == {20}
+    assert {t.alive_count(cut.now) for t in cut.tables} == {20}
 
 
 def test_silence_grows_with_the_fleet_alone():
     assert (
         Members(0, 3, BEAT_MS, drawn()).silence
         == Members(0, 28, BEAT_MS, drawn()).silence
-        == SILENT * BEAT_MS
+        == SUSPECT_AFTER_HEARTBEATS * BEAT_MS
     )
-    assert Members(0, 280, BEAT_MS, drawn()).silence == 10 * SILENT * BEAT_MS
+    assert Members(0, 280, BEAT_MS, drawn()).silence == 10 * SUSPECT_AFTER_HEARTBEATS * BEAT_MS
 
 
 def test_an_older_life_s_word_that_comes_late_counts_for_nothing():
     table = Members(0, 3, BEAT_MS, drawn())
-    table.look(0.0)
-    table.heard(1.0, 1, Incarnation(5, 1), 2, ())
-    table.heard(
+    table.tick(0.0)
+    table.receive(1.0, 1, Incarnation(5, 1), 2, ())
+    table.receive(
         2.0,
         2,
         Incarnation(1, 1),
         1,
         (Member(1, Incarnation(4, 9), 400), Member(0, Incarnation(9, 9), 1), Member(7, Incarnation(1, 1), 1)),
     )
-    assert table.met(1)[0] == Incarnation(5, 1) and table.met(0) == table.met(7) == NOBODY
+    assert table.latest(1)[0] == Incarnation(5, 1) and table.latest(0) == table.latest(7) == NEVER_HEARD
 
 
 # Which list is believed.
 
 
 def test_a_floor_is_raised_by_two_and_by_the_registry_never_by_one_alone():
-    floor = Floor(50, 1000.0)
-    floor.claimed(1, 2**60)
-    floor.claimed(1, 2**61)
+    floor = RevisionFloor(50, 1000.0)
+    floor.add_claim(1, 2**60)
+    floor.add_claim(1, 2**61)
     assert floor.revision == 50
-    floor.claimed(2, 70)
-    assert floor.revision == 70 and floor.older(0.0, 69) and not floor.older(1.0, 71) and floor.revision == 71
+    floor.add_claim(2, 70)
+    assert (
+        floor.revision == 70
+        and floor.is_older(0.0, 69)
+        and not floor.is_older(1.0, 71)
+        and floor.revision == 71
+    )
 
 
 def test_a_registry_that_stays_below_was_reset_and_one_that_catches_up_was_old():
-    floor = Floor(50, 1000.0)
-    assert floor.older(0.0, 10) and floor.older(RESET_AFTER * 1000.0 - 1, 12)
-    assert not floor.older(RESET_AFTER * 1000.0, 12) and floor.revision == 12
-    late = Floor(50, 1000.0)
-    assert late.older(0.0, 10) and not late.older(500.0, 55) and late.older(2900.0, 54)
-    assert late.older(RESET_AFTER * 1000.0 + 2899, 54) and not late.older(RESET_AFTER * 1000.0 + 2900, 54)
+    floor = RevisionFloor(50, 1000.0)
+    assert floor.is_older(0.0, 10) and floor.is_older(RESET_AFTER * 1000.0 - 1, 12)
+    assert not floor.is_older(RESET_AFTER * 1000.0, 12) and floor.revision == 12
+    late = RevisionFloor(50, 1000.0)
+    assert late.is_older(0.0, 10) and not late.is_older(500.0, 55) and late.is_older(2900.0, 54)
+    assert late.is_older(RESET_AFTER * 1000.0 + 2899, 54) and not late.is_older(
+        RESET_AFTER * 1000.0 + 2900, 54
+    )
 
 
 def test_a_drain_told_once_holds_until_the_registry_or_a_restart_lifts_it():
-    drains = Drains([Drain(7, 100)])
-    assert not drains.told(Drain(7, 100)) and drains.told(Drain(8, 100))
-    assert drains.held([Drain(7, 100), Drain(8, 100), Drain(9, 100)]) == {7, 8}
-    assert drains.held([Drain(7, 200)]) == set()  # another process of that backend
-    assert drains.lifted(7, 100) and not drains.lifted(7, 100) and drains.lifted(8, 300)
+    drains = DrainSet([Drain(7, 100)])
+    assert not drains.add(Drain(7, 100)) and drains.add(Drain(8, 100))
+    assert drains.withheld([Drain(7, 100), Drain(8, 100), Drain(9, 100)]) == {7, 8}
+    assert drains.withheld([Drain(7, 200)]) == set()  # another process of that backend
+    assert drains.lift(7, 100) and not drains.lift(7, 100) and drains.lift(8, 300)
     assert drains.all() == []
-    assert sum(drains.told(Drain(n, 0)) for n in range(2 * MOST_DRAINS)) == MOST_DRAINS
+    assert sum(drains.add(Drain(n, 0)) for n in range(2 * MAX_DRAINS)) == MAX_DRAINS
 
 
-@pytest.mark.parametrize("liars, most", [(1, LONE), (2, 1.0)])
+@pytest.mark.parametrize("liars, most", [(1, LONE_CLAIM_SHARE), (2, 1.0)])
 def test_one_peer_alone_can_hold_back_a_stated_share_and_two_can_hold_back_all(liars, most):
-    drains, ready = Drains(), [Drain(n, 1) for n in range(20)]
+    drains, ready = DrainSet(), [Drain(n, 1) for n in range(20)]
     for peer in range(liars):
-        drains.claimed(peer, ready)
-    assert len(drains.held(ready)) == most * 20
+        drains.add_claims(peer, ready)
+    assert len(drains.withheld(ready)) == most * 20
     assert drains.all() == []  # hearsay is not passed on
 
 
 def test_a_question_is_over_when_all_have_answered_whole_or_its_time_is_up():
-    asking = Asking(0.0, (1, 2), 99, 300.0)
+    asking = PeerQuery(0.0, (1, 2), 99, 300.0)
 
-    def tell(sender, part=0, parts=1, nonce=99, remembers=False, standing=0):
-        return asking.hear(
+    def tell(sender, part=0, parts=1, nonce=99, remembers=False, alive=0):
+        return asking.add_answer(
             Message(
-                TELL,
+                REPLY,
                 sender,
                 Incarnation(1, 1),
                 1,
@@ -299,15 +324,15 @@
                 nonce=nonce,
                 part=part,
                 parts=parts,
-                standing=standing,
+                alive=alive,
             )
         )
 
-    assert not tell(3) and not tell(1, nonce=98) and tell(1, part=0, parts=2, remembers=True, standing=30)
-    assert tell(2) and not asking.over(10.0)  # the second part of 1's is out
-    assert tell(1, part=1, parts=2, remembers=True, standing=30) and asking.over(10.0)
-    assert asking.standing() == 30
-    assert not Asking(0.0, (1,), 9, 300.0).over(299.0) and Asking(0.0, (1,), 9, 300.0).over(300.0)
+    assert not tell(3) and not tell(1, nonce=98) and tell(1, part=0, parts=2, remembers=True, alive=30)
+    assert tell(2) and not asking.is_over(10.0)  # the second part of 1's is out
+    assert tell(1, part=1, parts=2, remembers=True, alive=30) and asking.is_over(10.0)
+    assert asking.alive() == 30
+    assert not PeerQuery(0.0, (1,), 9, 300.0).is_over(299.0) and PeerQuery(0.0, (1,), 9, 300.0).is_over(300.0)
 
 
 # The order of return: every history of facts on a coarse clock.
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -92,10 +92,10 @@
 
     class Marks(fleet_agent.FleetAgent):
         def _send(self, peer, message):
-            if message.kind == wire.BEAT and not message.members:
-                assert message.beat < kept[-1]  # at most what the disk holds
-                assert message.beat > self.before  # above what the disk held before the payment
-                told.append(message.beat)
+            if message.kind == wire.HEARTBEAT and not message.members:
+                assert message.heartbeat < kept[-1]  # at most what the disk holds
+                assert message.heartbeat > self.before  # above what the disk held before the payment
+                told.append(message.heartbeat)
 
         def ran(self):
             self.before = kept[-1] if kept else 0
@@ -116,16 +116,16 @@
             _marking=None,
             _me=0,
             _config=SimpleNamespace(beat=8.0),
-            members=SimpleNamespace(beat=0),
+            members=SimpleNamespace(heartbeat=0),
             _token=1,
             floor=SimpleNamespace(revision=0),
-            own=SimpleNamespace(life=Incarnation(1, 1), settled=True, superseded=False),
+            own=SimpleNamespace(incarnation=Incarnation(1, 1), settled=True, superseded=False),
         )
         for _ in range(5):
             one.ran()
             one.ran()  # a second payment in the same moment needs no mark of its own
             await one._marking
-            one.members.beat += 1
+            one.members.heartbeat += 1
             one._put_beat()
             await store.flush()
 
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -20,9 +20,9 @@
 from lupinreach.config import BadConfig, FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
-from lupinreach.fleet.membership import NOBODY
-from lupinreach.fleet.recovery import Floor
-from lupinreach.fleet.wire import BEAT, TELL, Drain, Message
+from lupinreach.fleet.membership import NEVER_HEARD
+from lupinreach.fleet.recovery import RevisionFloor
+from lupinreach.fleet.wire import HEARTBEAT, REPLY, Drain, Message
 from lupinreach.model import ListedState, Listing, UpdateKind
 from lupinreach.ops import persistence
 from lupinreach.ops.fleet_agent import FleetAgent
@@ -156,8 +156,8 @@
         m = plain(self, kind, **more)
         if self._me >= liars:
             return m
-        every = tuple(Drain(e.name, int(e.boot_time)) for e in self._raw.values())[: wire.DRAINS]
-        return replace(m, revision=2**60, remembers=True, drains=every if kind == TELL else ())
+        every = tuple(Drain(e.name, int(e.boot_time)) for e in self._raw.values())[: wire.MAX_DRAINS]
+        return replace(m, revision=2**60, remembers=True, drains=every if kind == REPLY else ())
 
     monkeypatch.setattr(FleetAgent, "_message", message)
 
@@ -171,7 +171,7 @@
     assert harmed.verdict == play.KEPT and harmed.recovery.whole >= 0.95 * sound.recovery.whole
     assert {f["floor"] < 100 for _, f in said(ledger, "asked")} == {True}
     # Where one peer's word is enough, the lie shows.
-    monkeypatch.setattr(Floor, "claimed", lambda self, peer, revision: self.raised(revision))
+    monkeypatch.setattr(RevisionFloor, "add_claim", lambda self, peer, revision: self.raise_to(revision))
     assert 2**60 in {f["floor"] for _, f in said(virtual.play(trial.world, 3), "asked")}
 
 
@@ -209,21 +209,21 @@
     agent.balancer = SimpleNamespace(
         update_backends=lambda now, news, entries: agent.listed.append((news, entries))
     )
-    agent.peers = SimpleNamespace(send=lambda to, data: agent.sent.append((to, wire.read(data))))
+    agent.peers = SimpleNamespace(send=lambda to, data: agent.sent.append((to, wire.decode(data))))
     store = Store("carried", "a", MemoryDisk(stream(1, "disk")))
     return agent, FleetAgent(agent, store, Found(dict(state or {})), config, 77)
 
 
 def test_a_datagram_from_a_wrong_address_is_believed_of_nobody():
     agent, part = one()
-    forged = wire.written(Message(BEAT, 4, Incarnation(9, 9), 5, True, 900))
+    forged = wire.encode(Message(HEARTBEAT, 4, Incarnation(9, 9), 5, True, 900))
     part.hear(3, forged)
-    part.hear(2, wire.written(Message(BEAT, 2, Incarnation(9, 9), 5, True, 900)))
+    part.hear(2, wire.encode(Message(HEARTBEAT, 2, Incarnation(9, 9), 5, True, 900)))
     part.hear(3, forged[:-1])
-    assert part.members.met(4) == NOBODY and part.own.life == Incarnation(1, 77)
+    assert part.members.latest(4) == NEVER_HEARD and part.own.incarnation == Incarnation(1, 77)
     assert agent.counters.others == {"fleet: from a wrong address": 2, "fleet: malformed": 1}
     part.hear(4, forged)
-    assert part.members.met(4)[0] == Incarnation(9, 9)
+    assert part.members.latest(4)[0] == Incarnation(9, 9)
     told = part.figures()
     assert (told["stage"], told["agents"], told["standing"], told["floor"], told["own"]) == (
         "dark",
@@ -240,13 +240,13 @@
         Listing(0, ListedState.READY, 9.0, name=70),
         Listing(1, ListedState.DRAINING, 9.0, name=71),
     )
-    assert part.own.life.number == 4
+    assert part.own.incarnation.number == 4
     assert agent.directory.older(40)
     assert [e.state for e in part.see(UpdateKind.CHANGES, [ready, draining], True)] == [
         ListedState.DRAINING,
         ListedState.DRAINING,
     ]
-    part.hear(5, wire.written(Message(wire.ASK, 5, Incarnation(1, 1), 1, False, 0, nonce=8)))
+    part.hear(5, wire.encode(Message(wire.QUERY, 5, Incarnation(1, 1), 1, False, 0, nonce=8)))
     # Synced at once: found on drawn loss 1022, where power failed between a drain and the next beat.
     assert records.read(part._store._disk.copy(), "a").state["drain/71"] == 9
     to, answer = agent.sent[-1]
@@ -279,8 +279,8 @@
         for peer in part._asking.peers[:2]:
             part.hear(
                 peer,
-                wire.written(
-                    Message(TELL, peer, Incarnation(1, 1), 1, True, 60, nonce=77, drains=(Drain(71, 9),))
+                wire.encode(
+                    Message(REPLY, peer, Incarnation(1, 1), 1, True, 60, nonce=77, drains=(Drain(71, 9),))
                 ),
             )
         agent.clock.now = lambda: 6_000.0
@@ -310,7 +310,7 @@
 def test_what_one_peer_s_word_holds_back_shrinks_with_the_ready_backends_and_the_module_hears_of_it():
     agent, part = one()
     part.see(UpdateKind.FULL, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False)
-    part.drains.claimed(3, [Drain(70, 9), Drain(71, 9)])
+    part.drains.add_claims(3, [Drain(70, 9), Drain(71, 9)])
     part._hold()
     gone = [Listing(i, ListedState.REMOVED, 9.0, name=70 + i) for i in range(4, 8)]
     assert [(e.backend, e.state) for e in part.see(UpdateKind.CHANGES, gone, False)[4:]] == [
@@ -401,12 +401,18 @@
         while not part._asked:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.15)
-        assert any(m.kind == BEAT for _, m in agent.sent)
+        assert any(m.kind == HEARTBEAT for _, m in agent.sent)
         part.hear(
             4,
-            wire.written(
+            wire.encode(
                 Message(
-                    BEAT, 4, Incarnation(1, 1), 1, True, 60, members=(wire.Member(2, Incarnation(2, 5), 9),)
+                    HEARTBEAT,
+                    4,
+                    Incarnation(1, 1),
+                    1,
+                    True,
+                    60,
+                    members=(wire.Member(2, Incarnation(2, 5), 9),),
                 )
             ),
         )
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -13,22 +13,22 @@
 from lupinreach.fleet import counts as counting
 from lupinreach.fleet import grants, wire
 from lupinreach.fleet import uptimes as standing
-from lupinreach.fleet.counts import CELLS, Count, Counts, cells
+from lupinreach.fleet.counts import MAX_CELLS, Count, Counts, cells
 from lupinreach.fleet.grants import DRIFT, Budget
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.observations import (
-    HIGHEST,
     MAX_AFFECTED_SHARE,
     MAX_COST_FACTOR,
+    MAX_RELATIVE_LATENCY,
+    MAX_REPORTERS,
     QUORUM,
-    TELLERS,
     Observation,
     Observations,
-    boot_mark,
+    boot_hash,
     max_diverted_share,
 )
 from lupinreach.fleet.uptimes import Uptime, Uptimes, earliest_up_since
-from lupinreach.fleet.wire import NEWS, WANT, Message
+from lupinreach.fleet.wire import BORROW, UPDATE, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
 from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
 from lupinreach.trial.models.search import search
@@ -56,7 +56,7 @@
     once, again = warmth(), warmth()
     for one, rows in ((once, said), (again, chance.sample(said * 2, 2 * len(said)))):
         for row in rows:
-            one.heard(now, [row])
+            one.receive(now, [row])
     for one in (once, again):
         found = one.since(began, dict.fromkeys(range(4), refused_at))
         assert all(since >= earliest_up_since(began, refused_at) for since in found.values())
@@ -64,29 +64,29 @@
             assert (
                 len(
                     {
-                        r.teller
+                        r.reporter
                         for r in said
                         if r.backend == backend and now - r.last > earliest_up_since(began, refused_at)
                     }
                 )
                 >= 2
             )
-    assert len(once) <= 4 * (standing.TELLERS + 1)
+    assert len(once) <= 4 * (standing.MIN_REPORTERS + 1)
 
 
 def test_the_second_longest_counts_and_a_process_that_went_down_since_does_not():
     one = warmth()
-    one.heard(
+    one.receive(
         10_000.0, [Uptime(1, 7, 6000.0, 100.0), Uptime(2, 7, 4000.0, 100.0), Uptime(3, 7, 2000.0, 100.0)]
     )
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0}
     assert one.since(9000.0, {7: 0.0}) == {7: 9000.0}  # who stood up then can't know better
     assert one.since(0.0, {7: 9950.0}) == {}  # refused since they met it
-    one.heard(12_000.0, [Uptime(1, 7, 8000.0, 2100.0)])  # late, and older than what came before
+    one.receive(12_000.0, [Uptime(1, 7, 8000.0, 2100.0)])  # late, and older than what came before
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0}
-    one.look(29_850.0, [7])
+    one.expire(29_850.0, [7])
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0} and not one.since(0.0, {7: 10_000.0})
-    one.look(29_950.0, [7])
+    one.expire(29_950.0, [7])
     assert len(one) == 0  # for as long as backends are cold
 
 
@@ -200,8 +200,8 @@
 # Evidence.
 
 
-def met(teller, backend=7, figure=2.0, age=0.0, zone=0):
-    return Observation(teller, zone, backend, 1, figure, age)
+def met(reporter, backend=7, figure=2.0, age=0.0, zone=0):
+    return Observation(reporter, zone, backend, 1, figure, age)
 
 
 def evidence(me=0, zone=0):
@@ -225,31 +225,33 @@
 @given(rows, some.randoms(use_true_random=False))
 def test_rows_that_come_twice_or_in_another_order_change_nothing(said, chance):
     one, two = evidence(), evidence()
-    one.heard(10_000.0, said)
+    one.receive(10_000.0, said)
     twice = said * 2
     chance.shuffle(twice)
     for row in twice:
-        two.heard(10_000.0, [row])
+        two.receive(10_000.0, [row])
     own = {(b, 1): (0.5, 0.0) for b in range(1, 5)}
     # As far as rows are kept: of more tellers than that the newest.
-    if all(len({r.teller for r in said if r.backend == b}) <= TELLERS for b in range(1, 5)) and len(
-        {(r.teller, r.backend, r.age) for r in said}
+    if all(len({r.reporter for r in said if r.backend == b}) <= MAX_REPORTERS for b in range(1, 5)) and len(
+        {(r.reporter, r.backend, r.age) for r in said}
     ) == len(said):
-        assert one.said(10_000.0, own) == two.said(10_000.0, own)
+        assert one.estimates(10_000.0, own) == two.estimates(10_000.0, own)
 
 
 @tries(max_examples=150, deadline=None, derandomize=True)
 @given(rows, some.integers(1, 40))
 def test_whatever_is_said_little_becomes_dearer_and_not_by_much(said, ready):
     here = evidence()
-    here.heard(10_000.0, said)
+    here.receive(10_000.0, said)
     own = {(b, 1): (0.3, 0.0) for b in range(1, ready + 1)}
-    factors = here.factors(10_000.0, own)
+    factors = here.cost_factors(10_000.0, own)
     assert len(factors) <= MAX_AFFECTED_SHARE * ready and all(
         1 <= f <= MAX_COST_FACTOR for f in factors.values()
     )
     assert sum(1 - 1 / f for f in factors.values()) / ready <= max_diverted_share() + EXACT
-    assert here.refused == sum(not 0 <= r.figure <= HIGHEST or r.age < 0 for r in said)
+    assert here.rejected == sum(
+        not 0 <= r.relative_latency <= MAX_RELATIVE_LATENCY or r.age < 0 for r in said
+    )
 
 
 def test_a_quorum_of_the_own_zone_that_met_it_later_moves_turns_and_no_two_agents_alike():
@@ -257,15 +259,15 @@
     for me in range(20, 40):
         here = evidence(me)
         own = {(b, 1): (0.25, 5000.0) for b in range(8)}
-        here.heard(9000.0, [met(n) for n in range(QUORUM - 1)])
-        assert here.factors(9000.0, own) == {}
-        here.heard(9000.0, [met(5, zone=1)])
-        assert here.factors(9000.0, own) == {}  # slow from there is not slow from here
-        here.heard(9000.0, [met(6)])
-        factors.append(here.factors(9000.0, own)[7, 1])
-        assert here.factors(9000.0, own | {(7, 1): (0.25, 9500.0)}) == {}  # own samples overrule
-        assert here.factors(9000.0 + here.lasts / 2, own)[7, 1] < factors[-1]
-        assert here.factors(9000.0 + here.lasts, own) == {}
+        here.receive(9000.0, [met(n) for n in range(QUORUM - 1)])
+        assert here.cost_factors(9000.0, own) == {}
+        here.receive(9000.0, [met(5, zone=1)])
+        assert here.cost_factors(9000.0, own) == {}  # slow from there is not slow from here
+        here.receive(9000.0, [met(6)])
+        factors.append(here.cost_factors(9000.0, own)[7, 1])
+        assert here.cost_factors(9000.0, own | {(7, 1): (0.25, 9500.0)}) == {}  # own samples overrule
+        assert here.cost_factors(9000.0 + here.max_age / 2, own)[7, 1] < factors[-1]
+        assert here.cost_factors(9000.0 + here.max_age, own) == {}
     assert (
         1 + (MAX_COST_FACTOR - 1) / 2 <= min(factors) < max(factors) <= MAX_COST_FACTOR
         and len(set(factors)) == 20
@@ -274,19 +276,19 @@
 
 def test_a_third_of_liars_makes_nothing_dearer_where_the_others_have_met_it_too():
     here = evidence()
-    here.heard(9000.0, [met(n, figure=4.0) for n in (1, 2)] + [met(n, figure=0.25) for n in (3, 4, 5, 6)])
-    assert here.factors(9000.0, {(7, 1): (0.25, 0.0), **{(b, 1): (0.2, 0.0) for b in range(3)}}) == {}
+    here.receive(9000.0, [met(n, figure=4.0) for n in (1, 2)] + [met(n, figure=0.25) for n in (3, 4, 5, 6)])
+    assert here.cost_factors(9000.0, {(7, 1): (0.25, 0.0), **{(b, 1): (0.2, 0.0) for b in range(3)}}) == {}
 
 
 def test_an_agent_that_finds_most_backends_bad_doubts_itself_and_says_nothing():
     mets = [met(0, b, 2.0 if b < 6 else 0.2) for b in range(10)]
     here = evidence()
-    here.own(1000.0, mets)
+    here.record_own(1000.0, mets)
     assert len(here) == 0
-    here.own(1000.0, [met(0, b, 2.0 if b < 2 else 0.2) for b in range(10)])
+    here.record_own(1000.0, [met(0, b, 2.0 if b < 2 else 0.2) for b in range(10)])
     assert {m.backend for m in here.digest(1000.0, 10)} == {0, 1}
-    here.own(2000.0, [met(0, b, 0.2) for b in range(10)])  # and takes back what it said
-    assert {(m.backend, m.figure) for m in here.digest(2000.0, 10)} == {(0, 0.2), (1, 0.2)}
+    here.record_own(2000.0, [met(0, b, 0.2) for b in range(10)])  # and takes back what it said
+    assert {(m.backend, m.relative_latency) for m in here.digest(2000.0, 10)} == {(0, 0.2), (1, 0.2)}
 
 
 def test_hearsay_ejects_nothing_and_brings_a_trial_forward():
@@ -342,10 +344,10 @@
 class Sums(Counts):
     """The mistake: counts are added up where they are merged."""
 
-    def _put(self, now, c):
+    def _merge(self, now, c):
         row = self._rows.get((c.agent, c.cell))
-        super()._put(
-            now, c if row is None else Count(c.agent, c.life, c.cell, row.total + c.total, c.stamp, c.age)
+        super()._merge(
+            now, c if row is None else Count(c.agent, c.incarnation, c.cell, row.total + c.total, c.stamp, c.age)
         )
 
 
@@ -362,8 +364,8 @@
                 agents[n] = agent = of(n, 3, window, chance.random)
                 lives[n], born[n] = lives[n] + 1, now
             for _ in range(chance.choice((0, 1, 1, 5, 40 if n == 1 and step > 80 else 2))):
-                agent.took(chance.choice((0, 0, 1, 2)))
-            agent.look(now, lives[n], now - born[n])
+                agent.record_call(chance.choice((0, 0, 1, 2)))
+            agent.refresh(now, lives[n], now - born[n])
             for c in range(3):
                 true.setdefault((c, n, lives[n]), []).append((now, agent._own.get(c, 0)))
             for _ in range(2):
@@ -375,7 +377,7 @@
                     ]
         for word in [w for w in late if w[0] <= now]:
             late.remove(word)
-            agents[word[1]].heard(now, word[2])
+            agents[word[1]].receive(now, word[2])
         for agent in agents if step % 8 == 7 else ():
             for c, rate in enumerate(agent.rates(now)):
                 if rate > counting.rate_bound(now, [v for k, v in true.items() if k[0] == c], window) + EXACT:
@@ -394,48 +396,51 @@
         now += 100.0
         for n, one in enumerate(many):
             for _ in range(n + 1):
-                one.took(n)
-            one.look(now, 1, now)
+                one.record_call(n)
+            one.refresh(now, 1, now)
         for one in many:
             for other in many:
-                other.heard(now, one.digest(now, 20))
+                other.receive(now, one.digest(now, 20))
     assert many[0].rates(now) == pytest.approx([10.0, 20.0, 30.0], rel=0.05)
     for _ in range(80):
         now += 100.0
         for one in many[:2]:
-            one.took(one.me)
-            one.look(now, 1, now)
+            one.record_call(one.me)
+            one.refresh(now, 1, now)
     assert many[0].rates(now)[2] == 0.0 and many[0].rates(now)[0] > 5
     again = counts(1)
-    again.look(now, 2, 100.0)
-    many[0].heard(now, [Count(1, 2, 1, 500, 100.0, 0.0)])
+    again.refresh(now, 2, 100.0)
+    many[0].receive(now, [Count(1, 2, 1, 500, 100.0, 0.0)])
     assert (
         many[0].rates(now)[1] == 0.0
     )  # of a new life nothing is known yet, and nothing of the old one stays
 
 
 def test_many_customers_share_a_sketch_that_never_counts_too_little():
-    assert cells(5, CELLS) == (5,) and all(len(cells(c, 1000)) == 2 for c in range(1000))
+    assert cells(5, MAX_CELLS) == (5,) and all(len(cells(c, 1000)) == 2 for c in range(1000))
     one, now, chance = counts(customers=1000, window=100.0), 0.0, Random(4)
     for _ in range(40):
         now += 50.0
         for _ in range(50):
-            one.took(min(999, int(chance.expovariate(0.02))))
-        one.took(0)
-        one.look(now, 1, now)
+            one.record_call(min(999, int(chance.expovariate(0.02))))
+        one.record_call(0)
+        one.refresh(now, 1, now)
     rates = one.rates(now)
     total = sum(rate for rate in [1020.0])
-    assert rates[0] >= 20.0 and sum(rate > 2 / counting.WIDTH * total for rate in rates[500:]) <= 0.25 * 500
+    assert (
+        rates[0] >= 20.0
+        and sum(rate > 2 / counting.SKETCH_WIDTH * total for rate in rates[500:]) <= 0.25 * 500
+    )
 
 
 # Words.
 
 texts = some.builds(
     Message,
-    kind=some.just(NEWS),
+    kind=some.just(UPDATE),
     sender=some.integers(0, 999),
-    life=some.just(Incarnation(3, 4)),
-    beat=some.just(5),
+    incarnation=some.just(Incarnation(3, 4)),
+    heartbeat=some.just(5),
     remembers=some.booleans(),
     revision=some.just(6),
     mets=some.lists(
@@ -455,7 +460,7 @@
             Count,
             some.integers(0, 999),
             some.integers(1, 99),
-            some.integers(0, CELLS - 1),
+            some.integers(0, MAX_CELLS - 1),
             some.integers(0, 2**31),
             some.sampled_from([0.0, 7e6]),
             some.sampled_from([0.0, 20.0]),
@@ -468,15 +473,15 @@
 @tries(max_examples=80, deadline=None, derandomize=True)
 @given(texts)
 def test_news_comes_out_as_it_went_in_and_what_a_version_does_not_know_is_skipped(m):
-    text = wire.written(m)
-    assert len(text) <= 256 and wire.read(text) == m
+    text = wire.encode(m)
+    assert len(text) <= 256 and wire.decode(text) == m
     later = text + wire.SECTION.pack(99, 2, 5) + bytes(10)
-    assert wire.read(later) == m
+    assert wire.decode(later) == m
     with pytest.raises(wire.Malformed):
-        wire.read(later[:-1])
+        wire.decode(later[:-1])
 
 
 def test_a_question_for_a_share_comes_out_as_it_went_in():
-    m = Message(WANT, 3, Incarnation(1, 2), 3, False, 0, nonce=77, budget=0, amount=250)
-    assert wire.read(wire.written(m)) == m
-    assert boot_mark(5.0) != boot_mark(6.0)
+    m = Message(BORROW, 3, Incarnation(1, 2), 3, False, 0, nonce=77, budget=0, amount=250)
+    assert wire.decode(wire.encode(m)) == m
+    assert boot_hash(5.0) != boot_hash(6.0)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -60,7 +60,7 @@
 
 def test_an_ejection_by_hearsay_is_found(monkeypatch):
     monkeypatch.setattr(
-        Observations, "factors", lambda self, now, own: {key: 1e6 for key in self.said(now, own)}
+        Observations, "cost_factors", lambda self, now, own: {key: 1e6 for key in self.estimates(now, own)}
     )
     assert shared_bounds.played("a slow tenth", 3, agents=8, seconds=14.0)[1]["dearer"] > 1
 
