--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -129,7 +129,7 @@
     async def main() -> float:
         with tempfile.TemporaryDirectory() as folder:
             store = Store(str(Path(folder) / "store"), "agent")
-            for n in range(records.MOST_KEYS):
+            for n in range(records.MAX_KEYS):
                 store.put(f"ran/{n:032x}", 1)
             worst, last, done = 0.0, time.perf_counter(), asyncio.ensure_future(store.flush())
             while not done.done():
@@ -158,7 +158,7 @@
     with ProcessPoolExecutor() as pool:
         for line in pool.map(one, [(n, seconds) for n in agents]):
             print(json.dumps(line), flush=True)
-    print(json.dumps({"keys": records.MOST_KEYS, "longest_hold_ms": round(longest_hold(), 1)}))
+    print(json.dumps({"keys": records.MAX_KEYS, "longest_hold_ms": round(longest_hold(), 1)}))
 
 
 if __name__ == "__main__":
--- a/benchmarks/recovery_parts.py
+++ b/benchmarks/recovery_parts.py
@@ -37,7 +37,7 @@
 
 
 def asks_nobody() -> None:
-    fleet_agent.FleetAgent._to_ask = lambda self: []  # type: ignore[method-assign]
+    fleet_agent.FleetAgent._query_targets = lambda self: []  # type: ignore[method-assign]
 
 
 def earns_by_warm_ones_alone() -> None:
@@ -45,7 +45,7 @@
 
 
 def in_step() -> None:
-    fleet_agent.SPREAD = 0.0
+    fleet_agent.QUERY_DELAY_SPREAD = 0.0
     Balancer._initial_credit = lambda self: 0.0  # type: ignore[method-assign]
 
 
--- a/lupinreach/bed/ways/disk.py
+++ b/lupinreach/bed/ways/disk.py
@@ -60,7 +60,7 @@
     def sync(self, folder: str) -> None:
         self._kept = dict(self._names)
 
-    async def away(self, work: Callable[[], bool]) -> bool:
+    async def run_blocking(self, work: Callable[[], bool]) -> bool:
         while (left := self._hangs_until - asyncio.get_running_loop().time()) > 0:
             await asyncio.sleep(left)
         return work()
--- a/lupinreach/ops/metrics.py
+++ b/lupinreach/ops/metrics.py
@@ -8,8 +8,8 @@
 from lupinreach.net.counters import Counters, Outcome
 
 # The page's words.
-WORDS = {Outcome.FULFILLED: "success", Outcome.RATE_LIMITED: "overload", Outcome.ERRORED: "error"}
-SHOTS, OPEN, LISTED, AVOIDED = "dispatches", "concurrent", "targets", "targets_disabled"
+OUTCOME_KEYS = {Outcome.FULFILLED: "success", Outcome.RATE_LIMITED: "overload", Outcome.ERRORED: "error"}
+ATTEMPTS, IN_FLIGHT, BACKENDS, AVOIDED_BACKENDS = "dispatches", "concurrent", "targets", "targets_disabled"
 
 
 def report(products: Iterable[str], counters: Counters, listed: int, avoided: int) -> dict[str, Any]:
@@ -18,16 +18,16 @@
     All counts run from the start of the process and never go back.
     """
     names = list(products)
-    figures: dict[str, Any] = {
-        word: _each(names, counters.outcomes[outcome]) for outcome, word in WORDS.items()
+    metrics: dict[str, Any] = {
+        key: _by_product(names, counters.outcomes[outcome]) for outcome, key in OUTCOME_KEYS.items()
     }
-    return figures | {
-        SHOTS: counters.written,
-        OPEN: counters.open,
-        LISTED: listed,
-        AVOIDED: min(listed, avoided),
+    return metrics | {
+        ATTEMPTS: counters.written,
+        IN_FLIGHT: counters.open,
+        BACKENDS: listed,
+        AVOIDED_BACKENDS: min(listed, avoided),
     }
 
 
-def _each(names: list[str], counts: Mapping[str, int]) -> dict[str, int]:
+def _by_product(names: list[str], counts: Mapping[str, int]) -> dict[str, int]:
     return {name: counts.get(name, 0) for name in names}
--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -18,30 +18,30 @@
 from lupinreach.net.sockets import Sockets
 from lupinreach.ops import metrics
 
-MOST_HELD = (
+MAX_CONNECTIONS = (
     16  # connections at once, of the agent's descriptors; with all held, the one held longest makes room
 )
-WHOLE_WITHIN = 2.0  # s from connecting for all of a call
-WRITTEN_WITHIN = 2.0  # s for its answer to be taken
-LINGER = 0.2  # s for what follows a call that was refused, so that its caller gets to see why
-MOST_CALL = 4 << 10  # bytes of a body, which says nothing
-MOST_DROPPED = 64 << 10
+REQUEST_TIMEOUT_S = 2.0  # s from connecting for all of a call
+WRITE_TIMEOUT_S = 2.0  # s for its answer to be taken
+LINGER_S = 0.2  # s for what follows a call that was refused, so that its caller gets to see why
+MAX_BODY_BYTES = 4 << 10  # bytes of a body, which says nothing
+MAX_DISCARDED_BYTES = 64 << 10
 BACKLOG = 64
-PAUSE = 0.1  # s without accepting when the process has run out of descriptors
+ACCEPT_PAUSE_S = 0.1  # s without accepting when the process has run out of descriptors
 
 
 @dataclass(frozen=True)
-class Said:
+class Response:
     """An answer of the door's; the text says why not."""
 
     status: int
     text: str = ""
-    figures: dict[str, Any] | None = None
+    metrics: dict[str, Any] | None = None
     allow: bytes = b""
 
     def message(self) -> bytes:
-        if self.figures is not None:
-            kind, body = b"application/json", orjson.dumps(self.figures)
+        if self.metrics is not None:
+            kind, body = b"application/json", orjson.dumps(self.metrics)
         else:
             kind, body = b"text/plain", self.text.encode() + b"\n"
         lines = [b"Content-Type: " + kind + b"\r\n"]
@@ -55,14 +55,14 @@
 
     def __init__(self, agent: Agent, address: Address, sockets: Sockets | None = None) -> None:
         self._agent = agent
-        self._wanted = address
+        self._address = address
         self._sockets = sockets or Sockets()
         self._socket: socket.socket | None = None
-        self._held: dict[
+        self._connections: dict[
             Channel, asyncio.Task[None] | None
         ] = {}  # longest first; each leaves when it is closed
         # By path and method.
-        self._calls: dict[bytes, tuple[bytes, Callable[[], Said]]] = {
+        self._routes: dict[bytes, tuple[bytes, Callable[[], Response]]] = {
             b"/_ready": (b"GET", self._ready),
             b"/_vars": (b"GET", self._vars),
             b"/_lameduck/on": (b"POST", lambda: self._drain(True)),
@@ -71,9 +71,9 @@
 
     def open(self) -> None:
         """Listen; OSError where the address can't be had."""
-        self._socket = self._sockets.listening(self._wanted)
+        self._socket = self._sockets.listening(self._address)
         self._socket.listen(BACKLOG)
-        self._resume()
+        self._start_accepting()
 
     @property
     def address(self) -> Address:
@@ -86,36 +86,36 @@
             asyncio.get_running_loop().remove_reader(self._socket)
             self._socket.close()
             self._socket = None
-        for channel in list(self._held):
-            self._end(channel)
+        for channel in list(self._connections):
+            self._drop(channel)
 
-    def _resume(self) -> None:
+    def _start_accepting(self) -> None:
         if self._socket is not None:
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
     def _accept(self) -> None:
         assert self._socket is not None
-        for _ in range(MOST_HELD):  # guards against callers by the hundred that would hold up API calls
+        for _ in range(MAX_CONNECTIONS):  # guards against callers by the hundred that would hold up API calls
             try:
                 sock, _ = self._socket.accept()
-                channel = Channel(sock, http.MOST_HEAD + MOST_CALL)
+                channel = Channel(sock, http.MOST_HEAD + MAX_BODY_BYTES)
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failed:
                 self._agent.log.event("accept failed", why=str(failed), at="mgmt")
                 asyncio.get_running_loop().remove_reader(self._socket)
-                asyncio.get_running_loop().call_later(PAUSE, self._resume)
+                asyncio.get_running_loop().call_later(ACCEPT_PAUSE_S, self._start_accepting)
                 return
             self._agent.counters.connections["operator opened"] += 1
-            if len(self._held) >= MOST_HELD:
+            if len(self._connections) >= MAX_CONNECTIONS:
                 # Guards against callers that hold a connection and say nothing: they lock nobody out.
-                self._end(next(iter(self._held)))
+                self._drop(next(iter(self._connections)))
                 self._agent.counters.connections["operator made room"] += 1
-            self._held[channel] = None
-            self._held[channel] = self._agent.tasks.spawn("operator", self._serve(channel))
+            self._connections[channel] = None
+            self._connections[channel] = self._agent.tasks.spawn("operator", self._serve(channel))
 
-    def _end(self, channel: Channel) -> None:
-        task = self._held.pop(channel, None)
+    def _drop(self, channel: Channel) -> None:
+        task = self._connections.pop(channel, None)
         channel.close()
         if task is not None:
             task.cancel()
@@ -123,53 +123,55 @@
     async def _serve(self, channel: Channel) -> None:
         """One call and its answer."""
         try:
-            said = await self._read(channel)
-            if said is not None:
+            response = await self._handle_request(channel)
+            if response is not None:
                 try:
-                    async with asyncio.timeout(WRITTEN_WITHIN):
-                        await channel.write(said.message())
+                    async with asyncio.timeout(WRITE_TIMEOUT_S):
+                        await channel.write(response.message())
                 except (OSError, TimeoutError):
                     return
-                if said.status >= 400:
-                    await channel.drain(MOST_DROPPED, LINGER)
+                if response.status >= 400:
+                    await channel.drain(MAX_DISCARDED_BYTES, LINGER_S)
         finally:
-            self._held.pop(channel, None)
+            self._connections.pop(channel, None)
             channel.close()
 
-    async def _read(self, channel: Channel) -> Said | None:
+    async def _handle_request(self, channel: Channel) -> Response | None:
         try:
-            async with asyncio.timeout(WHOLE_WITHIN):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 head = await http.read_head(channel, answer=False)
                 if b"expect" in head.headers and channel.start == channel.end:
                     channel.write(http.CONTINUE)
-                await http.read_body(channel, head, MOST_CALL)
+                await http.read_body(channel, head, MAX_BODY_BYTES)
         except TimeoutError:
-            return Said(408, "the call did not come whole in time")
-        except Ended as ended:
-            if ended.end is End.TOO_LARGE:
-                return Said(413, "the call is too large")
-            return Said(400, "the call can't be read") if ended.end is End.MALFORMED else None
+            return Response(408, "the call did not come whole in time")
+        except Ended as error:
+            if error.end is End.TOO_LARGE:
+                return Response(413, "the call is too large")
+            return Response(400, "the call can't be read") if error.end is End.MALFORMED else None
         method, target, _ = head.first
         path = target.partition(b"?")[0]
-        if path not in self._calls:
-            return Said(404, f"no such path; there are {b', '.join(self._calls).decode()}")
-        wanted, does = self._calls[path]
-        if method != wanted:
-            return Said(405, f"the method must be {wanted.decode()}", allow=wanted)
-        return does()
-
-    def _ready(self) -> Said:
+        if path not in self._routes:
+            return Response(404, f"no such path; there are {b', '.join(self._routes).decode()}")
+        expected_method, handler = self._routes[path]
+        if method != expected_method:
+            return Response(405, f"the method must be {expected_method.decode()}", allow=expected_method)
+        return handler()
+
+    def _ready(self) -> Response:
         standing = self._agent.standing
-        return Said(200, "yes") if standing.takes_clients else Said(503, f"no: {standing.state.value}")
+        return (
+            Response(200, "yes") if standing.takes_clients else Response(503, f"no: {standing.state.value}")
+        )
 
-    def _vars(self) -> Said:
+    def _vars(self) -> Response:
         agent = self._agent
         products = [product.name for product in agent.config.settings.products]
         found = metrics.report(
             products, agent.counters, agent.directory.listed, agent.balancer.avoided_count(agent.clock.now())
         )
-        return Said(200, figures=found if agent.tells is None else found | {"fleet": agent.tells()})
+        return Response(200, metrics=found if agent.tells is None else found | {"fleet": agent.tells()})
 
-    def _drain(self, on: bool) -> Said:
+    def _drain(self, on: bool) -> Response:
         self._agent.drain(on)
-        return Said(200, "drained" if on else "back to work")
+        return Response(200, "drained" if on else "back to work")
--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -20,20 +20,22 @@
         return None
     store = Store(config.store, config.name, disk, lambda why: agent.log.event("store failed", why=why))
     found = store.open()
-    carry = SnapshotStore(agent, store, config.carry_age)
-    carry.restore(found)
-    agent.tasks.spawn("carry", carry.save_periodically())
-    ran = None
+    snapshot = SnapshotStore(agent, store, config.carry_age)
+    snapshot.restore(found)
+    agent.tasks.spawn("carry", snapshot.save_periodically())
+    journal = None
     if config.ran:
         from lupinreach.ops.request_journal import RequestJournal  # nor one that has nothing to keep of this
 
-        ran = RequestJournal(agent, store, found)
-        agent.tasks.spawn("ran", ran.run())
+        journal = RequestJournal(agent, store, found)
+        agent.tasks.spawn("ran", journal.run())
     if config.fleet is not None:
         from lupinreach.ops.fleet_agent import FleetAgent  # an agent that is alone doesn't load it
 
-        returning = FleetAgent(agent, store, found, config.fleet, token, ran.asked if ran else lambda _: None)
-        agent.tasks.spawn("returning", returning.run())
-        if ran is not None:
-            ran.kept = returning.ran
-    return carry
+        part = FleetAgent(
+            agent, store, found, config.fleet, token, journal.peers_asked if journal else lambda _: None
+        )
+        agent.tasks.spawn("returning", part.run())
+        if journal is not None:
+            journal.on_recorded = part.record_synced
+    return snapshot
--- a/lupinreach/ops/request_journal.py
+++ b/lupinreach/ops/request_journal.py
@@ -19,71 +19,71 @@
 from lupinreach.net.agent import Agent
 from lupinreach.net.ids import Remembered
 from lupinreach.store import trust
-from lupinreach.store.records import Found
+from lupinreach.store.records import FileContents
 from lupinreach.store.store import Store
 
-PATIENCE = 0.2  # x the shortest client timeout of a non-idempotent product: for a sync
-PREFIX = "ran/"
+SYNC_TIMEOUT_FRACTION = 0.2  # x the shortest client timeout of a non-idempotent product: for a sync
+KEY_PREFIX = "ran/"
 
 
 class RequestJournal:
     """One process's part. Its tables hold the ids of two longest client timeouts, and no more than the store's keys."""
 
-    def __init__(self, agent: Agent, store: Store, found: Found) -> None:
+    def __init__(self, agent: Agent, store: Store, found: FileContents) -> None:
         self._agent = agent
         self._store = store
-        kept = [key for key in trust.restorable(found.state) if key.startswith(PREFIX)]
-        agent.serving.ids.recall(key.removeprefix(PREFIX).encode("latin-1") for key in kept)
-        self._fresh: list[str] = kept  # keys put since the last turn
-        self._older: list[str] = []  # and before it
-        waits = [p.timeout for p in agent.config.settings.products if p.kind is Idempotency.NON_IDEMPOTENT]
-        self._patience = PATIENCE * min(waits, default=0.0) / 1000
-        self._hangs: asyncio.Task[bool] | None = None  # a sync that took longer
-        self.kept: Callable[[], None] = lambda: None  # hears of each id that is put
-        if waits:
-            agent.serving.remember = self.keep
+        stored = [key for key in trust.restorable(found.state) if key.startswith(KEY_PREFIX)]
+        agent.serving.ids.recall(key.removeprefix(KEY_PREFIX).encode("latin-1") for key in stored)
+        self._current: list[str] = stored  # keys put since the last turn
+        self._previous: list[str] = []  # and before it
+        timeouts = [p.timeout for p in agent.config.settings.products if p.kind is Idempotency.NON_IDEMPOTENT]
+        self._sync_timeout_s = SYNC_TIMEOUT_FRACTION * min(timeouts, default=0.0) / 1000
+        self._slow_sync: asyncio.Task[bool] | None = None  # a sync that took longer
+        self.on_recorded: Callable[[], None] = lambda: None  # hears of each id that is put
+        if timeouts:
+            agent.serving.remember = self.record
         # What is sent once more comes within a client timeout, so a disk that can't tell is in doubt for as long: one that
         # was cut or is another's; with a fleet each one until peers were asked, since an older copy looks sound.
-        self._lost = found.lost > 0
-        doubtful = self._lost or agent.config.fleet is not None
-        self._unsure_until = agent.clock.now() + agent.serving.longest_wait if doubtful else 0.0
-        if kept:
-            agent.log.event("ran recalled", ids=len(kept))
+        self._store_damaged = found.lost > 0
+        in_doubt = self._store_damaged or agent.config.fleet is not None
+        self._in_doubt_until = agent.clock.now() + agent.serving.longest_wait if in_doubt else 0.0
+        if stored:
+            agent.log.event("ran recalled", ids=len(stored))
 
-    def asked(self, behind: bool) -> None:
+    def peers_asked(self, store_outdated: bool) -> None:
         """Peers were asked; `behind`: they have met a later life than this disk knows of."""
-        if not (behind or self._lost):
-            self._unsure_until = 0.0
+        if not (store_outdated or self._store_damaged):
+            self._in_doubt_until = 0.0
 
-    async def keep(self, name: bytes) -> Remembered:
+    async def record(self, request_id: bytes) -> Remembered:
         """Have it known to the next life that this API call may run from now on."""
-        counted = self._agent.counters.others
-        if self._agent.clock.now() < self._unsure_until:
-            counted["ran: errored, the disk can't tell"] += 1
+        counters = self._agent.counters.others
+        if self._agent.clock.now() < self._in_doubt_until:
+            counters["ran: errored, the disk can't tell"] += 1
             return Remembered.UNSURE
-        if self._hangs is not None and not self._hangs.done():
-            counted["ran: refused, the disk hangs"] += 1
+        if self._slow_sync is not None and not self._slow_sync.done():
+            counters["ran: refused, the disk hangs"] += 1
             return Remembered.NOT_NOW
-        self._hangs = None
-        key = PREFIX + name.decode("latin-1")
+        self._slow_sync = None
+        key = KEY_PREFIX + request_id.decode("latin-1")
         if not self._store.put(key, 1):
-            counted["ran: refused, no room"] += 1
+            counters["ran: refused, no room"] += 1
             return Remembered.NOT_NOW
-        self._fresh.append(key)
-        self.kept()
-        writing = self._agent.tasks.spawn("ran", self._store.flush())
+        self._current.append(key)
+        self.on_recorded()
+        sync = self._agent.tasks.spawn("ran", self._store.flush())
         # Guards against a disk that hangs: the writing goes on by itself, the API call doesn't.
-        if not (await asyncio.wait({writing}, timeout=self._patience))[0]:
-            self._hangs = writing
-            counted["ran: refused, the disk hangs"] += 1
+        if not (await asyncio.wait({sync}, timeout=self._sync_timeout_s))[0]:
+            self._slow_sync = sync
+            counters["ran: refused, the disk hangs"] += 1
             return Remembered.NOT_NOW
-        counted["ran: kept" if writing.result() else "ran: not kept"] += 1
+        counters["ran: kept" if sync.result() else "ran: not kept"] += 1
         return Remembered.KEPT
 
     async def run(self) -> None:
         """Forget, turn by turn; what is dropped is written with what comes next."""
         while True:
             await asyncio.sleep(self._agent.serving.longest_wait / 1000)
-            for key in self._older:
+            for key in self._previous:
                 self._store.put(key, None)
-            self._older, self._fresh = self._fresh, []
+            self._previous, self._current = self._current, []
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -24,18 +24,18 @@
 from lupinreach.net.agent import Agent
 
 JITTER = 0.2  # of the time between two words
-WINDOW = 5.0  # x the time between two words: over which rates of customers are taken
-AGEING, ALONE = (
+WINDOW_INTERVALS = 5.0  # x the time between two words: over which rates of customers are taken
+AGEING_INTERVALS, ALONE_INTERVALS = (
     4.0,
     16.0,
 )  # x the time between two words without any: what is shared is ageing, then the agent is alone
-OVER = 1.5  # x its fraction of all that is asked: from there on a customer is over its share
-WELL = 1.0  # x SLO: below it others have met a backend well
-TRIALS = 0  # the number of the budget
-EACH = 2.0  # trials of each backend in a hold, over the fleet: with one, 40 agents that had all been deaf came back later
+OVER_SHARE_FACTOR = 1.5  # x its fraction of all that is asked: from there on a customer is over its share
+HEALTHY_RELATIVE_LATENCY = 1.0  # x SLO: below it others have met a backend well
+TRIALS_BUDGET = 0  # the number of the budget
+TRIALS_PER_BACKEND = 2.0  # trials of each backend in a hold, over the fleet: with one, 40 agents that had all been deaf came back later
 
 
-class Silence(Enum):
+class Freshness(Enum):
     """How far what others say can still be gone by."""
 
     FRESH = "fresh"
@@ -66,29 +66,29 @@
         self._draw = draw
         slo = max(p.slo for p in settings.products) or settings.longest_wait / 2
         self.observations = Observations(settings.me, settings.zone, slo, draw)
-        self.counts = Counts(settings.me, len(settings.customers), WINDOW * config.share, draw)
+        self.counts = Counts(settings.me, len(settings.customers), WINDOW_INTERVALS * config.share, draw)
         self.uptimes = Uptimes(settings.me, settings.rules.cold, draw)
         self._fractions = [c.fraction for c in settings.customers]
-        self._hold = EJECTION_SLOS * slo
+        self._ejection_ms = EJECTION_SLOS * slo
         self._backends = 0
         self.trials: Budget | None = None  # from the first list on, by whose length the fleet's trials go
-        self._lease = LEASE_HEARTBEATS * config.beat
-        self._began = self._heard_at = now
-        self._count = 0  # questions of this life
-        self.stage = Silence.FRESH
+        self._lease_ms = LEASE_HEARTBEATS * config.beat
+        self._began = self._last_update = now
+        self._queries_sent = 0  # questions of this life
+        self.stage = Freshness.FRESH
         if settings.customers:
             agent.serving.took = self.counts.record_call
 
     # Datagrams.
 
-    def hear(self, m: Message) -> None:
+    def on_message(self, m: Message) -> None:
         now = self._agent.clock.now()
         if m.kind == wire.UPDATE:
-            self._heard_at = now
+            self._last_update = now
             self.observations.receive(now, m.mets)
             self.counts.receive(now, m.counts)
             self.uptimes.receive(now, m.stood)
-        elif self.trials is not None and m.budget == TRIALS:
+        elif self.trials is not None and m.budget == TRIALS_BUDGET:
             own = self.trials.own
             if m.kind == wire.BORROW:
                 spare = self.trials.usable(now) - self._wants()
@@ -99,7 +99,7 @@
                     self._send(
                         m.sender,
                         wire.GRANT,
-                        {"nonce": m.nonce, "budget": TRIALS, "amount": int(1000 * amount / own)},
+                        {"nonce": m.nonce, "budget": TRIALS_BUDGET, "amount": int(1000 * amount / own)},
                     )
             elif self.trials.granted(now, m.nonce, m.amount / 1000 * own):
                 self._agent.counters.others["shared: trials borrowed"] += 1
@@ -109,18 +109,18 @@
     def _wants(self) -> float:
         """Trials a s that this agent could make use of: one for each backend that it holds back, each hold."""
         held = sum(any(b.ejected_until) for b, _ in self._agent.balancer.relative_latencies())
-        return 1000 * held / self._hold
+        return 1000 * held / self._ejection_ms
 
     def update(self) -> None:
         """Once between two words: take what is own, and hand the module what follows from all of it."""
         now, balancer = self._agent.clock.now(), self._agent.balancer
-        silent = now - self._heard_at
+        silent = now - self._last_update
         self.stage = (
-            Silence.FRESH
-            if silent <= AGEING * self._config.share
-            else Silence.AGEING
-            if silent <= ALONE * self._config.share
-            else Silence.ALONE
+            Freshness.FRESH
+            if silent <= AGEING_INTERVALS * self._config.share
+            else Freshness.AGEING
+            if silent <= ALONE_INTERVALS * self._config.share
+            else Freshness.ALONE
         )
         met = balancer.relative_latencies()
         known = {(b.name, boot_hash(b.boot_time)): (b, figure) for b, figure in met}
@@ -136,40 +136,42 @@
         )
         self.observations.expire(now, known)
         self.counts.refresh(now, self._self()[0], now - self._began)
-        self._budget(now, len(met))
-        young = {b.name: b for b in balancer.recently_started(now)}
+        self._resize_budget(now, len(met))
+        recently_started = {b.name: b for b in balancer.recently_started(now)}
         self.uptimes.record_own(
-            now, {name: (b.up_since, b.observed_at) for name, b in young.items() if b.up_since}
+            now, {name: (b.up_since, b.observed_at) for name, b in recently_started.items() if b.up_since}
         )
-        self.uptimes.expire(now, young)
+        self.uptimes.expire(now, recently_started)
         own = {key: (figure, b.observed_at) for key, (b, figure) in known.items()}
-        dearer = {name: factor for (name, _), factor in self.observations.cost_factors(now, own).items()}
+        cost_factors = {
+            name: factor for (name, _), factor in self.observations.cost_factors(now, own).items()
+        }
         due = frozenset(
             name
             for (name, boot), (figure, _) in self.observations.estimates(now, own).items()
-            if figure < WELL and any(known[name, boot][0].ejected_until)
+            if figure < HEALTHY_RELATIVE_LATENCY and any(known[name, boot][0].ejected_until)
         )
         balancer.apply_shared(
             now,
             SharedEstimates(
-                dearer,
+                cost_factors,
                 due,
-                self._over(now),
+                self._over_share(now),
                 None if self.trials is None else self.trials.usable(now) / 1000,
-                self.uptimes.since(self._began, {name: b.refused_at for name, b in young.items()}),
+                self.uptimes.since(self._began, {name: b.refused_at for name, b in recently_started.items()}),
             ),
         )
 
-    def _budget(self, now: float, backends: int) -> None:
+    def _resize_budget(self, now: float, backends: int) -> None:
         if backends > self._backends:
             # Guards against a share that moves with each list: agents with unlike lists would have unlike budgets.
             self._backends = backends
-            total = EACH * backends * 1000 / self._hold
-            self.trials = Budget(now, total, self._agent.config.settings.agents, self._lease)
+            total = TRIALS_PER_BACKEND * backends * 1000 / self._ejection_ms
+            self.trials = Budget(now, total, self._agent.config.settings.agents, self._lease_ms)
 
-    def _over(self, now: float) -> frozenset[int] | None:
+    def _over_share(self, now: float) -> frozenset[int] | None:
         """Customers over their share of what the fleet is asked; None where too little is heard to tell."""
-        if not self._fractions or self.stage is Silence.ALONE:
+        if not self._fractions or self.stage is Freshness.ALONE:
             return None
         rates = self.counts.rates(now)
         total = sum(rates)
@@ -178,10 +180,10 @@
         return frozenset(
             i
             for i, (rate, part) in enumerate(zip(rates, self._fractions, strict=True))
-            if rate > OVER * part * total
+            if rate > OVER_SHARE_FACTOR * part * total
         )
 
-    def figures(self) -> dict[str, object]:
+    def metrics(self) -> dict[str, object]:
         """What operators see."""
         now = self._agent.clock.now()
         met = self._agent.balancer.relative_latencies()
@@ -193,7 +195,7 @@
             "refused": self.observations.rejected + self.counts.rejected + self.uptimes.rejected,
             "dearer": {str(b.name): round(b.cost_factor, 2) for b, _ in met if b.cost_factor > 1},
             "customers_per_s": [round(rate, 2) for rate in self.counts.rates(now)],
-            "over": sorted(self._over(now) or ()),
+            "over": sorted(self._over_share(now) or ()),
             "trials_per_s": None if self.trials is None else round(self.trials.usable(now), 4),
             "leases": None if self.trials is None else self.trials.lease_counts,
         }
@@ -201,7 +203,7 @@
     # From start to end.
 
     async def run(self) -> None:
-        said = Silence.FRESH
+        said = Freshness.FRESH
         while True:
             await asyncio.sleep(self._config.share * (1 + JITTER * (self._draw() - 0.5)) / 1000)
             self.update()
@@ -212,19 +214,19 @@
                 continue  # a newer process of this agent speaks for it
             now = self._agent.clock.now()
             for peer in self._members.draw_targets():
-                self._send(peer, wire.UPDATE, self._news(now))
+                self._send(peer, wire.UPDATE, self._update(now))
             if self.trials is not None and self._wants() > self.trials.usable(now):
-                self._count += 1
+                self._queries_sent += 1
                 # Guards against a late answer to a question of the life before, which would pass its owner's lease.
-                number = (self._self()[0] & 0xFFFF) << 16 | self._count & 0xFFFF
+                number = (self._self()[0] & 0xFFFF) << 16 | self._queries_sent & 0xFFFF
                 self.trials.ask(now, number)
                 self._send(
                     self._members.draw_targets()[0],
                     wire.BORROW,
-                    {"nonce": number, "budget": TRIALS, "amount": 1000},
+                    {"nonce": number, "budget": TRIALS_BUDGET, "amount": 1000},
                 )
 
-    def _news(self, now: float) -> dict[str, object]:
+    def _update(self, now: float) -> dict[str, object]:
         """As much as a datagram takes: half of it for who stands, where there is so much, half of the rest for each of the others."""
         stood = self.uptimes.digest(now, wire.UPDATE_ROW_BYTES // 2 // wire.UPTIME_ROW.size)
         room = wire.UPDATE_ROW_BYTES - len(stood) * wire.UPTIME_ROW.size
--- a/lupinreach/ops/succession.py
+++ b/lupinreach/ops/succession.py
@@ -9,8 +9,8 @@
 
 from lupinreach.store.files import replace
 
-FORM = 1  # of the file; another one is no file
-MOST = 4096  # bytes of it
+FORMAT = 1  # of the file; another one is no file
+MAX_FILE_BYTES = 4096  # bytes of it
 
 
 class Process(NamedTuple):
@@ -20,22 +20,22 @@
     started: int  # clock ticks since the machine started
 
 
-def written(process: Process) -> bytes:
-    return orjson.dumps({"form": FORM, "pid": process.pid, "started": process.started})
+def encode(process: Process) -> bytes:
+    return orjson.dumps({"form": FORMAT, "pid": process.pid, "started": process.started})
 
 
-def read(text: bytes) -> Process | None:
+def decode(text: bytes) -> Process | None:
     """The process that a file names; None for a file of another form, or a broken one."""
     try:
         raw = orjson.loads(text)
-        if raw["form"] != FORM or type(raw["pid"]) is not int or type(raw["started"]) is not int:
+        if raw["form"] != FORMAT or type(raw["pid"]) is not int or type(raw["started"]) is not int:
             return None
         return Process(raw["pid"], raw["started"]) if raw["pid"] > 0 else None
     except (orjson.JSONDecodeError, KeyError, TypeError):
         return None
 
 
-def alive(pid: int) -> Process | None:
+def running_process(pid: int) -> Process | None:
     """The process that runs under a pid; None if there is none, or only its remains."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
@@ -52,7 +52,7 @@
     def __init__(self, folder: str | None, name: str) -> None:
         safe = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)
         self._path = os.path.join(folder, f"lupinreach-{safe}.serving") if folder else None
-        self._me = alive(os.getpid())
+        self._me = running_process(os.getpid())
 
     def other(self) -> Process | None:
         """The live process that took over last, if it isn't this one."""
@@ -60,13 +60,13 @@
             return None
         try:
             with open(self._path, "rb") as file:
-                named = read(file.read(MOST))
+                named = decode(file.read(MAX_FILE_BYTES))
         except OSError:
             return None
-        if named is None or named == self._me or alive(named.pid) != named:
+        if named is None or named == self._me or running_process(named.pid) != named:
             return None
         return named
 
     def take_over(self) -> bool:
         """Name this process."""
-        return self._path is not None and self._me is not None and replace(self._path, written(self._me))
+        return self._path is not None and self._me is not None and replace(self._path, encode(self._me))
--- a/lupinreach/store/files.py
+++ b/lupinreach/store/files.py
@@ -19,7 +19,7 @@
 
     def write(self, folder: str, text: bytes, sync: bool) -> str:
         """A new file with that in it, synced if asked for; its path."""
-        descriptor, fresh = tempfile.mkstemp(dir=folder, prefix="lupinreach-")
+        descriptor, temporary = tempfile.mkstemp(dir=folder, prefix="lupinreach-")
         try:
             with os.fdopen(descriptor, "wb") as file:
                 file.write(text)
@@ -27,9 +27,9 @@
                     file.flush()
                     os.fsync(file.fileno())
         except OSError:
-            os.unlink(fresh)  # guards against a full disk that fills with halves
+            os.unlink(temporary)  # guards against a full disk that fills with halves
             raise
-        return fresh
+        return temporary
 
     def append(self, path: str, text: bytes, sync: bool) -> None:
         """More at the end of a file that is there; a power loss before a sync leaves any first part of it."""
@@ -42,8 +42,8 @@
         finally:
             os.close(descriptor)
 
-    def rename(self, fresh: str, path: str) -> None:
-        os.replace(fresh, path)
+    def rename(self, temporary: str, path: str) -> None:
+        os.replace(temporary, path)
 
     def sync(self, folder: str) -> None:
         """What names stand in the folder is there after a power loss too."""
@@ -53,7 +53,7 @@
         finally:
             os.close(descriptor)
 
-    async def away(self, work: Callable[[], bool]) -> bool:
+    async def run_blocking(self, work: Callable[[], bool]) -> bool:
         """Do it where it holds up no event loop: a sync may take seconds."""
         return await asyncio.to_thread(work)
 
--- a/lupinreach/store/records.py
+++ b/lupinreach/store/records.py
@@ -19,12 +19,12 @@
 
 import orjson
 
-FORM = 1
-HEAD = struct.Struct("<II")
-MOST_FILE = 4 << 20  # bytes
-MOST_RECORD = 1 << 20
-MOST_KEYS = 4096
-OLDER = (
+FORMAT = 1
+HEADER = struct.Struct("<II")
+MAX_FILE_BYTES = 4 << 20  # bytes
+MAX_RECORD_BYTES = 1 << 20
+MAX_KEYS = 4096
+LEGACY_FIRST_BYTE = (
     b"{"  # how the carried file began before there was a store: one object, which is the value of `learnt`
 )
 
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Found:
+class FileContents:
     """What a file holds, and what of it can't be believed."""
 
     state: State = field(default_factory=dict)
@@ -41,48 +41,53 @@
     why: str = ""  # why nothing, or not all, is believed; empty: all of it is
 
     @property
-    def whole(self) -> bool:
+    def appendable(self) -> bool:
         """If more can be appended to it."""
         return self.good > 0 and not self.why
 
 
-def record(key: str, value: Any) -> bytes:
+def encode_record(key: str, value: Any) -> bytes:
     """One record; ValueError where it is longer than may be."""
     body = orjson.dumps([key, value])
-    if len(body) > MOST_RECORD:
+    if len(body) > MAX_RECORD_BYTES:
         raise ValueError(f"{key}: {len(body)} bytes")
     size = len(body).to_bytes(4, "little")
-    return HEAD.pack(len(body), crc32(size + body)) + body
+    return HEADER.pack(len(body), crc32(size + body)) + body
 
 
-def whole(agent: str, state: Mapping[str, Any]) -> bytes:
+def encode_file(agent: str, state: Mapping[str, Any]) -> bytes:
     """A file with that in it and nothing else."""
-    return b"".join([record("", {"form": FORM, "agent": agent}), *(record(k, v) for k, v in state.items())])
+    return b"".join(
+        [
+            encode_record("", {"form": FORMAT, "agent": agent}),
+            *(encode_record(k, v) for k, v in state.items()),
+        ]
+    )
 
 
-def read(text: bytes, agent: str) -> Found:
+def decode_file(text: bytes, agent: str) -> FileContents:
     """Fold a file of that agent's; whatever is wrong with it, what stands before the fault counts."""
-    if text[:1] == OLDER:
-        return _older(text)
-    found, at = Found(), 0
+    if text[:1] == LEGACY_FIRST_BYTE:
+        return _decode_legacy(text)
+    found, at = FileContents(), 0
     while at < len(text):
-        body = _body(text, at)
+        body = _read_body(text, at)
         if body is None:
             break
-        at += HEAD.size + len(body)
+        at += HEADER.size + len(body)
         try:
             key, value = orjson.loads(body)
         except (orjson.JSONDecodeError, ValueError, TypeError):
-            return Found(lost=len(text), why="no such file")
+            return FileContents(lost=len(text), why="no such file")
         if found.good == 0:
-            if key != "" or not isinstance(value, dict) or value.get("form") != FORM:
-                return Found(lost=len(text), why="another form")
+            if key != "" or not isinstance(value, dict) or value.get("form") != FORMAT:
+                return FileContents(lost=len(text), why="another form")
             if value.get("agent") != agent:
                 # Guards against another agent's disk: its life number and drains are not this one's to speak of.
-                return Found(lost=len(text), why="another agent's")
+                return FileContents(lost=len(text), why="another agent's")
         elif value is None:
             found.state.pop(key, None)
-        elif len(found.state) < MOST_KEYS or key in found.state:
+        elif len(found.state) < MAX_KEYS or key in found.state:
             found.state[key] = value
         found.good = at
     found.lost = len(text) - found.good
@@ -90,20 +95,20 @@
     return found
 
 
-def _body(text: bytes, at: int) -> bytes | None:
+def _read_body(text: bytes, at: int) -> bytes | None:
     """The body of the record that begins there; None where it is not whole."""
-    if at + HEAD.size > len(text):
+    if at + HEADER.size > len(text):
         return None
-    size, check = HEAD.unpack_from(text, at)
-    if size > MOST_RECORD or at + HEAD.size + size > len(text):
+    size, check = HEADER.unpack_from(text, at)
+    if size > MAX_RECORD_BYTES or at + HEADER.size + size > len(text):
         return None
-    body = text[at + HEAD.size : at + HEAD.size + size]
+    body = text[at + HEADER.size : at + HEADER.size + size]
     return body if crc32(text[at : at + 4] + body) == check else None
 
 
-def _older(text: bytes) -> Found:
+def _decode_legacy(text: bytes) -> FileContents:
     try:
         raw = orjson.loads(text)
     except orjson.JSONDecodeError:
-        return Found(lost=len(text), why="torn or no such file")
-    return Found({"learnt": raw}, 0, 0, "of before")
+        return FileContents(lost=len(text), why="torn or no such file")
+    return FileContents({"learnt": raw}, 0, 0, "of before")
--- a/lupinreach/store/store.py
+++ b/lupinreach/store/store.py
@@ -13,9 +13,9 @@
 
 from lupinreach.store import records, trust
 from lupinreach.store.files import Disk, replace
-from lupinreach.store.records import Found, State
+from lupinreach.store.records import FileContents, State
 
-SPARE = 64 << 10  # bytes by which a file may be longer than what counts in it, beside as much again
+SLACK_BYTES = 64 << 10  # bytes by which a file may be longer than what counts in it, beside as much again
 
 
 class Store:
@@ -25,29 +25,33 @@
     """
 
     def __init__(
-        self, path: str, agent: str, disk: Disk | None = None, failed: Callable[[str], None] = lambda _: None
+        self,
+        path: str,
+        agent: str,
+        disk: Disk | None = None,
+        on_failure: Callable[[str], None] = lambda _: None,
     ) -> None:
         self._path = path
         self._agent = agent
         self._disk = disk or Disk()
-        self._failed = failed
-        self.well = True
+        self._on_failure = on_failure
+        self.writable = True
         self.state: State = {}  # bounded by `records.MOST_KEYS`
         self.written = 0  # bytes, since the start
         self._dirty: dict[str, None] = {}  # keys put since the last writing began
         self._appends = False  # the file is whole, and this process's to go on with
-        self._size = self._most = 0  # bytes that the file has, and from which on it is written anew
-        self._one = asyncio.Lock()
+        self._size = self._rewrite_above = 0  # bytes that the file has, and from which on it is written anew
+        self._lock = asyncio.Lock()
 
-    def open(self) -> Found:
+    def open(self) -> FileContents:
         """Read what the life before has left; with no file that can be read, nothing."""
         try:
-            text = self._disk.read(self._path, records.MOST_FILE + 1)
+            text = self._disk.read(self._path, records.MAX_FILE_BYTES + 1)
         except OSError as why:
-            return Found(why=why.strerror or str(why))
-        if len(text) > records.MOST_FILE:
-            return Found(lost=len(text), why="too long")
-        found = records.read(text, self._agent)
+            return FileContents(why=why.strerror or str(why))
+        if len(text) > records.MAX_FILE_BYTES:
+            return FileContents(lost=len(text), why="too long")
+        found = records.decode_file(text, self._agent)
         self.state = dict(found.state)
         return found
 
@@ -60,33 +64,33 @@
             if self.state.pop(key, None) is not None:
                 self._dirty[key] = None
             return True
-        if len(self.state) >= records.MOST_KEYS and key not in self.state:
+        if len(self.state) >= records.MAX_KEYS and key not in self.state:
             return False
         if self.state.get(key) != value:
-            records.record(key, value)  # guards against what the writing could only fail on
+            records.encode_record(key, value)  # guards against what the writing could only fail on
             self.state[key] = value
             self._dirty[key] = None
         return True
 
     async def flush(self) -> bool:
         """Write and sync what was put; false where the disk can't. The event loop serves on meanwhile."""
-        async with self._one:
+        async with self._lock:
             if not self._dirty:
                 return True
             dirty, self._dirty = self._dirty, {}
-            text = b"".join(records.record(k, self.state.get(k)) for k in dirty)
-            if self._appends and self._size + len(text) <= self._most:
-                done = await self._disk.away(self._append(text))
+            text = b"".join(records.encode_record(k, self.state.get(k)) for k in dirty)
+            if self._appends and self._size + len(text) <= self._rewrite_above:
+                done = await self._disk.run_blocking(self._append(text))
                 self._size += len(text)
             else:
-                done = await self._disk.away(self._whole(dict(self.state)))
+                done = await self._disk.run_blocking(self._rewrite(dict(self.state)))
             if not done:
                 # Guards against a half that would stand before what is appended next.
                 self._appends = False
                 self._dirty = {**dirty, **self._dirty}
-                if self.well:
-                    self._failed("can't be written")
-            self.well = done
+                if self.writable:
+                    self._on_failure("can't be written")
+            self.writable = done
             return done
 
     def _append(self, text: bytes) -> Callable[[], bool]:
@@ -100,17 +104,19 @@
 
         return work
 
-    def _whole(self, state: State) -> Callable[[], bool]:
+    def _rewrite(self, state: State) -> Callable[[], bool]:
         def work() -> bool:
             # Guards against another process on the same disk that has reached more meanwhile.
             try:
-                there = records.read(self._disk.read(self._path, records.MOST_FILE), self._agent).state
+                on_disk = records.decode_file(
+                    self._disk.read(self._path, records.MAX_FILE_BYTES), self._agent
+                ).state
             except OSError:
-                there = {}
-            text = records.whole(self._agent, trust.merged(there, state))
+                on_disk = {}
+            text = records.encode_file(self._agent, trust.merged(on_disk, state))
             if not replace(self._path, text, True, self._disk):
                 return False
-            self._appends, self._size, self._most = True, len(text), 2 * len(text) + SPARE
+            self._appends, self._size, self._rewrite_above = True, len(text), 2 * len(text) + SLACK_BYTES
             self.written += len(text)
             return True
 
--- a/lupinreach/store/trust.py
+++ b/lupinreach/store/trust.py
@@ -88,15 +88,15 @@
 
 
 # Where two processes write one file, neither may lower what the other has reached.
-HIGHEST = frozenset({"life", "floor"})
+MERGED_BY_MAXIMUM = frozenset({"life", "floor"})
 
 
-def merged(there: Mapping[str, Any], ours: Mapping[str, Any]) -> dict[str, Any]:
+def merged(on_disk: Mapping[str, Any], ours: Mapping[str, Any]) -> dict[str, Any]:
     """What a file is to hold that another process may have written meanwhile."""
-    found = {**{k: v for k, v in there.items() if item(k) is None}, **ours}
-    for key in HIGHEST & there.keys():
+    found = {**{k: v for k, v in on_disk.items() if item(k) is None}, **ours}
+    for key in MERGED_BY_MAXIMUM & on_disk.keys():
         try:
-            found[key] = max(there[key], ours.get(key, there[key]))
+            found[key] = max(on_disk[key], ours.get(key, on_disk[key]))
         except TypeError:
             continue  # guards against another version's value of another type
     return found
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -13,7 +13,13 @@
 
 from lupinreach.config import BadConfig
 from lupinreach.model import BackendSnapshot, Listing, PolicySnapshot, UpdateKind
-from lupinreach.ops.snapshot import MOST_BACKENDS, SnapshotStore, Unfit, parse_snapshot, plain
+from lupinreach.ops.snapshot import (
+    MAX_BACKENDS,
+    InvalidSnapshot,
+    SnapshotStore,
+    encode_snapshot,
+    parse_snapshot,
+)
 from lupinreach.store import records
 from lupinreach.store.store import Store
 
@@ -111,11 +117,11 @@
 
 def again(learnt, at):
     """What was put, as the next process reads it."""
-    return parse_snapshot(json.loads(json.dumps(plain(learnt, at))))
+    return parse_snapshot(json.loads(json.dumps(encode_snapshot(learnt, at))))
 
 
 def carried(path, agent="n"):
-    return parse_snapshot(records.read(path.read_bytes(), agent).state["learnt"])
+    return parse_snapshot(records.decode_file(path.read_bytes(), agent).state["learnt"])
 
 
 def test_the_file_reads_back_and_is_bounded():
@@ -125,13 +131,13 @@
         (400.0,),
         True,
         ((1.0, 1.0, 1.0, 1.0),),
-        tuple(BackendSnapshot(i, 0.0, 1.0, (None,), 0.0) for i in range(2 * MOST_BACKENDS)),
+        tuple(BackendSnapshot(i, 0.0, 1.0, (None,), 0.0) for i in range(2 * MAX_BACKENDS)),
     )
-    assert len(again(many, 1.0)[1].backends) == MOST_BACKENDS
+    assert len(again(many, 1.0)[1].backends) == MAX_BACKENDS
 
 
 def test_each_fault_of_a_file_is_named_and_nothing_of_it_taken():
-    good = json.loads(json.dumps(plain(warmed().agent.snapshot(), 1.0)))
+    good = json.loads(json.dumps(encode_snapshot(warmed().agent.snapshot(), 1.0)))
     row = good["backends"][0]
     for change in (
         {"form": 2},
@@ -147,12 +153,12 @@
         {"backends": [[*row[:2], 1e300, *row[3:]]]},
         {"backends": [["s-1", *row[1:]]]},
         {"backends": [[*row[:4], 2.0]]},
-        {"backends": [row] * (MOST_BACKENDS + 1)},
+        {"backends": [row] * (MAX_BACKENDS + 1)},
     ):
-        with pytest.raises(Unfit):
+        with pytest.raises(InvalidSnapshot):
             parse_snapshot(good | change)
     for other in ([], 3, None, good | {"slos": [float("nan")]}):
-        with pytest.raises(Unfit):
+        with pytest.raises(InvalidSnapshot):
             parse_snapshot(other)
 
 
@@ -208,9 +214,11 @@
             path = tmp_path / "carried"
             at = site.agent.clock.now() - (3.6e6 if fault == "old" else 1000.0)
             learnt = site.agent.balancer.snapshot()
-            value = plain(learnt, at)
+            value = encode_snapshot(learnt, at)
             text = (
-                json.dumps(value).encode() if fault == "of before" else records.whole("n", {"learnt": value})
+                json.dumps(value).encode()
+                if fault == "of before"
+                else records.encode_file("n", {"learnt": value})
             )
             path.write_bytes(text[: -9 if fault == "torn" else None])
             raw = site.raw | {"listen": "127.0.0.1:0", "carry": {"file": str(path)}}
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -164,7 +164,7 @@
 
     longest, took = asyncio.run(main())
     assert took >= 0.4 and longest < 0.3
-    assert parse_snapshot(records.read((tmp_path / CARRIED).read_bytes(), "a").state["learnt"]) == (
+    assert parse_snapshot(records.decode_file((tmp_path / CARRIED).read_bytes(), "a").state["learnt"]) == (
         1000.0,
         LEARNT,
     )
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -12,7 +12,7 @@
 from lupinreach.net.counters import Counters, Outcome
 from lupinreach.net.standing import SETTLES, Standing, State
 from lupinreach.ops import metrics
-from lupinreach.ops.operator_endpoint import MOST_HELD, OperatorEndpoint
+from lupinreach.ops.operator_endpoint import MAX_CONNECTIONS, OperatorEndpoint
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 FAILED = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -141,13 +141,13 @@
 def test_callers_that_hold_a_connection_lock_nobody_out_and_get_their_end():
     async def work():
         async with Operated(target("s-1", "127.0.0.1:9")) as site:
-            held = [await asyncio.open_connection(*site.door.address) for _ in range(3 * MOST_HELD)]
+            held = [await asyncio.open_connection(*site.door.address) for _ in range(3 * MAX_CONNECTIONS)]
             for _, writer in held[::2]:
                 writer.write(b"GET /_re")
             started = time.monotonic()
             assert (await site.call(b"GET", b"/_ready"))[0] == 200
             assert time.monotonic() - started < 1.0
-            assert len(site.door._held) <= MOST_HELD
+            assert len(site.door._held) <= MAX_CONNECTIONS
             ends = [await asyncio.wait_for(reader.read(), 5) for reader, _ in held]
             assert all(not end or code(end) == 408 for end in ends) and any(ends)
             while site.door._held:
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -77,7 +77,7 @@
     # Drawn loss 20075: its witnesses had heard as little of it as its disk held, and a payment ran twice.
     trial = spec.read(drawn(20075, True, False))
     assert play.run(trial, 20075).verdict == play.KEPT
-    monkeypatch.setattr(fleet_agent.FleetAgent, "ran", lambda _: None)
+    monkeypatch.setattr(fleet_agent.FleetAgent, "record_synced", lambda _: None)
     assert {b.name for b in play.run(trial, 20075).result.breaches} == {"effect twice"}
 
 
@@ -88,7 +88,7 @@
     class Disk(MemoryDisk):
         def append(self, path, text, sync):
             super().append(path, text, sync)
-            kept.append(records.read(self.read(path, 1 << 20), "agent-0").state["beat"][1])
+            kept.append(records.decode_file(self.read(path, 1 << 20), "agent-0").state["beat"][1])
 
     class Marks(fleet_agent.FleetAgent):
         def _send(self, peer, message):
@@ -97,9 +97,9 @@
                 assert message.heartbeat > self.before  # above what the disk held before the payment
                 told.append(message.heartbeat)
 
-        def ran(self):
+        def record_synced(self):
             self.before = kept[-1] if kept else 0
-            super().ran()
+            super().record_synced()
 
     async def work():
         agent = SimpleNamespace(
@@ -113,7 +113,7 @@
         one.__dict__.update(
             _agent=agent,
             _store=store,
-            _marking=None,
+            _mark_task=None,
             _me=0,
             _config=SimpleNamespace(beat=8.0),
             members=SimpleNamespace(heartbeat=0),
@@ -122,9 +122,9 @@
             own=SimpleNamespace(incarnation=Incarnation(1, 1), settled=True, superseded=False),
         )
         for _ in range(5):
-            one.ran()
-            one.ran()  # a second payment in the same moment needs no mark of its own
-            await one._marking
+            one.record_synced()
+            one.record_synced()  # a second payment in the same moment needs no mark of its own
+            await one._mark_task
             one.members.heartbeat += 1
             one._put_beat()
             await store.flush()
@@ -136,7 +136,7 @@
 def test_who_was_cut_off_while_it_asked_asks_again_and_hears_what_drains(monkeypatch):
     trial = spec.read(drawn(5060, True, False))
     while_cut_off = play.run(trial, 5060).recovery.to_draining
-    monkeypatch.setattr(fleet_agent, "ASK_AGAIN", 10**6)
+    monkeypatch.setattr(fleet_agent, "QUERY_INTERVAL_HEARTBEATS", 10**6)
     assert play.run(trial, 5060).recovery.to_draining > 7 * while_cut_off
 
 
@@ -184,7 +184,7 @@
     async def work():
         disk = MemoryDisk(stream(1, "disk"))
         _, ran = part(Store("/a/carried", "a", disk))
-        assert await asyncio.gather(*(ran.keep(b"id-%d" % n) for n in range(50))) == [Remembered.KEPT] * 50
+        assert await asyncio.gather(*(ran.record(b"id-%d" % n) for n in range(50))) == [Remembered.KEPT] * 50
         disk.lose_power()
         agent, after = part(store := Store("/a/carried", "a", disk))
         assert not any(agent.serving.ids.begin(b"id-%d" % n) for n in range(50)) and agent.serving.ids.begin(
@@ -206,13 +206,14 @@
         agent, ran = part(store := Store("/a/carried", "a", disk))
         disk.stuck = True
         assert (
-            await ran.keep(b"a") is Remembered.KEPT and agent.counters.others["ran: not kept"] == 1
+            await ran.record(b"a") is Remembered.KEPT and agent.counters.others["ran: not kept"] == 1
         )  # as without it
         disk.stuck = False
         while store.put(f"drain/{len(store.state)}", 1):
             pass
         assert (
-            await ran.keep(b"b") is Remembered.NOT_NOW and agent.counters.others["ran: refused, no room"] == 1
+            await ran.record(b"b") is Remembered.NOT_NOW
+            and agent.counters.others["ran: refused, no room"] == 1
         )
 
     asyncio.run(work())
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -27,7 +27,7 @@
 from lupinreach.ops import persistence
 from lupinreach.ops.fleet_agent import FleetAgent
 from lupinreach.store import records
-from lupinreach.store.records import Found
+from lupinreach.store.records import FileContents
 from lupinreach.store.store import Store
 from lupinreach.trial import play, spec
 
@@ -156,7 +156,7 @@
         m = plain(self, kind, **more)
         if self._me >= liars:
             return m
-        every = tuple(Drain(e.name, int(e.boot_time)) for e in self._raw.values())[: wire.MAX_DRAINS]
+        every = tuple(Drain(e.name, int(e.boot_time)) for e in self._listed.values())[: wire.MAX_DRAINS]
         return replace(m, revision=2**60, remembers=True, drains=every if kind == REPLY else ())
 
     monkeypatch.setattr(FleetAgent, "_message", message)
@@ -211,20 +211,20 @@
     )
     agent.peers = SimpleNamespace(send=lambda to, data: agent.sent.append((to, wire.decode(data))))
     store = Store("carried", "a", MemoryDisk(stream(1, "disk")))
-    return agent, FleetAgent(agent, store, Found(dict(state or {})), config, 77)
+    return agent, FleetAgent(agent, store, FileContents(dict(state or {})), config, 77)
 
 
 def test_a_datagram_from_a_wrong_address_is_believed_of_nobody():
     agent, part = one()
     forged = wire.encode(Message(HEARTBEAT, 4, Incarnation(9, 9), 5, True, 900))
-    part.hear(3, forged)
-    part.hear(2, wire.encode(Message(HEARTBEAT, 2, Incarnation(9, 9), 5, True, 900)))
-    part.hear(3, forged[:-1])
+    part.on_datagram(3, forged)
+    part.on_datagram(2, wire.encode(Message(HEARTBEAT, 2, Incarnation(9, 9), 5, True, 900)))
+    part.on_datagram(3, forged[:-1])
     assert part.members.latest(4) == NEVER_HEARD and part.own.incarnation == Incarnation(1, 77)
     assert agent.counters.others == {"fleet: from a wrong address": 2, "fleet: malformed": 1}
-    part.hear(4, forged)
+    part.on_datagram(4, forged)
     assert part.members.latest(4)[0] == Incarnation(9, 9)
-    told = part.figures()
+    told = part.metrics()
     assert (told["stage"], told["agents"], told["standing"], told["floor"], told["own"]) == (
         "dark",
         {"4": [9, "there"]},
@@ -242,13 +242,13 @@
     )
     assert part.own.incarnation.number == 4
     assert agent.directory.older(40)
-    assert [e.state for e in part.see(UpdateKind.CHANGES, [ready, draining], True)] == [
+    assert [e.state for e in part.apply_list(UpdateKind.CHANGES, [ready, draining], True)] == [
         ListedState.DRAINING,
         ListedState.DRAINING,
     ]
-    part.hear(5, wire.encode(Message(wire.QUERY, 5, Incarnation(1, 1), 1, False, 0, nonce=8)))
+    part.on_datagram(5, wire.encode(Message(wire.QUERY, 5, Incarnation(1, 1), 1, False, 0, nonce=8)))
     # Synced at once: found on drawn loss 1022, where power failed between a drain and the next beat.
-    assert records.read(part._store._disk.copy(), "a").state["drain/71"] == 9
+    assert records.decode_file(part._store._disk.copy(), "a").state["drain/71"] == 9
     to, answer = agent.sent[-1]
     assert (
         to == 5
@@ -257,14 +257,14 @@
         and answer.revision == 50
     )
     assert not agent.directory.older(51)
-    assert [e.state for e in part.see(UpdateKind.FULL, [ready], False)] == [ListedState.READY]
+    assert [e.state for e in part.apply_list(UpdateKind.FULL, [ready], False)] == [ListedState.READY]
     assert part.drains.all() == [] and not [k for k in part._store.state if k.startswith("drain/70")]
 
 
 def test_peers_word_of_a_drain_reaches_the_module_as_a_change():
     agent, part = one(state={"life": 4})
     assert (
-        part.see(
+        part.apply_list(
             UpdateKind.CACHED, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False
         )
         == []
@@ -274,17 +274,17 @@
         running = asyncio.create_task(part.run())
         for _ in range(200):
             await asyncio.sleep(0.005)
-            if part._asking is not None:
+            if part._query is not None:
                 break
-        for peer in part._asking.peers[:2]:
-            part.hear(
+        for peer in part._query.peers[:2]:
+            part.on_datagram(
                 peer,
                 wire.encode(
                     Message(REPLY, peer, Incarnation(1, 1), 1, True, 60, nonce=77, drains=(Drain(71, 9),))
                 ),
             )
         agent.clock.now = lambda: 6_000.0
-        while not part._asked:
+        while not part._query_done:
             await asyncio.sleep(0.005)
         running.cancel()
 
@@ -295,13 +295,13 @@
     ] == [(UpdateKind.CACHED, [1], 8)]
     # Lifted after three times the time to ask within, if the registry's own word is as new as the fleet's by then.
     agent.directory.age = 5.0
-    part._step()
+    part._advance_startup()
     agent.clock.now = lambda: 6_000.0 + 3 * 10_000.0
     agent.directory.age = None
-    part._step()
+    part._advance_startup()
     assert len(agent.listed) == 1
     agent.directory.age = 5.0
-    part._step()
+    part._advance_startup()
     assert [[(e.backend, e.state) for e in entries] for _, entries in agent.listed[1:]] == [
         [(1, ListedState.READY)]
     ]
@@ -309,14 +309,16 @@
 
 def test_what_one_peer_s_word_holds_back_shrinks_with_the_ready_backends_and_the_module_hears_of_it():
     agent, part = one()
-    part.see(UpdateKind.FULL, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False)
+    part.apply_list(
+        UpdateKind.FULL, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False
+    )
     part.drains.add_claims(3, [Drain(70, 9), Drain(71, 9)])
-    part._hold()
+    part._apply_withheld()
     gone = [Listing(i, ListedState.REMOVED, 9.0, name=70 + i) for i in range(4, 8)]
-    assert [(e.backend, e.state) for e in part.see(UpdateKind.CHANGES, gone, False)[4:]] == [
+    assert [(e.backend, e.state) for e in part.apply_list(UpdateKind.CHANGES, gone, False)[4:]] == [
         (1, ListedState.READY)
     ]
-    assert agent.listed[0][1][0].state is ListedState.DRAINING and part._held == {0}
+    assert agent.listed[0][1][0].state is ListedState.DRAINING and part._withheld_indices == {0}
 
 
 @pytest.mark.parametrize("state", [{}, {"life": 4}])
@@ -325,7 +327,7 @@
     agent, part = one(state, config=FleetConfig(50.0, 10.0))
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
     assert (
-        part.see(
+        part.apply_list(
             UpdateKind.CACHED, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(2)], False
         )
         == []
@@ -333,7 +335,7 @@
 
     async def work():
         running = asyncio.create_task(part.run())
-        while not part._asked:
+        while not part._query_done:
             await asyncio.sleep(0.005)
         running.cancel()
 
@@ -392,17 +394,17 @@
     # The log's own `event` has a parameter called self: found on a drawn loss, where the part ended with a TypeError.
     agent, part = one(config=FleetConfig(50.0, 10.0))
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
-    part.returned._since = agent.clock.now()
+    part.startup._since = agent.clock.now()
     events = []
     agent.log = SimpleNamespace(event=VirtualLog(lambda event, fields: events.append((event, fields))).event)
 
     async def work():
         running = asyncio.create_task(part.run())
-        while not part._asked:
+        while not part._query_done:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.15)
         assert any(m.kind == HEARTBEAT for _, m in agent.sent)
-        part.hear(
+        part.on_datagram(
             4,
             wire.encode(
                 Message(
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -347,7 +347,8 @@
     def _merge(self, now, c):
         row = self._rows.get((c.agent, c.cell))
         super()._merge(
-            now, c if row is None else Count(c.agent, c.incarnation, c.cell, row.total + c.total, c.stamp, c.age)
+            now,
+            c if row is None else Count(c.agent, c.incarnation, c.cell, row.total + c.total, c.stamp, c.age),
         )
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,7 +12,7 @@
 from lupinreach.bed.ways.disk import CARRIED, MemoryDisk
 from lupinreach.bed.world.chance import stream
 from lupinreach.store import records, trust
-from lupinreach.store.records import HEAD, record, whole
+from lupinreach.store.records import HEADER, encode_file, encode_record
 from lupinreach.store.store import Store
 from lupinreach.store.trust import ITEMS, Trust, restorable
 
@@ -21,10 +21,10 @@
 
 def history():
     """A file, where each of its records ends, and what it holds up to there."""
-    text, state, ends = whole("a", {}), {}, []
+    text, state, ends = encode_file("a", {}), {}, []
     ends.append((len(text), {}))
     for key, value in PUTS:
-        text += record(key, value)
+        text += encode_record(key, value)
         state = {k: v for k, v in (state | {key: value}).items() if v is not None}
         ends.append((len(text), state))
     return text, ends
@@ -34,10 +34,10 @@
     text, ends = history()
     for cut in range(len(text) + 1):
         good, state = max((e for e in ends if e[0] <= cut), key=lambda e: e[0], default=(0, {}))
-        found = records.read(text[:cut], "a")
+        found = records.decode_file(text[:cut], "a")
         assert (found.state, found.good, found.lost) == (state, good, cut - good)
         assert bool(found.why) == (cut != good or not good)
-        zeros = records.read(text[:cut] + bytes(40), "a")
+        zeros = records.decode_file(text[:cut] + bytes(40), "a")
         assert zeros.state == state and zeros.lost
 
 
@@ -46,30 +46,30 @@
     for at in range(len(text)):
         for flip in (1, 0x80):
             state = max((e for e in ends if e[0] <= at), key=lambda e: e[0], default=(0, {}))[1]
-            found = records.read(text[:at] + bytes([text[at] ^ flip]) + text[at + 1 :], "a")
-            assert found.state == state and not found.whole
+            found = records.decode_file(text[:at] + bytes([text[at] ^ flip]) + text[at + 1 :], "a")
+            assert found.state == state and not found.appendable
 
 
 def test_a_length_that_lies_reads_no_further_than_the_file():
     for size in (0, 1, 1 << 19, (1 << 32) - 1):
-        found = records.read(whole("a", {"life": 1}) + HEAD.pack(size, 0) + b"[]", "a")
+        found = records.decode_file(encode_file("a", {"life": 1}) + HEADER.pack(size, 0) + b"[]", "a")
         assert found.state == {"life": 1} and found.lost == 10
 
 
 @pytest.mark.parametrize(
     "text, why",
     [
-        (whole("b", {"life": 9}), "another agent's"),
-        (record("", {"form": 2, "agent": "a"}) + record("life", 9), "another form"),
-        (record("life", 9), "another form"),
+        (encode_file("b", {"life": 9}), "another agent's"),
+        (encode_record("", {"form": 2, "agent": "a"}) + encode_record("life", 9), "another form"),
+        (encode_record("life", 9), "another form"),
         (b"", "torn or empty"),
         (b"\xff" * 30, "torn or empty"),
         (b'{"form": 1, "at"', "torn or no such file"),
     ],
 )
 def test_what_is_no_file_of_this_agent_s_is_believed_of_nothing(text, why):
-    found = records.read(text, "a")
-    assert (found.state, found.why, found.whole) == ({}, why, False)
+    found = records.decode_file(text, "a")
+    assert (found.state, found.why, found.appendable) == ({}, why, False)
 
 
 def test_the_file_of_the_version_before_is_taken_and_written_anew():
@@ -79,7 +79,7 @@
     assert store.open().state == {"learnt": {"form": 1, "at": 5}}
     store.put("life", 1)
     assert asyncio.run(store.flush())
-    assert records.read(disk.copy(), "a").state == {"learnt": {"form": 1, "at": 5}, "life": 1}
+    assert records.decode_file(disk.copy(), "a").state == {"learnt": {"form": 1, "at": 5}, "life": 1}
 
 
 values = some.recursive(
@@ -97,7 +97,10 @@
         state.pop(key, None)
         if value is not None:
             state[key] = value
-    assert records.read(whole("a", {}) + b"".join(record(k, v) for k, v in puts), "a").state == state
+    assert (
+        records.decode_file(encode_file("a", {}) + b"".join(encode_record(k, v) for k, v in puts), "a").state
+        == state
+    )
 
 
 # Power losses: each point at which one can come, and all that the disk may then hold.
@@ -117,7 +120,7 @@
             if asyncio.run(store.flush()):
                 safe = state
         for text in disk.outcomes(CARRIED):
-            found = records.read(text, "a").state if text is not None else {}
+            found = records.decode_file(text, "a").state if text is not None else {}
             assert found.get("life", 0) >= safe.get("life", 0)
             # A record is whole or not there: between two flushes any first part of the second's may stand.
             assert found in put or any(
@@ -137,7 +140,9 @@
     for life in (1, 2):
         store.put("life", life)
         assert asyncio.run(store.flush())
-    assert {records.read(t, "a").state.get("life") for t in disk.outcomes(CARRIED) if t is not None} == {1, 2}
+    assert {
+        records.decode_file(t, "a").state.get("life") for t in disk.outcomes(CARRIED) if t is not None
+    } == {1, 2}
 
 
 def test_two_processes_on_one_disk_lower_neither_s_life_nor_floor():
@@ -158,14 +163,14 @@
     disk = MemoryDisk(stream(1, "disk"))
     store = Store(CARRIED, "a", disk, said.append)
     store.put("life", 1)
-    assert asyncio.run(store.flush()) and store.well
+    assert asyncio.run(store.flush()) and store.writable
     disk.stuck = True
     for floor in (1, 2, 3):
         store.put("floor", floor)
-        assert not asyncio.run(store.flush()) and not store.well
+        assert not asyncio.run(store.flush()) and not store.writable
     assert said == ["can't be written"]
     disk.stuck = False
-    assert asyncio.run(store.flush()) and store.well
+    assert asyncio.run(store.flush()) and store.writable
     assert Store(CARRIED, "a", disk).open().state == {"life": 1, "floor": 3}
 
 
@@ -175,10 +180,12 @@
     for n in range(400):
         store.put("learnt", [n] * 2000)
         assert asyncio.run(store.flush())
-    assert len(disk.copy()) < 3 * len(whole("a", store.state)) + (128 << 10) and store.written > 400 * 4000
-    assert sum(store.put(f"drain/{n}", 1) for n in range(2 * records.MOST_KEYS)) == records.MOST_KEYS - 1
+    assert (
+        len(disk.copy()) < 3 * len(encode_file("a", store.state)) + (128 << 10) and store.written > 400 * 4000
+    )
+    assert sum(store.put(f"drain/{n}", 1) for n in range(2 * records.MAX_KEYS)) == records.MAX_KEYS - 1
     with pytest.raises(ValueError, match="learnt"):
-        store.put("learnt", "x" * (records.MOST_RECORD + 1))
+        store.put("learnt", "x" * (records.MAX_RECORD_BYTES + 1))
 
 
 def test_each_item_of_a_former_life_is_believed_as_the_table_says():
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,14 +20,14 @@
 
 def test_a_file_reads_back_and_everything_else_is_no_file():
     one = Process(7, 99)
-    text = succession.written(one)
-    assert succession.read(text) == one
+    text = succession.encode(one)
+    assert succession.decode(text) == one
     for end in range(len(text)):
-        assert succession.read(text[:end]) is None
+        assert succession.decode(text[:end]) is None
     for other in ({"form": 2}, {"pid": "7"}, {"pid": True}, {"pid": -1}, {"started": None}, {"started": 1.5}):
-        assert succession.read(orjson.dumps({"form": 1, "pid": 7, "started": 99} | other)) is None
+        assert succession.decode(orjson.dumps({"form": 1, "pid": 7, "started": 99} | other)) is None
     for other in (b"[]", b"7", b"null", b'{"form":1}', b"\xff" * 9):
-        assert succession.read(other) is None
+        assert succession.decode(other) is None
 
 
 def test_a_stale_file_counts_for_nothing(tmp_path):
@@ -35,13 +35,13 @@
     assert ours.other() is None and ours.take_over() and ours.other() is None
     (path,) = tmp_path.iterdir()
     child = subprocess.Popen([sys.executable, "-c", "input()"], stdin=subprocess.PIPE)
-    there = succession.alive(child.pid)
-    path.write_bytes(succession.written(there))
+    there = succession.running_process(child.pid)
+    path.write_bytes(succession.encode(there))
     assert ours.other() == there
     assert Succession(str(tmp_path), "another").other() is None
-    path.write_bytes(succession.written(there._replace(started=there.started - 1)))  # the pid came again
+    path.write_bytes(succession.encode(there._replace(started=there.started - 1)))  # the pid came again
     assert ours.other() is None
-    path.write_bytes(succession.written(there))
+    path.write_bytes(succession.encode(there))
     child.kill()
     os.waitid(os.P_PID, child.pid, os.WEXITED | os.WNOWAIT)
     assert ours.other() is None  # only its remains are there
@@ -177,7 +177,7 @@
 def test_an_old_file_in_the_folder_does_not_make_a_lone_process_wait_or_leave_early(tmp_path):
     async def work():
         async with platform(tmp_path, clients=False) as site:
-            (tmp_path / "lupinreach-n_1.serving").write_bytes(succession.written(Process(1, 0)))
+            (tmp_path / "lupinreach-n_1.serving").write_bytes(succession.encode(Process(1, 0)))
             process = await site.start()
             process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(process.wait(), WAITS) == 0
