--- a/lupinreach/fleet/__init__.py
+++ b/lupinreach/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What agents of one fleet know of each other, and how they return together: decisions alone, no I/O."""
+"""Fleet membership, startup and shared state of agents: decisions only, no I/O."""
--- a/lupinreach/fleet/counts.py
+++ b/lupinreach/fleet/counts.py
@@ -1,19 +1,21 @@
-"""What customers ask of the whole fleet, from counts that only grow. Pure.
+"""Fleet-wide request rates by customer, derived from grow-only counters. Pure.
 
-Each agent counts the API calls of each customer since its life began. A row is such a count and when it was taken, by the counter's own
-clock; rows are merged by agent, life and cell, the later one wins, so that one which comes twice, late or out of order changes nothing.
-A rate is the difference of two counts of one life over the time between them, as the counter has it: no delay on the way is in it. A life
-that ends is neither lost nor counted twice: its last rate fades as that of any agent that falls silent.
+Each agent counts the API calls of each customer since its incarnation began. A row holds such a count and the time of the count by the
+counting agent's own clock. Rows are merged by agent, incarnation and cell, and the later one wins, so duplicated, delayed or reordered rows change nothing.
+A rate is the difference of two counts of one incarnation divided by the time between them on the counting agent's clock, so network delay
+does not affect it. When an incarnation ends, its calls are neither lost nor counted twice: its last rate fades like that of any agent that falls silent.
 
-Up to `CELLS` customers have a cell each. More share a sketch of `ROWS` rows: a customer's rate is the least of its cells', never under
-the true one, and over it by more than 2 / WIDTH of all with a chance of 2^-ROWS at most (Cormode and Muthukrishnan's count-min).
+Up to `MAX_CELLS` customers have a cell each. More customers share a sketch of `SKETCH_ROWS` rows: a customer's rate is the minimum over its cells.
+It is never below the true rate, and exceeds it by more than 2 / SKETCH_WIDTH of the total with a probability of at most 2^-SKETCH_ROWS
+(Cormode and Muthukrishnan's count-min sketch).
 
-Of an agent that is not heard its last rate is held for `HELD`, then fades within `FADES`: it may ask anything meanwhile, and what others assume
-of it is a guess that ends. So with asked_a(s, t) what agent a was asked from s to t, whatever is lost, late or doubled, and in any cut,
+The last rate of a silent agent is held for `HOLD_WINDOWS`, then fades within `FADE_WINDOWS`. Its actual rate may be anything meanwhile, so
+what others assume is an estimate that expires. With asked_a(s, t) the calls that agent a received from s to t, the following holds under
+message loss, delay, duplication and partitions:
 
-    rate(t)  <=  rate_bound(...) = sum over a of the greatest asked_a(s, u) / (u - s) of two moments t - `REACHES` windows <= s < u <= t at which a counted
+    rate(t)  <=  rate_bound(...) = sum over a of the greatest asked_a(s, u) / (u - s) of two moments t - `BOUND_WINDOWS` windows <= s < u <= t at which a counted
 
-which is what the checker holds it against: nobody is counted twice. It can be too low by as much as is not heard.
+The checker verifies this bound: no call is counted twice. The rate can be too low by whatever has not been received.
 """
 
 from __future__ import annotations
@@ -22,18 +24,18 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-MAX_CELLS = 64  # in all: one a customer, or the sketch's
+MAX_CELLS = 64  # one per customer, or the cells of the sketch
 SKETCH_ROWS, SKETCH_WIDTH = 2, 32
-HOLD_WINDOWS = 3.0  # windows without a newer count: from then on a rate fades
-FADE_WINDOWS = 3.0  # windows within which it does
+HOLD_WINDOWS = 3.0  # windows without a newer count after which a rate fades
+FADE_WINDOWS = 3.0  # windows until a fading rate reaches zero
 BOUND_WINDOWS = (
     HOLD_WINDOWS + FADE_WINDOWS + 2.0
-)  # windows: from the older of two counts to the end of what was made of them
-MAX_ROWS = 1 << 16  # agents times cells: the newest
+)  # windows from the older of two counts until the rate derived from them has faded
+MAX_ROWS = 1 << 16  # agents times cells
 
 
 def cells(customer: int, customers: int) -> tuple[int, ...]:
-    """Where a customer is counted."""
+    """The cells that count a customer."""
     if customers <= MAX_CELLS:
         return (customer,)
     return tuple(
@@ -43,7 +45,7 @@
 
 
 def rate_bound(now: float, histories: Iterable[Sequence[tuple[float, int]]], window: float) -> float:
-    """The most that any agent may take for the fleet's rate, a s: of each life, when (ms) it counted how much in all."""
+    """Upper bound of any agent's estimate of the fleet's rate per s; `histories` has (ms, total count) points for each incarnation."""
     total = 0.0
     for incarnation in histories:
         points = [(at, count) for at, count in incarnation if now - BOUND_WINDOWS * window <= at <= now]
@@ -61,12 +63,14 @@
 
 @dataclass(frozen=True)
 class Count:
+    """One agent's count of the calls in one cell, as exchanged between agents."""
+
     agent: int
-    incarnation: int  # its number
+    incarnation: int  # incarnation number
     cell: int
-    total: int  # since that life began
-    stamp: float  # ms since then, by that agent's clock
-    age: float  # ms since it was heard, and by who told it before
+    total: int  # calls since that incarnation began
+    stamp: float  # ms from the start of that incarnation to the count, by that agent's clock
+    age: float  # ms since the count, added up over the agents that passed it on
 
 
 @dataclass
@@ -74,15 +78,15 @@
     incarnation: int
     total: int
     stamp: float
-    at: float  # ms, by this agent's clock: when it was heard
-    since: float  # the stamp and
-    base: int  # the total that the rate counts from: half a window older at least
-    rate: float = 0.0  # a ms
+    at: float  # ms, by this agent's clock: time of the count
+    since: float  # stamp and total that the rate is measured from,
+    base: int  # at least half a window older than the newest count
+    rate: float = 0.0  # calls per ms
     times_sent: int = 0
 
 
 class Counts:
-    """One agent's rows, its own among them. Bounded by `MOST_ROWS`; a row leaves when it has faded."""
+    """One agent's table of rows, including its own. Bounded by `MAX_ROWS`; a row is removed once it has faded."""
 
     def __init__(self, me: int, customers: int, window: float, draw: Callable[[], float]) -> None:
         """`window` in ms."""
@@ -91,16 +95,16 @@
         self.window = window
         self._draw = draw
         self._rows: dict[tuple[int, int], _Row] = {}  # by agent and cell
-        self._own: dict[int, int] = {}  # by cell; as many as there are cells
+        self._own: dict[int, int] = {}  # total by cell; at most `MAX_CELLS` entries
         self.rejected = 0
 
     def record_call(self, customer: int) -> None:
-        """An API call of that customer's was taken here."""
+        """Counts an API call of a customer that this agent accepted."""
         for cell in cells(customer, self._customers):
             self._own[cell] = self._own.get(cell, 0) + 1
 
     def refresh(self, now: float, incarnation: int, age: float) -> None:
-        """Once between two words: own counts, of a life that has lasted so many ms, become rows; what has faded goes."""
+        """Turns the own counts into rows and removes faded rows, once per sharing interval; `age` is that of this incarnation, ms."""
         for cell, total in self._own.items():
             self._merge(now, Count(self.me, incarnation, cell, total, age, 0.0))
         for key in [
@@ -109,6 +113,7 @@
             del self._rows[key]
 
     def receive(self, now: float, counts: Iterable[Count]) -> None:
+        """Merges rows from another agent; invalid ones are counted in `rejected`."""
         for c in counts:
             if not 0 <= c.cell < MAX_CELLS or c.total < 0 or c.age < 0 or c.stamp < 0:
                 self.rejected += 1
@@ -123,7 +128,7 @@
         if row is None or c.incarnation > row.incarnation:
             if row is None and len(self._rows) >= MAX_ROWS:
                 return
-            # No rate yet: what that life was asked before is of no known time.
+            # No rate yet: the period in which that incarnation received the earlier calls is unknown.
             self._rows[key] = _Row(c.incarnation, c.total, c.stamp, at, c.stamp, c.total)
         elif c.incarnation == row.incarnation and c.stamp > row.stamp and c.total >= row.total:
             if c.stamp - row.since >= self.window / 2:
@@ -135,7 +140,7 @@
             row.total, row.stamp, row.at = c.total, c.stamp, max(at, row.at)
 
     def digest(self, now: float, limit: int) -> tuple[Count, ...]:
-        """So many rows for one datagram, those told least often first."""
+        """At most `limit` rows for one datagram, those sent least often first."""
         least_sent = sorted(self._rows.items(), key=lambda item: (item[1].times_sent, self._draw()))[:limit]
         for _, row in least_sent:
             row.times_sent += 1
@@ -145,7 +150,7 @@
         )
 
     def rates(self, now: float) -> list[float]:
-        """By customer, API calls a s of the whole fleet, as far as heard."""
+        """API calls per s of the whole fleet by customer, as far as they have been received."""
         by_cell: dict[int, float] = {}
         for (_, cell), row in self._rows.items():
             windows = (now - row.at) / self.window
--- a/lupinreach/fleet/grants.py
+++ b/lupinreach/fleet/grants.py
@@ -1,43 +1,43 @@
-"""Budgets of the fleet in shares that are lent: no leader, and in any cut no more is spent than there is. Pure.
+"""Fleet-wide budgets as shares that agents lend to each other, without a leader. In any partition the total is not exceeded. Pure.
 
-A budget is a rate, `total`, of which each of n agents owns total / n. An owner lends what it doesn't use, for a lease; it keeps
-`FLOOR` of its own, so that silence is never starvation. It takes back nothing before the lease is over by its own
-clock; who borrows counts from the moment it asked, so before the owner had even heard, and by a shorter lease, so that clocks
-which run apart by `DRIFT` each way don't matter:
+A budget is a rate, `total`, of which each of n agents owns total / n. An owner lends what it doesn't use for the duration of a lease, and keeps
+`UNLENT_SHARE` of its own share, so that an agent that nobody hears is never starved. It reclaims nothing before the lease has ended by its own
+clock. The borrower counts its lease from the moment of its request, which is before the owner received it, and uses a shorter lease, so that clocks
+whose rates are off by up to `DRIFT` in either direction don't matter:
 
     borrower's lease = lease x (1 - DRIFT) / (1 + DRIFT)
 
-A word that is lost, doubled or late lends nothing twice: a question has a number, and its answer is the same however often it is
-asked. A life that stands up doesn't know what the one before has lent, so for one lease it has its floor alone. So at every moment, in any
-number of parts and with any losses, restarts and lives,
+A message that is lost, duplicated or late lends nothing twice: each request has a number, and its answer is the same however often it is
+repeated. A new incarnation doesn't know what the previous one has lent, so for the length of one lease it uses only its unlent share. At every
+moment, for any number of partitions, losses, restarts and incarnations:
 
-    total x FLOOR  <=  what all agents together may use  <=  total
+    total x UNLENT_SHARE  <=  what all agents together may use  <=  total
 
-where two processes of one agent count as one only as far as they know of each other: until the older one has heard of the newer and
-falls silent, each has its own, and the upper bound is (1 + twins / n) x total, `upper_bound()`.
+Two processes of one agent count as one only as far as they know of each other. Until the older one has heard of the newer one and
+stops, each has its own share, and the upper bound is (1 + twins / n) x total, `upper_bound()`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-UNLENT_SHARE = 0.25  # of its own share that an owner never lends
+UNLENT_SHARE = 0.25  # part of its own share that an owner never lends
 MAX_LOAN_SHARE = (
-    0.5  # of what an owner could lend now that one question gets at most, so that a second asker finds some
+    0.5  # part of the lendable amount that one request may get, so that a second borrower gets some too
 )
-DRIFT = 0.01  # by which clocks run apart each way
-LEASE_HEARTBEATS = 8.0  # beats
-MAX_LEASES = 64  # leases that an owner has out at once
-MIN_LOAN_SHARE = 0.01  # of an own share: less isn't worth a word
+DRIFT = 0.01  # largest relative error of a clock's rate, in either direction
+LEASE_HEARTBEATS = 8.0  # heartbeat intervals
+MAX_LEASES = 64  # outstanding leases of one owner
+MIN_LOAN_SHARE = 0.01  # of an own share: smaller loans are not worth a message
 
 
 def upper_bound(total: float, agents: int, twins: int = 0) -> float:
-    """The most that all agents together may use, with so many unknown second processes of agents."""
+    """The most that all agents together may use; `twins` is the number of second processes that their agents don't know of."""
     return total * (1 + twins / agents)
 
 
 def lower_bound(total: float) -> float:
-    """What all have together at the least, whatever is lost."""
+    """The least that all agents together may use, whatever is lost."""
     return total * UNLENT_SHARE
 
 
@@ -48,26 +48,28 @@
 
 
 class Budget:
-    """One agent's part of one budget."""
+    """One agent's share of one budget, with what it has lent and borrowed."""
 
     def __init__(self, now: float, total: float, agents: int, lease: float, first: bool = False) -> None:
-        """`total` a s over the fleet; `lease` in ms; `first`: no life of this agent can have lent anything yet."""
+        """`total` per s over the fleet; `lease` in ms; `first`: no earlier incarnation of this agent can have lent anything."""
         self.own = total / agents
         self._lease = lease
         self._borrow_for = lease * (1 - DRIFT) / (1 + DRIFT)
         self._bound_until = (
             now if first else now + lease * (1 + DRIFT) / (1 - DRIFT)
-        )  # what a former life lent runs out
+        )  # leases of an earlier incarnation may still be running
         self._lent: dict[
             tuple[int, int, int], _Lease
-        ] = {}  # by peer, its life and the question's number; each leaves after its lease
-        self._borrowed: dict[int, _Lease] = {}  # by number; each leaves as it runs out
-        self._asked: dict[int, float] = {}  # when, by number; each leaves with its answer or its lease
+        ] = {}  # by peer, its incarnation and the request's number; removed when the lease ends
+        self._borrowed: dict[int, _Lease] = {}  # by request number; removed when the lease ends
+        self._asked: dict[
+            int, float
+        ] = {}  # request time by number; removed with the answer or when the lease would have ended
 
-    # What may be used.
+    # Usable amounts.
 
     def usable(self, now: float) -> float:
-        """A s, at this moment."""
+        """What this agent may use now, per s."""
         self._expire(now)
         if now < self._bound_until:
             available = UNLENT_SHARE * self.own
@@ -76,7 +78,7 @@
         return available + sum(lease.amount for lease in self._borrowed.values())
 
     def lendable(self, now: float) -> float:
-        """What of the own share could go to others now: what is borrowed is not passed on."""
+        """What this agent could lend of its own share now; borrowed amounts are not lent on."""
         self._expire(now)
         if now < self._bound_until or len(self._lent) >= MAX_LEASES:
             return 0.0
@@ -89,26 +91,26 @@
         for number in [n for n, at in self._asked.items() if now >= at + self._borrow_for]:
             del self._asked[number]
 
-    # One that has too little.
+    # Borrowing.
 
     def ask(self, now: float, number: int) -> None:
-        """A question goes out under this number, which this life uses once."""
+        """Records a request under a number that this incarnation uses once."""
         self._asked[number] = now
 
     def granted(self, now: float, number: int, amount: float) -> bool:
-        """An answer; false where nobody asked, it is over, or it has come before."""
+        """Takes an answer; false if it was not requested, is too late, or is a duplicate."""
         asked = self._asked.pop(number, None)
         if asked is None or now >= asked + self._borrow_for or not 0 < amount <= self.own:
             return False
         self._borrowed[number] = _Lease(amount, asked + self._borrow_for)
         return True
 
-    # One that may have some to spare.
+    # Lending.
 
     def grant(
         self, now: float, peer: int, incarnation: int, number: int, wanted: float, spare: float
     ) -> float:
-        """What that peer gets, of `spare` that this agent doesn't use; asked once more, the same."""
+        """What that peer is lent of `spare`, which this agent doesn't use; a repeated request gets the same answer."""
         self._expire(now)
         key = peer, incarnation, number
         if key in self._lent:
@@ -121,5 +123,5 @@
 
     @property
     def lease_counts(self) -> tuple[int, int]:
-        """Leases lent, and borrowed."""
+        """Number of leases lent and of leases borrowed."""
         return len(self._lent), len(self._borrowed)
--- a/lupinreach/fleet/incarnation.py
+++ b/lupinreach/fleet/incarnation.py
@@ -1,8 +1,8 @@
-"""Life numbers: which process of one agent is the newest. Pure.
+"""Incarnation numbers: which process of one agent is the newest. Pure.
 
-A life is a number and a token. The number is one above what the disk and the peers know; the token is drawn by each process,
-so that two lives are unlike even where disk and peers both know too little (an older copy, another's disk, none, a second
-process on the same one). Of two lives the greater is the newer.
+An incarnation is a number and a token. The number is one above the highest one that the disk and the peers know. Each process draws its own token,
+so that two incarnations differ even where disk and peers both know too little (an older copy, another agent's disk, no disk, a second
+process on the same disk). Of two incarnations the greater one is the newer one.
 """
 
 from __future__ import annotations
@@ -12,50 +12,52 @@
 
 MAX_JUMP = (
     1 << 12
-)  # lives by which one peer's word alone may raise a number: more restarts than it can have missed
+)  # largest increase of a number by the claim of one peer alone: more restarts than an agent can have missed
 MAX_NUMBER = (1 << 32) - 1
 
 
 @dataclass(frozen=True, order=True)
 class Incarnation:
+    """Identifies one process of an agent; ordered by age."""
+
     number: int
     token: int
 
 
 def credible_number(stored: int, claims: Sequence[int]) -> int:
-    """The highest number that counts: what the disk holds, or peers claim. An absurd claim waits for a second.
+    """The highest credible number stored on the disk or claimed by peers. An implausibly high claim needs a second peer's.
 
-    Guards against one peer that is wrong, or lies, and would use all numbers up.
+    Guards against one faulty or lying peer that would use up all numbers.
     """
     sound = [c for c in claims if c <= stored + MAX_JUMP or sum(other >= c for other in claims) > 1]
     return min(max([stored, *sound]), MAX_NUMBER - 1)
 
 
 class OwnIncarnation:
-    """The life of this process: raised by what is heard while it returns, never after."""
+    """The incarnation of this process: raised by peers' claims during startup, never afterwards."""
 
     def __init__(self, stored: int, token: int, stored_heartbeat: int = 0) -> None:
-        """`kept` and `kept_beat` are the life that the disk knows of, and a beat that this life hadn't told before."""
+        """`stored` and `stored_heartbeat` are the incarnation number on the disk, and a heartbeat number that it had not sent yet when it was stored."""
         self.incarnation = Incarnation(credible_number(stored, ()) + 1, token)
-        self.settled = False  # the time to ask is over: from here on a higher life is another process
+        self.settled = False  # the startup query is over: from now on a higher incarnation is another process
         self.superseded = False
-        self._claims: dict[int, int] = {}  # by peer; no more than there are peers
+        self._claims: dict[int, int] = {}  # highest claimed number by peer; at most one entry per peer
         self._stored = stored, stored_heartbeat
-        self._seen_by_peers = (0, 0)  # the latest life and beat of this agent's that peers have met
+        self._seen_by_peers = (0, 0)  # the latest number and heartbeat of this agent that peers have received
 
     @property
     def behind(self) -> bool:
-        """If peers have met more of a former life than the disk knows of: it is an older one."""
+        """Whether peers know a later state of an earlier incarnation than the disk: the disk then is an older copy."""
         return self._seen_by_peers > self._stored
 
     def observe(self, peer: int, other: Incarnation, heartbeat: int = 0) -> bool:
-        """A peer knows that life of this agent's; true if this one's number was raised for it."""
+        """Takes an incarnation of this agent that a peer knows; true if this process's number was raised above it."""
         if other.token != self.incarnation.token and not self.settled:
             self._seen_by_peers = max(self._seen_by_peers, (other.number, heartbeat))
         if other <= self.incarnation or other.token == self.incarnation.token:
             return False
         if self.settled:
-            # Guards against two processes that outbid each other for ever: the older one falls silent.
+            # Guards against two processes that raise their numbers over each other's forever: the older one stops sending.
             self.superseded = self.superseded or other.number <= self.incarnation.number + MAX_JUMP
             return False
         self._claims[peer] = max(other.number, self._claims.get(peer, 0))
--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -1,18 +1,17 @@
-"""Evidence on backends, passed on among agents: what each has met itself, never what it concluded from others. Pure.
+"""Latency observations of backends, passed on among agents: what each agent has measured itself, never what it concluded from others. Pure.
 
-A row is one agent's figure of one backend process: its smoothed latency as a share of the first latency SLO, and how long ago the
-last sample was. Rows are merged by agent and age, so that one which comes twice, late or out of order changes nothing. What
-is concluded is a factor on what a turn at the backend costs, and no more:
+A row is one agent's latency estimate of one backend process: its smoothed latency as a share of the first latency SLO, and the age of its
+last sample. Rows are merged by agent and age, so duplicated, delayed or reordered rows change nothing. The only conclusion
+is a cost factor on a scheduling turn at the backend:
 
-    factor(b) = 1 + follow x fade x (min(MOST, median / own) - 1)
+    factor(b) = 1 + follow x fade x (min(MAX_COST_FACTOR, median / own) - 1)
 
-The median is the lower one, of the agents of the same zone that met the backend lately, `QUORUM` at least; `follow` is drawn by
-agent and backend between a half and one, so that agents don't move in step; `fade` falls to nothing as the rows age. Own
-samples as fresh as the rows overrule. At most `SHARE` of the ready backends have a factor, the slowest first. So, whoever lies and
-however many, the part of an agent's turns that hearsay moves away is
-
-    harm() = SHARE x (1 - 1 / MOST)
+The median is the lower one, over the agents of the same zone that observed the backend recently, at least `QUORUM`. `follow` is drawn by
+agent and backend between a half and one, so that agents don't move in step. `fade` falls to zero as the rows age. Own
+samples as fresh as the rows take precedence. At most `MAX_AFFECTED_SHARE` of the ready backends have a factor, the slowest first. So whoever lies, and
+however many, the share of an agent's turns that reports of others can divert is at most
 
+    max_diverted_share() = MAX_AFFECTED_SHARE x (1 - 1 / MAX_COST_FACTOR)
 """
 
 from __future__ import annotations
@@ -21,30 +20,30 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-QUORUM = 3  # agents that must have met a backend for their word to count
-MAX_AFFECTED_SHARE = 0.25  # of the ready backends that hearsay may make dearer
-MAX_COST_FACTOR = 4.0  # x: the most that a turn becomes dearer by it
-SLOW_FACTOR = 2.0  # x the median of the agent's own figures: from there on a figure is news
-MAX_REPORTERS = 6  # rows kept for a backend: the newest
-MAX_BACKENDS = 512  # with rows
-MAX_AGE_SLOS = 6.0  # x the longest latency SLO: age from which on a row counts for nothing
-MAX_RELATIVE_LATENCY = 4.0  # x SLO: a figure above is absurd, since a miss counts for two
-LATENCY_STEPS_PER_SLO = 64  # steps of a figure in one SLO
+QUORUM = 3  # agents that must have observed a backend for their reports to count
+MAX_AFFECTED_SHARE = 0.25  # of the ready backends that reports of others may give a cost factor
+MAX_COST_FACTOR = 4.0  # largest cost factor
+SLOW_FACTOR = 2.0  # x the median of the agent's own estimates: a latency above is reported
+MAX_REPORTERS = 6  # rows kept for a backend, the newest ones
+MAX_BACKENDS = 512  # backends with rows
+MAX_AGE_SLOS = 6.0  # x the longest latency SLO: age from which a row is ignored
+MAX_RELATIVE_LATENCY = 4.0  # x SLO: a higher value is invalid, since a miss counts as two
+LATENCY_STEPS_PER_SLO = 64  # resolution of a transmitted latency
 
 
 def max_diverted_share() -> float:
-    """The largest part of an agent's turns that hearsay can move, whatever is said."""
+    """The largest share of an agent's turns that reports of others can divert, whatever they claim."""
     return MAX_AFFECTED_SHARE * (1 - 1 / MAX_COST_FACTOR)
 
 
 @dataclass(frozen=True)
 class Observation:
-    """What one agent has met of one backend process itself."""
+    """What one agent has measured of one backend process itself."""
 
     reporter: int
     zone: int
-    backend: int  # its name, alike at all agents
-    boot: int  # 16 bits of its boot time
+    backend: int  # its name, the same at all agents
+    boot: int  # 16-bit hash of its boot time
     relative_latency: float  # smoothed latency as a share of the SLO
     age: float  # ms since its last sample
 
@@ -52,37 +51,39 @@
 @dataclass
 class _Row:
     met: Observation
-    at: float  # ms, by this agent's clock: its last sample
-    times_sent: int = 0  # times since it came
+    at: float  # ms, by this agent's clock: time of its last sample
+    times_sent: int = 0  # since the row was received
 
 
 def boot_hash(boot_time: float) -> int:
-    """Tells processes of one backend apart."""
+    """A 16-bit hash that distinguishes the processes of one backend."""
     return crc32(b"%d" % int(boot_time)) & 0xFFFF
 
 
 class Observations:
-    """One agent's rows. Bounded by `MOST_BACKENDS` and `TELLERS`; a row leaves when it has aged or its backend goes."""
+    """One agent's table of rows. Bounded by `MAX_BACKENDS` and `MAX_REPORTERS`; a row is removed when it is too old or its backend is removed."""
 
     def __init__(self, me: int, zone: int, slo: float, draw: Callable[[], float]) -> None:
-        """`slo` is the longest latency SLO, ms; `chance` draws from 0 to 1."""
+        """`slo` is the longest latency SLO, ms; `draw` returns random numbers from 0 to 1."""
         self.me = me
         self.zone = zone
         self.max_age = MAX_AGE_SLOS * slo
         self._draw = draw
         self._rows: dict[tuple[int, int], dict[int, _Row]] = {}
-        self._announced: set[tuple[int, int]] = set()  # own news that isn't taken back yet
-        self.rejected = 0  # absurd rows
+        self._announced: set[tuple[int, int]] = (
+            set()
+        )  # own reports of slow backends that are not withdrawn yet
+        self.rejected = 0  # invalid rows
 
-    # What comes in.
+    # Input.
 
     def record_own(self, now: float, observations: Iterable[Observation]) -> None:
-        """What this agent has met, once a look; only what is news goes on to others."""
+        """Takes this agent's own estimates, once per interval; only reports of slow backends are passed on."""
         observations = list(observations)
         latencies = sorted(m.relative_latency for m in observations)
         median = latencies[len(latencies) // 2] if latencies else 0.0
         slow_count = sum(m.relative_latency >= SLOW_FACTOR * median for m in observations) if median else 0
-        # Guards against an agent that finds most backends bad, whose trouble is its own: it says nothing new.
+        # An agent that finds most backends slow probably has a problem of its own and reports nothing new.
         suspects_itself = sum(f >= 1.0 for f in latencies) > len(latencies) / 2
         for m in observations:
             key = m.backend, m.boot
@@ -92,12 +93,13 @@
                 and slow_count <= len(observations) / 2
             )
             if slow or key in self._announced:
-                # Once it was said to be bad, that it isn't any more is said for as long as others may believe it.
+                # After a backend was reported as slow, its recovery is reported for as long as others may hold the old row.
                 self._merge(now, m)
                 self._announced.add(key)
         self._announced &= self._rows.keys()
 
     def receive(self, now: float, observations: Iterable[Observation]) -> None:
+        """Merges rows from another agent; invalid ones are counted in `rejected`."""
         for m in observations:
             if not 0 <= m.relative_latency <= MAX_RELATIVE_LATENCY or m.age < 0:
                 self.rejected += 1
@@ -119,7 +121,7 @@
                 del rows[min((t for t in rows if t != self.me), key=lambda t: rows[t].at)]
 
     def expire(self, now: float, listed: Iterable[tuple[int, int]] | None = None) -> None:
-        """Drop what has aged, and what is said of backends that are not `there`."""
+        """Removes rows that are too old, and rows of backends that are not `listed`."""
         current = None if listed is None else set(listed)
         for key, rows in list(self._rows.items()):
             for reporter in [t for t, row in rows.items() if now - row.at >= self.max_age]:
@@ -127,10 +129,10 @@
             if not rows or (current is not None and key not in current):
                 del self._rows[key]
 
-    # What goes out.
+    # Output.
 
     def digest(self, now: float, limit: int) -> tuple[Observation, ...]:
-        """So many rows for one datagram: this agent's own first, then those told least often."""
+        """At most `limit` rows for one datagram, those sent least often first, of these this agent's own first."""
         rows = [row for each in self._rows.values() for row in each.values() if now - row.at < self.max_age]
         rows.sort(key=lambda row: (row.times_sent, row.met.reporter != self.me, self._draw()))
         for row in rows[:limit]:
@@ -142,15 +144,15 @@
             for r in rows[:limit]
         )
 
-    # What follows.
+    # Conclusions.
 
     def estimates(
         self, now: float, own: Mapping[tuple[int, int], tuple[float, float]]
     ) -> dict[tuple[int, int], tuple[float, float]]:
-        """By backend and boot: the figure that others have met, and 0 to 1 for how fresh that is.
+        """By backend and boot: the relative latency that others observed, and its freshness from 0 to 1.
 
-        `own` is this agent's figure and when its last sample was (ms), for each ready backend that it knows; what it has
-        met later than the others is not told it.
+        `own` holds this agent's relative latency and the time of its last sample (ms) for each ready backend that it knows.
+        Rows older than its own last sample are ignored.
         """
         found = {}
         for key, (_, met_at) in own.items():
@@ -166,7 +168,7 @@
     def cost_factors(
         self, now: float, own: Mapping[tuple[int, int], tuple[float, float]]
     ) -> dict[tuple[int, int], float]:
-        """By backend and boot: what a turn there costs more, `MOST` times at most, for `SHARE` of those in `own` at most."""
+        """Cost factors by backend and boot, at most `MAX_COST_FACTOR`, for at most `MAX_AFFECTED_SHARE` of those in `own`."""
         slower = []
         for key, (figure, fade) in self.estimates(now, own).items():
             own_latency = own[key][0]
--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -1,4 +1,4 @@
-"""How an agent returns: what it asks, how answers are merged, which list it believes, in which order it serves. Pure."""
+"""How an agent starts up: what it asks its peers, how answers are merged, which backend list it trusts, and its startup stages. Pure."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.wire import Drain, Message
 
-QUERIED_PEERS = 5  # peers that an agent which stands up asks
-LONE_CLAIM_SHARE = 0.25  # share of the ready backends that the word of one peer alone may hold back
-RESET_AFTER = (
-    3.0  # x the time within which a registry has to be asked: below the floor for so long, it was reset
-)
+QUERIED_PEERS = 5  # peers that a starting agent asks
+LONE_CLAIM_SHARE = 0.25  # share of the ready backends that the claims of one peer alone may withhold
+RESET_AFTER = 3.0  # x the time within which an agent has to ask the registry: one that stays below the floor this long was reset
 MAX_DRAINS = 1024
 
 
-# What others say.
+# Answers of peers.
 
 
 @dataclass
 class PeerAnswer:
+    """One peer's answer, collected from its parts."""
+
     revision: int
     remembers: bool
     alive: int
@@ -37,9 +37,9 @@
 
 
 class PeerQuery:
-    """The question of one that stands up, to a few peers; over when all have answered whole, or after `within` ms.
+    """The query of a starting agent to a few peers; over when all have answered completely, or after `within` ms.
 
-    A fleet in which nobody remembers doesn't wait: who has just stood up says so at once, in one part.
+    In a fleet where no agent remembers anything nobody waits: an agent that has just started says so at once, in one part.
     """
 
     def __init__(self, now: float, peers: Iterable[int], nonce: int, within: float) -> None:
@@ -49,7 +49,7 @@
         self.answers: dict[int, PeerAnswer] = {}  # by peer
 
     def add_answer(self, m: Message) -> bool:
-        """An answer's part; false where nobody asked for it."""
+        """Takes a part of an answer; false if it was not requested."""
         if m.nonce != self.nonce or m.sender not in self.peers:
             return False
         answer = self.answers.setdefault(
@@ -60,25 +60,26 @@
         return True
 
     def is_over(self, now: float) -> bool:
+        """Whether all answers are complete or the time is up."""
         return now >= self._until or (
             len(self.answers) == len(self.peers) and all(a.complete for a in self.answers.values())
         )
 
     def alive(self) -> int:
-        """How many agents stand, by the median of who remembers; 0: nobody does."""
+        """How many agents are alive: the median over the peers that remember; 0 if none does."""
         counts = sorted(a.alive for a in self.answers.values() if a.remembers)
         return counts[len(counts) // 2] if counts else 0
 
 
-# Which list is believed.
+# Which backend list is trusted.
 
 
 class RevisionFloor:
-    """The highest revision that is surely the registry's, and if a list is older than that.
+    """The highest revision that is certainly the registry's, and whether a list is older than that.
 
-    A registry that was reset on purpose stays below for good, one that came back with an old list catches up or is
-    mended: told apart by time alone, `RESET_AFTER` times what the settings give an agent to ask within. Until then no
-    backend is given up on the old list's word, and none that drains gets anything new.
+    A registry that was reset on purpose stays below the floor; one that came back with an old list catches up or is
+    repaired. Only time tells them apart: `RESET_AFTER` times the time within which an agent has to ask the registry. Until then no
+    backend is dropped because of the old list, and no draining backend gets new calls.
     """
 
     def __init__(self, revision: int, within: float) -> None:
@@ -86,16 +87,16 @@
         self.revision = revision
         self._reset_after = RESET_AFTER * within
         self._below_since: float | None = None
-        self._claims: dict[int, int] = {}  # by peer: the highest it has seen; no more than there are peers
+        self._claims: dict[int, int] = {}  # highest revision seen, by peer; at most one entry per peer
 
     def raise_to(self, revision: int) -> None:
-        """This agent has it from the registry, or from its own disk."""
+        """Raises the floor to a revision from the registry or from this agent's own disk."""
         self.revision = max(self.revision, revision)
 
     def add_claim(self, peer: int, revision: int) -> None:
-        """A peer says that it has seen this revision: it counts as soon as a second one has.
+        """Takes a revision that a peer claims to have seen; it counts as soon as a second peer has seen it.
 
-        Good news from one alone waits: a lone claim of 2^60 makes no list old.
+        The claim of one peer alone, such as 2^60, makes no list old.
         """
         self._claims[peer] = revision
         claims = sorted(self._claims.values(), reverse=True)
@@ -103,7 +104,7 @@
             self.raise_to(claims[1])
 
     def is_older(self, now: float, revision: int) -> bool:
-        """The registry has spoken: is it older than what is known of it?"""
+        """Whether the registry, which has reported this revision, is older than the floor; resets the floor after the waiting time."""
         if revision >= self.revision:
             self.revision, self._below_since = revision, None
             return False
@@ -112,28 +113,28 @@
         if now - self._below_since < self._reset_after:
             return True
         self.revision, self._below_since = revision, None
-        self._claims.clear()  # they were of before
+        self._claims.clear()  # they refer to the time before the reset
         return False
 
 
 class DrainSet:
-    """Backend processes that get nothing new whatever an older list says. Emptied as they restart, go or are lifted."""
+    """Draining backend processes, which get no new calls whatever an older list says. Entries end with a restart, a removal or a lift."""
 
     def __init__(self, kept: Iterable[Drain] = ()) -> None:
         self._own: dict[Drain, None] = dict.fromkeys(
             kept
-        )  # told by the registry, in this life or a former one
-        self._claims: dict[Drain, set[int]] = {}  # by peers
+        )  # reported by the registry, to this incarnation or an earlier one
+        self._claims: dict[Drain, set[int]] = {}  # peers that claim it
 
     def add(self, drain: Drain) -> bool:
-        """The registry says so; true if that is new."""
+        """Adds a drain reported by the registry; true if it is new."""
         if drain in self._own or len(self._own) >= MAX_DRAINS:
             return False
         self._own[drain] = None
         return True
 
     def lift(self, backend: int, boot: int) -> bool:
-        """The registry, not older than the floor, says that it is ready, or gone; true if it was held to drain."""
+        """Ends a drain, since a registry not older than the floor reports the backend as ready or removed; true if there was one."""
         lifted = [d for d in (*self._own, *self._claims) if d.backend == backend and d.boot <= boot]
         for d in lifted:
             self._own.pop(d, None)
@@ -141,29 +142,30 @@
         return bool(lifted)
 
     def add_claims(self, peer: int, drains: Iterable[Drain]) -> None:
+        """Adds drains that a peer claims."""
         for d in drains:
             if d in self._claims or len(self._claims) < MAX_DRAINS:
                 self._claims.setdefault(d, set()).add(peer)
 
     def drop_claims(self) -> bool:
-        """What peers claimed counts no more; true if anything did.
+        """Drops the claims of peers; true if there were any.
 
-        Guards against a lie, or a late word, that no change of the list would ever lift. Not done as soon as the registry
-        is past the floor: one that came back with an old list counts on from there, and its drains are still missing.
+        Guards against a false or late claim that no change of the list would ever end. Not done as soon as the registry
+        is past the floor: one that came back with an old list continues from there, and its drains are still missing.
         """
         had_claims = bool(self._claims)
         self._claims.clear()
         return had_claims
 
     def all(self) -> list[Drain]:
-        """What this agent says to others: what it has of the registry itself, not what it has of hearsay."""
+        """The drains that this agent passes on: those it has from the registry itself, not those claimed by peers."""
         return list(self._own)
 
     def withheld(self, ready: Iterable[Drain]) -> set[int]:
-        """Which of these ready backends (name and boot) get nothing new.
+        """Names of those of the ready backends (name and boot) that get no new calls.
 
-        Bad news counts at once, but one peer's word alone holds back at most `LONE` of them: guards against a peer
-        that says of all that they drain.
+        A claimed drain counts at once, but the claims of one peer alone withhold at most `LONE_CLAIM_SHARE` of them: guards
+        against a peer that claims that all of them drain.
         """
         ready = list(ready)
         found = {d.backend for d in ready if d in self._own or len(self._claims.get(d, ())) > 1}
@@ -175,10 +177,12 @@
         return found
 
 
-# The order of return.
+# Startup stages.
 
 
 class Stage(IntEnum):
+    """Stages of a starting agent, in order; reported by their lower-case names."""
+
     DARK = 0
     STANDING = 1
     LISTENING = 2
@@ -189,28 +193,30 @@
 
 @dataclass(frozen=True)
 class StartupFacts:
-    """What is known at one look."""
+    """What is known when the startup sequence is advanced."""
 
-    read: bool = False  # the store was read, or there is none
-    asked: bool = False  # the question to peers is over
-    listed: int = 0  # ready backends in the list that is followed
-    registry: bool = False  # the registry itself has spoken, and is not older than the floor
-    answered: bool = False  # a backend has answered a shot of this life
+    read: bool = False  # the store was read, or none is configured
+    asked: bool = False  # the query to peers is over
+    listed: int = 0  # ready backends in the current list
+    registry: bool = False  # the registry itself has answered and is not older than the floor
+    answered: bool = False  # a backend has answered an attempt of this incarnation
     cold: bool = True  # at least half of the listed backends are cold
 
 
 @dataclass(frozen=True)
 class StageRule:
+    """How one stage ends and how the agent serves meanwhile."""
+
     stage: Stage
-    ready: bool  # what `/health/ready` says
+    ready: bool  # what `/health/ready` reports
     done: Callable[[StartupFacts], bool]
-    limit: str  # its longest stay, as a name of `Stays`
+    limit: str  # name of its longest duration in `StageLimits`
     service: str
 
 
 @dataclass(frozen=True)
 class StageLimits:
-    """The longest stays, ms."""
+    """The longest durations of the stages, ms."""
 
     read: float
     ask: float
@@ -243,7 +249,7 @@
 
 
 class StartupSequence:
-    """Where an agent is on its way back; goes forward alone, several steps at one look if it can."""
+    """The startup stage of an agent; only moves forward, possibly several stages at once."""
 
     def __init__(self, now: float, limits: StageLimits) -> None:
         self.stage = Stage.DARK
@@ -252,10 +258,11 @@
 
     @property
     def ready(self) -> bool:
+        """What `/health/ready` reports in this stage."""
         return self.stage is Stage.FULL or STAGE_TABLE[self.stage].ready
 
     def advance(self, now: float, facts: StartupFacts) -> list[tuple[Stage, float]]:
-        """The stages that end now, each with how long it took in ms."""
+        """Moves on as far as `facts` and the limits allow; the stages that ended, each with its duration in ms."""
         passed = []
         while self.stage is not Stage.FULL:
             rule = STAGE_TABLE[self.stage]
--- a/lupinreach/fleet/show.py
+++ b/lupinreach/fleet/show.py
@@ -1,4 +1,4 @@
-"""What agents hold of their fleet, read over their operators' doors, side by side. Pure but for `asked`."""
+"""The `fleet show` report: what agents of one fleet report at their operator endpoints, side by side. Only `fetch` does I/O."""
 
 from __future__ import annotations
 
--- a/lupinreach/fleet/uptimes.py
+++ b/lupinreach/fleet/uptimes.py
@@ -1,15 +1,15 @@
-"""How long backends that are cold have stood, by who has had answers of them. Pure.
+"""How long cold backends have been up, according to agents that have had answers from them. Pure.
 
-After a power loss the registry may be down, old, or asked by all at once, and an agent with little traffic meets a backend long after it
-is back: it would take for just started what has been up for half of its cold time. A row says of one backend how long ago its teller had the
-first answer of the process that is there now, and the last. Both are by the teller's own clock and told as ages, so that a wrong wall clock says nothing
-here. Rows are merged by backend and teller, the later last answer wins: one that comes twice, late or out of order changes nothing.
+After a power loss the registry may be down, outdated or overloaded, and an agent with little traffic first reaches a backend long after it
+is back: it would treat a backend that has been up for half of its cold time as just started. A row says of one backend how long ago its reporter had the
+first answer of the current process, and the last one. Both are measured by the reporter's own clock and sent as ages, so that a wrong wall clock has no
+effect. Rows are merged by backend and reporter, and the later last answer wins, so duplicated, delayed or reordered rows change nothing.
 
-A lone claim of good news waits for a second: a backend has stood for as long as the second longest of its tellers says, and
+A claim of a long uptime needs a second reporter: a backend has been up for as long as the second longest of its reporters says, and
 
-    since(b)  >=  max(when this agent stood up, when it was last refused there)
+    since(b)  >=  max(when this agent started, when it was last refused there)
 
-whoever lies and however many, `earliest()`. Where the registry has told the boot time nothing of this counts.
+whoever lies, and however many: `earliest_up_since()`. Where the registry has reported the boot time, none of this applies.
 """
 
 from __future__ import annotations
@@ -17,54 +17,53 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-MIN_REPORTERS = (
-    2  # that must say so; as many rows are kept for a backend beside the own: those of the longest standing
-)
-MAX_BACKENDS = 512  # with rows
+MIN_REPORTERS = 2  # reporters needed; as many rows are kept for a backend beside the own one, those with the longest uptime
+MAX_BACKENDS = 512  # backends with rows
 
 
 def earliest_up_since(began: float, refused_at: float) -> float:
-    """Ms: since when a backend may be taken to stand by others' word, at the earliest."""
+    """The earliest time (ms) since which a backend may be considered up by the reports of others."""
     return max(began, refused_at)
 
 
 @dataclass(frozen=True)
 class Uptime:
-    """What one agent has had of one backend process."""
+    """One agent's first and last answer of one backend process."""
 
     reporter: int
-    backend: int  # its name, alike at all agents
+    backend: int  # its name, the same at all agents
     first: float  # ms since its first answer
     last: float  # ms since its last one
 
 
 @dataclass
 class _Row:
-    first: float  # ms, by this agent's clock
-    last: float
-    times_sent: int = 0  # times since it came
+    first: float  # ms, by this agent's clock: first answer
+    last: float  # last answer
+    times_sent: int = 0  # since the row was received
 
 
 class Uptimes:
-    """One agent's rows. Bounded by `MOST_BACKENDS` and `TELLERS` + 1; a row leaves when it has aged or the backend is no longer cold."""
+    """One agent's table of rows. Bounded by `MAX_BACKENDS` and `MIN_REPORTERS` + 1; a row is removed when it is too old or its backend no longer cold."""
 
     def __init__(self, me: int, max_age: float, draw: Callable[[], float]) -> None:
-        """`max_age` in ms: how old a last answer may be; for as long as backends are cold."""
+        """`max_age` in ms is the largest age of a last answer: as long as backends are cold."""
         self.me = me
         self.max_age = max_age
         self._draw = draw
-        self._rows: dict[int, dict[int, _Row]] = {}  # by backend and teller
-        self.rejected = 0  # absurd rows
+        self._rows: dict[int, dict[int, _Row]] = {}  # by backend and reporter
+        self.rejected = 0  # invalid rows
 
     def record_own(self, now: float, met: Mapping[int, tuple[float, float]]) -> None:
-        """What this agent has had itself (first and last, ms) of the backends that it takes to be cold."""
+        """Takes this agent's own first and last answers (ms) of the backends that it considers cold."""
         for backend, (first, last) in met.items():
             self._merge(now, backend, self.me, first, last)
         for backend, rows in self._rows.items():
             if backend not in met:
-                rows.pop(self.me, None)  # it restarted, or refused
+                rows.pop(self.me, None)  # the backend restarted or refused
 
     def receive(self, now: float, rows: Iterable[Uptime]) -> None:
+        """Merges rows from another agent; invalid ones are counted in `rejected`."""
         for row in rows:
             if not 0 <= row.last <= row.first:
                 self.rejected += 1
@@ -82,12 +81,12 @@
             if len(others) > MIN_REPORTERS:
                 del rows[max(others, key=lambda t: (rows[t].first, t))]
         elif last > old.last:
-            # A row is news where the process is another one; that its teller has met it again is none.
+            # A row is an update if the process is another one; another answer of the same process is not.
             old.times_sent = 0 if first > old.last else old.times_sent
             old.first, old.last = first, last
 
     def expire(self, now: float, cold: Iterable[int]) -> None:
-        """Drop what has aged, and what is said of backends that are not cold, or gone."""
+        """Removes rows that are too old, and rows of backends that are no longer cold or were removed."""
         current = set(cold)
         for backend, rows in list(self._rows.items()):
             for reporter in [t for t, row in rows.items() if now - row.last >= self.max_age]:
@@ -96,7 +95,7 @@
                 del self._rows[backend]
 
     def digest(self, now: float, limit: int) -> tuple[Uptime, ...]:
-        """So many rows for one datagram, those told least often first."""
+        """At most `limit` rows for one datagram, those sent least often first."""
         rows = [
             (row, reporter, backend) for backend, each in self._rows.items() for reporter, row in each.items()
         ]
@@ -109,7 +108,7 @@
         )
 
     def since(self, began: float, refused: Mapping[int, float]) -> dict[int, float]:
-        """By backend: since when (ms) it has stood by others' word, for those that `refused` names, with when this agent was refused there."""
+        """Since when (ms) backends have been up by the reports of others; `refused` names the backends, with the time of this agent's last refusal there."""
         found = {}
         for backend, at in refused.items():
             at = earliest_up_since(began, at)
