--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -98,7 +98,7 @@
         if not door.rpartition(":")[2].isdecimal():
             bad(f"{door}: a door is host:port")
     with ThreadPoolExecutor(min(32, len(doors))) as pool:
-        said = dict(zip(doors, pool.map(show.asked, doors), strict=True))
+        said = dict(zip(doors, pool.map(show.fetch, doors), strict=True))
     held = {door: found for door, found in said.items() if isinstance(found, dict)}
     silent = {door: why for door, why in said.items() if isinstance(why, str)}
     table = Table(box=None)
--- a/lupinreach/fleet/show.py
+++ b/lupinreach/fleet/show.py
@@ -1,4 +1,4 @@
-"""The `fleet show` report: what agents of one fleet report at their operator endpoints, side by side. Only `fetch` does I/O."""
+"""Compares what agents of one fleet report at their operator endpoints. Pure except for `fetch`."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 from http.client import HTTPConnection, HTTPException
 from typing import Any
 
-WITHIN = 2.0  # s for one door
-APART = 1.5  # x: rates of a customer that two agents hold further apart are a disagreement
+TIMEOUT_S = 2.0  # for one endpoint
+RATE_TOLERANCE = 1.5  # x: rates of a customer that differ more between two agents are a disagreement
 
-Held = dict[str, Any]  # the part `fleet` of an agent's figures
+FleetReport = dict[str, Any]  # the `fleet` object of an agent's metrics
 
 
-def asked(door: str) -> Held | str:
-    """What one agent holds, or why it doesn't tell."""
-    host, _, port = door.rpartition(":")
+def fetch(endpoint: str) -> FleetReport | str:
+    """The fleet report of one agent, or why there is none."""
+    host, _, port = endpoint.rpartition(":")
     try:
-        line = HTTPConnection(host, int(port), timeout=WITHIN)
-        line.request("GET", "/_vars")
-        answer = line.getresponse()
-        said = json.loads(answer.read())
-        line.close()
+        connection = HTTPConnection(host, int(port), timeout=TIMEOUT_S)
+        connection.request("GET", "/_vars")
+        response = connection.getresponse()
+        body = json.loads(response.read())
+        connection.close()
     except (OSError, HTTPException, ValueError) as why:
         return str(why) or type(why).__name__
-    if answer.status != 200:
-        return f"status {answer.status}"
-    return said["fleet"] if "fleet" in said else "it is alone: no fleet is configured"
+    if response.status != 200:
+        return f"status {response.status}"
+    return body["fleet"] if "fleet" in body else "it is alone: no fleet is configured"
 
 
-def row(held: Held) -> list[str]:
-    """One agent's line."""
-    shared = held.get("shared", {})
+def row(report: FleetReport) -> list[str]:
+    """One agent's row of the table, by `COLUMNS`."""
+    shared = report.get("shared", {})
     trials = shared.get("trials_per_s")
     return [
-        held["stage"],
-        str(held["life"]),
-        "superseded" if held["superseded"] else held["own"],
-        str(held["standing"]),
-        str(held["floor"]),
-        str(held["list"]),
-        str(len(held["drains"])),
+        report["stage"],
+        str(report["life"]),
+        "superseded" if report["superseded"] else report["own"],
+        str(report["standing"]),
+        str(report["floor"]),
+        str(report["list"]),
+        str(len(report["drains"])),
         shared.get("stage", "-"),
         str(shared.get("rows", "-")),
         ", ".join(f"{name} {factor}" for name, factor in shared.get("dearer", {}).items()) or "-",
@@ -66,27 +66,41 @@
 )
 
 
-def disagreements(fleet: dict[str, Held]) -> list[str]:
-    """Where agents hold unlike things, a line each: against what most hold, or the widest apart."""
+def disagreements(fleet: dict[str, FleetReport]) -> list[str]:
+    """A line for each disagreement between agents: what differs from the majority, or the two that are furthest apart."""
     found = []
     for what in ("floor", "list", "standing"):
-        most, times = Counter(held[what] for held in fleet.values()).most_common(1)[0]
+        most, times = Counter(report[what] for report in fleet.values()).most_common(1)[0]
         if times < len(fleet):
-            others = ", ".join(f"{door} {held[what]}" for door, held in fleet.items() if held[what] != most)
+            others = ", ".join(
+                f"{endpoint} {report[what]}" for endpoint, report in fleet.items() if report[what] != most
+            )
             found.append(f"{what}: {times} of {len(fleet)} hold {most}; {others}")
-    for agent in sorted({n for held in fleet.values() for n in held["agents"]}, key=int):
-        views = {door: held["agents"][agent][1] for door, held in fleet.items() if agent in held["agents"]}
+    for agent in sorted({n for report in fleet.values() for n in report["agents"]}, key=int):
+        views = {
+            endpoint: report["agents"][agent][1]
+            for endpoint, report in fleet.items()
+            if agent in report["agents"]
+        }
         if len(set(views.values())) > 1:
-            found.append(f"agent {agent}: " + ", ".join(f"{view} at {door}" for door, view in views.items()))
-    drains = {door: set(held["drains"]) for door, held in fleet.items()}
+            found.append(
+                f"agent {agent}: " + ", ".join(f"{view} at {endpoint}" for endpoint, view in views.items())
+            )
+    drains = {endpoint: set(report["drains"]) for endpoint, report in fleet.items()}
     for backend in sorted(set().union(*drains.values())):
-        without = [door for door, names in drains.items() if backend not in names]
+        without = [endpoint for endpoint, names in drains.items() if backend not in names]
         if without:
             found.append(f"backend {backend} drains: not known at {', '.join(without)}")
-    rates = {door: held["shared"]["customers_per_s"] for door, held in fleet.items() if "shared" in held}
+    rates = {
+        endpoint: report["shared"]["customers_per_s"]
+        for endpoint, report in fleet.items()
+        if "shared" in report
+    }
     for customer in range(max(map(len, rates.values()), default=0)):
-        by_door = sorted((each[customer], door) for door, each in rates.items() if customer < len(each))
-        (low, one), (high, other) = by_door[0], by_door[-1]
-        if high > APART * low and high >= 1:
+        by_endpoint = sorted(
+            (each[customer], endpoint) for endpoint, each in rates.items() if customer < len(each)
+        )
+        (low, one), (high, other) = by_endpoint[0], by_endpoint[-1]
+        if high > RATE_TOLERANCE * low and high >= 1:
             found.append(f"customer {customer}: {low:g} a s at {one}, {high:g} at {other}")
     return found
