--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -1,22 +1,20 @@
-"""Datagrams between agents, 256 bytes at most. Pure.
+"""Datagrams between agents, at most 256 bytes each. Pure.
 
-    head    form (1 byte), kind (1), sender (2), life number (4), token (4), beat (4), flags (1), revision (8)
-    BEAT    head, then members: agent (2), life number (4), token (4), beat (4), age of that beat in 0.1 s (2), each 16 bytes
-    ASK     head, nonce (4)
-    TELL    head, nonce (4), part (1), parts (1), members that stand (2), life that the asker is known by (8) and its beat
-            (4), then drains:
-            backend (4), boot in ms (8), each 12 bytes
+    header     format (1 byte), kind (1), sender (2), incarnation number (4), token (4), heartbeat (4), flags (1), revision (8)
+    HEARTBEAT  header, then members: agent (2), incarnation number (4), token (4), heartbeat (4), age of that heartbeat in 0.1 s (2), 16 bytes each
+    QUERY      header, nonce (4)
+    REPLY      header, nonce (4), part (1), parts (1), members alive (2), incarnation by which the querying agent is known (8) and its heartbeat
+               (4), then drains: backend (4), boot time in ms (8), 12 bytes each
+    UPDATE     header, then sections: kind (1), rows (1), bytes per row (1), rows. A section of a kind that the reader doesn't know is skipped,
+               and so is the rest of a row that is longer than the reader knows it: agents of two versions share what both know.
+               OBSERVATION  reporter (2), its zone (1), backend (4), boot hash (2), latency in 1/64 of the SLO (1), age in 10 ms (2)
+               COUNT        agent (2), its incarnation number (4), cell (1), total (4), stamp in 10 ms (4), age in 10 ms (2)
+               UPTIME       reporter (2), backend (4), ages of its first and its last answer there in 10 ms (2, 2)
+    BORROW     header, nonce (4), budget (1), thousandths of an own share (2)
+    GRANT      header, nonce (4), budget (1), thousandths of an own share (2)
 
-    NEWS    head, then sections: kind (1), rows (1), bytes of a row (1), rows. Of a kind that the reader doesn't know, or whose
-            rows are longer than it knows them, the rest is skipped: agents of two versions share what both know.
-            MET     teller (2), its zone (1), backend (4), boot mark (2), figure in 1/64 of the SLO (1), age in 10 ms (2)
-            COUNT   agent (2), its life's number (4), cell (1), total (4), stamp in 10 ms (4), age in 10 ms (2)
-            STOOD   teller (2), backend (4), ages of its first and its last answer there in 10 ms (2, 2)
-    WANT    head, nonce (4), budget (1), thousandths of an own share (2)
-    GRANT   head, nonce (4), budget (1), thousandths of an own share (2)
-
-Network byte order. A revision of 0 is none. Readers refuse another form and whatever doesn't add up, and take a longer head
-of a later version for another form.
+Network byte order. A revision of 0 means none. Readers reject another format and inconsistent lengths; a longer header
+of a later version is taken for another format.
 """
 
 from __future__ import annotations
@@ -31,7 +29,7 @@
 
 FORMAT = 1
 MAX_BYTES = 256  # bytes
-HEARTBEAT, QUERY, REPLY, UPDATE, BORROW, GRANT = 1, 2, 3, 4, 5, 6
+HEARTBEAT, QUERY, REPLY, UPDATE, BORROW, GRANT = 1, 2, 3, 4, 5, 6  # kinds of datagrams
 OBSERVATION, COUNT, UPTIME = 1, 2, 3  # kinds of sections
 HEADER = struct.Struct("!BBHIIIBQ")
 MEMBER, DRAIN, NONCE_FIELD, REPLY_HEADER = (
@@ -47,63 +45,69 @@
     struct.Struct("!HIHH"),
 )
 LOAN = struct.Struct("!IBH")
-UPDATE_ROW_BYTES = MAX_BYTES - HEADER.size - 3 * SECTION.size  # bytes for rows
-AGE_STEP_MS, MAX_ROWS = 10.0, 255  # ms in a step of an age of news; rows in a section
-FLAG_REMEMBERS = 1  # flag: the sender knows more than it was told since it stood up
-MAX_MEMBERS = (MAX_BYTES - HEADER.size) // MEMBER.size  # that one BEAT names
-MAX_DRAINS = (MAX_BYTES - HEADER.size - REPLY_HEADER.size) // DRAIN.size  # that one TELL names
+UPDATE_ROW_BYTES = (
+    MAX_BYTES - HEADER.size - 3 * SECTION.size
+)  # bytes for rows, with all three sections present
+AGE_STEP_MS, MAX_ROWS = 10.0, 255  # ms per step of an age in an UPDATE; rows per section
+FLAG_REMEMBERS = 1  # flag: the sender knows more than what it has received since its start
+MAX_MEMBERS = (MAX_BYTES - HEADER.size) // MEMBER.size  # members per HEARTBEAT
+MAX_DRAINS = (MAX_BYTES - HEADER.size - REPLY_HEADER.size) // DRAIN.size  # drains per REPLY
 MAX_PARTS = 8
 MAX_AGE_STEPS = (1 << 16) - 1
 MAX_REVISION = (1 << 64) - 1
 
 
 class Malformed(ValueError):
-    """Not a datagram of this form; the text says why."""
+    """Not a datagram of this format; the message says why."""
 
 
 @dataclass(frozen=True)
 class Member:
-    """One agent as a digest has it."""
+    """One agent in the digest of a HEARTBEAT."""
 
     agent: int
     incarnation: Incarnation
     heartbeat: int
-    age: int = 0  # in 0.1 s: since the teller heard of that beat, and who told it before
+    age: int = 0  # of that heartbeat in 0.1 s, added up over the agents that passed it on
 
 
 @dataclass(frozen=True)
 class Drain:
-    """A backend process that is not to get anything new."""
+    """A draining backend process, which gets no new calls."""
 
-    backend: int  # its name, alike at all agents
-    boot: int  # ms
+    backend: int  # its name, the same at all agents
+    boot: int  # boot time, ms
 
 
 @dataclass(frozen=True)
 class Message:
+    """A decoded datagram; fields that its kind doesn't have keep their defaults."""
+
     kind: int
     sender: int
     incarnation: Incarnation
     heartbeat: int
     remembers: bool
-    revision: int  # the highest that the sender has seen; 0: none
+    revision: int  # highest revision of the backend list that the sender has seen; 0: none
     members: tuple[Member, ...] = ()
     nonce: int = 0
     part: int = 0
     parts: int = 1
     alive: int = 0
-    known: Incarnation = field(default=Incarnation(0, 0))  # as which the asker is known; (0, 0): not at all
-    known_heartbeat: int = 0  # of that life, the last one heard
+    known: Incarnation = field(
+        default=Incarnation(0, 0)
+    )  # incarnation by which the querying agent is known; (0, 0): not known
+    known_heartbeat: int = 0  # last heartbeat received of that incarnation
     drains: tuple[Drain, ...] = ()
-    mets: tuple[Observation, ...] = ()
+    mets: tuple[Observation, ...] = ()  # latency observations
     counts: tuple[Count, ...] = ()
-    stood: tuple[Uptime, ...] = ()
+    stood: tuple[Uptime, ...] = ()  # backend uptimes
     budget: int = 0
     amount: int = 0  # thousandths of an own share
 
 
 def encode(m: Message) -> bytes:
-    """The datagram; what doesn't fit is the writer's fault and raises struct.error or ValueError."""
+    """Encodes a datagram; values that don't fit are an error of the caller and raise struct.error or ValueError."""
     text = HEADER.pack(
         FORMAT,
         m.kind,
@@ -178,7 +182,7 @@
 
 
 def decode(data: bytes) -> Message:
-    """What a datagram says; Malformed where it says nothing."""
+    """Decodes a datagram; raises Malformed if it is none."""
     if len(data) < HEADER.size or len(data) > MAX_BYTES:
         raise Malformed("length")
     form, kind, sender, number, token, heartbeat, flags, revision = HEADER.unpack_from(data)
@@ -203,7 +207,7 @@
             ),
         )
     if kind == UPDATE:
-        return Message(**head, **_news(rest))
+        return Message(**head, **_decode_sections(rest))
     if kind in (BORROW, GRANT) and len(rest) >= LOAN.size:
         nonce, budget, amount = LOAN.unpack_from(rest)
         return Message(**head, nonce=nonce, budget=budget, amount=amount)
@@ -226,7 +230,10 @@
     raise Malformed(f"kind {kind}")
 
 
-def _news(rest: bytes) -> dict[str, tuple[Observation, ...] | tuple[Count, ...] | tuple[Uptime, ...]]:
+def _decode_sections(
+    rest: bytes,
+) -> dict[str, tuple[Observation, ...] | tuple[Count, ...] | tuple[Uptime, ...]]:
+    """The rows of an UPDATE by field of `Message`."""
     mets: list[Observation] = []
     counts: list[Count] = []
     stood: list[Uptime] = []
@@ -242,10 +249,10 @@
         if known is not None and size >= known.size:
             for row in (known.unpack_from(rest, at + i * size) for i in range(rows)):
                 if kind == OBSERVATION:
-                    reporter, zone, backend, boot, figure, age = row
+                    reporter, zone, backend, boot, latency, age = row
                     mets.append(
                         Observation(
-                            reporter, zone, backend, boot, figure / LATENCY_STEPS_PER_SLO, age * AGE_STEP_MS
+                            reporter, zone, backend, boot, latency / LATENCY_STEPS_PER_SLO, age * AGE_STEP_MS
                         )
                     )
                 elif kind == UPTIME:
