--- a/lupinreach/ops/__init__.py
+++ b/lupinreach/ops/__init__.py
@@ -1,1 +1,1 @@
-"""The agent day by day: the operators' door and what it tells."""
+"""Operating an agent: the operators' HTTP endpoint, metrics, stored state, handover between processes, and its part in a fleet."""
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -1,7 +1,7 @@
-"""An agent's return and its place among the others, on sockets: what the pure modules of `fleet` decide is done here.
+"""An agent's startup and its membership in the fleet, over sockets: carries out what the pure modules of `fleet` decide.
 
-Everything it changes in the agent goes through hooks that are empty without it: which list is believed, which backends are
-held to drain, and what `/health/ready` says.
+It changes the rest of the agent only through hooks that do nothing without it: which backend list is trusted, which backends are
+treated as draining, and what `/health/ready` reports.
 """
 
 from __future__ import annotations
@@ -40,18 +40,20 @@
 if TYPE_CHECKING:
     from lupinreach.ops.sharing import Sharing
 
-READ_LIMIT_MS = 1000.0  # ms: the store is read before anything else, at once or not at all
-HEARTBEAT_JITTER = 0.2  # of a beat, so that a fleet that stood up together doesn't speak together
-QUERY_INTERVAL_HEARTBEATS = 2  # beats between two questions to who hasn't answered, while answers count
-WITNESSES = 3  # agents that keep the beats of one, and whom it asks among others
+READ_LIMIT_MS = 1000.0  # the store is read before anything else, at once or not at all
+HEARTBEAT_JITTER = 0.2  # of a heartbeat interval, so that agents that started together don't send together
+QUERY_INTERVAL_HEARTBEATS = (
+    2  # heartbeats between two queries to peers that haven't answered, while answers count
+)
+WITNESSES = 3  # agents that store the heartbeats of one agent, and that it queries among others
 MARK_DELAY_HEARTBEATS = (
     1 / 8
-)  # of a beat: so late at most after an id of a payment was synced its witnesses are told
-QUERY_DELAY_SPREAD = 0.5  # x the time to ask: agents that stand up together ask over as long
+)  # of a heartbeat interval: delay after a payment's id until the witnesses get a heartbeat
+QUERY_DELAY_SPREAD = 0.5  # x the query time: agents that start together spread their queries over it
 
 
 class FleetAgent:
-    """One agent's part in the fleet, from its start to its end. Its tables are bounded by agents, backends and drains."""
+    """One agent as a member of the fleet, from start to end. Its tables are bounded by agents, backends and drains."""
 
     def __init__(
         self,
@@ -62,9 +64,9 @@
         token: int | None = None,
         on_peers_asked: Callable[[bool], None] = lambda _: None,
     ) -> None:
-        """`token` tells two lives with one number apart; the system's chance unless given.
+        """`token` distinguishes two incarnations with one number; random unless given.
 
-        `asked` hears when peers were, and if they have met a later life than the disk knows of.
+        `on_peers_asked` is called after the query, with whether peers know a later state of this agent than the disk.
         """
         settings = agent.config.settings
         self._agent = agent
@@ -91,26 +93,26 @@
             ),
         )
         self._cold = settings.rules.cold
-        self._listed: dict[int, Listing] = {}  # by index, as the registry last said; each leaves as it goes
-        self._withheld_indices: set[int] = (
-            set()
-        )  # indices that the module was told to drain, though a list says ready
+        self._listed: dict[
+            int, Listing
+        ] = {}  # by index, as the registry last reported; entries end with a removal
+        self._withheld_indices: set[int] = set()  # ready in the list, but draining for the balancer
         self._registry_heard = False
-        # Guards against a list of before that calls ready what drains, beside a disk that remembers no drain: an older
-        # copy looks like a sound one. Until peers were asked the module has the registry's own word alone.
+        # Guards against a stored list that has draining backends as ready, with a disk that remembers no drain: an older
+        # copy looks like a valid one. Until peers were asked, the balancer gets lists of the registry itself only.
         self._cached_withheld = True
         self._on_peers_asked = on_peers_asked
         self._witnessed = dict(
             _witnessed(kept.get("seen"), settings.agents)
-        )  # of the agents before it, as far as `WITNESSES`
+        )  # newest state of the `WITNESSES` agents before this one
         self._query: PeerQuery | None = None
-        self._sync_task: asyncio.Task[None] | None = None  # the last writing
-        self._mark_task: asyncio.Task[None] | None = None  # the last mark after payments
+        self._sync_task: asyncio.Task[None] | None = None  # the last write
+        self._mark_task: asyncio.Task[None] | None = None  # the last extra heartbeat after a payment
         self._query_done = False
-        self._claims_expire_at = inf  # ms: from then on the registry's word counts against others'
+        self._claims_expire_at = inf  # ms: from then on the registry overrules the claims of peers
         self.sharing: Sharing | None = None
         if config.share:
-            from lupinreach.ops.sharing import Sharing  # an agent that shares nothing doesn't load it
+            from lupinreach.ops.sharing import Sharing  # loaded only by agents that share
 
             self.sharing = Sharing(
                 agent,
@@ -128,13 +130,14 @@
         agent.standing.returning = not self.startup.ready
 
     def _draw(self) -> float:
+        """The next pseudo-random number from 0 to 1."""
         self._draws += 1
         return crc32(b"fleet:%d:%d" % (self._seed, self._draws)) * 2654435761 % 2**32 / 2**32
 
-    # What is believed of lists.
+    # Backend lists.
 
     def is_older_list(self, version: int) -> bool:
-        """If the registry that speaks with this version is older than what is known of it."""
+        """Whether a registry that reports this version is older than the floor."""
         before = self.floor.revision
         older = self.floor.is_older(self._agent.clock.now(), version)
         if older:
@@ -145,7 +148,7 @@
         return older
 
     def apply_list(self, news: UpdateKind, entries: list[Listing], older: bool) -> list[Listing]:
-        """A list as the module is to have it: what drains doesn't become ready by an older one."""
+        """A list as the balancer is to get it: an older one doesn't make a draining backend ready."""
         if news is UpdateKind.CACHED:
             self.floor.raise_to(self._agent.directory.version)
         from_registry = news is not UpdateKind.CACHED and not older
@@ -163,7 +166,7 @@
                 drain = _drain(e)
                 if self.drains.add(drain):
                     self._store.put(f"drain/{drain.backend}", drain.boot)
-                    self._start_sync()  # guards against a power loss before the next beat: others have it of their disks alone
+                    self._start_sync()  # guards against a power loss before the next heartbeat: other agents may know it only from their disks
             elif from_registry:
                 self._lift(e)
         if from_registry:
@@ -172,7 +175,7 @@
         if news is UpdateKind.CACHED and self._cached_withheld:
             return []
         self._cached_withheld = False
-        # What others' word may hold back is a share of the ready ones: with their number it changes for those not named.
+        # Peers' claims may withhold a share of the ready backends, so a list can change the state of backends it doesn't name.
         also = [
             self._listed[i]
             for i in sorted(self._withheld_indices ^ before)
@@ -181,6 +184,7 @@
         return self._with_withheld([*entries, *also])
 
     def _with_withheld(self, entries: Iterable[Listing]) -> list[Listing]:
+        """The entries with withheld backends as draining."""
         return [
             replace(e, state=ListedState.DRAINING)
             if e.backend in self._withheld_indices and e.state is ListedState.READY
@@ -198,7 +202,7 @@
         return {index for drain, index in ready.items() if drain.backend in names}
 
     def _apply_withheld(self) -> None:
-        """Tell the module what has changed by others' word."""
+        """Gives the balancer what has changed by peers' claims."""
         held, before = self._withheld_set(), self._withheld_indices
         self._withheld_indices = held
         if self._cached_withheld:
@@ -222,7 +226,7 @@
     # Datagrams.
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """A datagram has come from the address of that peer's."""
+        """Handles a datagram that came from the address of peer `sender`."""
         others, now = self._agent.counters.others, self._agent.clock.now()
         try:
             m = wire.decode(data)
@@ -230,10 +234,10 @@
             others["fleet: malformed"] += 1
             return
         if m.sender != sender or sender == self._me:
-            # Guards against a word that is believed of another than who sent it.
+            # Guards against a datagram under another agent's number.
             others["fleet: from a wrong address"] += 1
             return
-        known = self._latest_known(sender)  # before this word, which is of its new life
+        known = self._latest_known(sender)  # before this datagram, which is of the sender's new incarnation
         self.members.receive(now, sender, m.incarnation, m.heartbeat, m.members)
         if m.remembers:
             self.floor.add_claim(sender, m.revision)
@@ -295,7 +299,7 @@
             )
 
     def metrics(self) -> dict[str, object]:
-        """What operators see: where it is on its way back, who it is, whom it knows, what it believes."""
+        """The `fleet` object of the reported metrics: startup stage, incarnation, known members and trusted state."""
         now = self._agent.clock.now()
         return {
             "stage": self.startup.stage.name.lower(),
@@ -314,13 +318,13 @@
             **({"shared": self.sharing.metrics()} if self.sharing else {}),
         }
 
-    # From start to end.
+    # Startup and heartbeats.
 
     async def run(self) -> None:
-        """Return, and then keep in touch for as long as the process lasts."""
+        """Runs the startup query, then sends heartbeats for as long as the process runs."""
         log, clock = self._agent.log, self._agent.clock
-        # Guards against a word under a number that a power loss would take back; and against a disk that hangs: the
-        # writing goes on by itself, since one that is broken off would forget what it was to write.
+        # Guards against a datagram under a number that a power loss would undo, and against a disk that hangs: the
+        # write continues in the background, since a cancelled one would lose what it was to write.
         if not (await asyncio.wait({self._start_sync()}, timeout=self._config.ask / 1000))[0]:
             self._agent.counters.others["fleet: life not synced in time"] += 1
         await asyncio.sleep(QUERY_DELAY_SPREAD * self._config.ask * self._draw() / 1000)
@@ -351,7 +355,7 @@
                 and now < self._claims_expire_at
                 and self.members.heartbeat % QUERY_INTERVAL_HEARTBEATS == 0
             ):
-                self._send_query()  # guards against a cut that was there while it asked: what drains is known behind it
+                self._send_query()  # guards against a partition during the query: drains may be known on its other side
             self._advance_startup()
             if (self.members.self_status(now), self.own.superseded) != said:
                 said = self.members.self_status(now), self.own.superseded
@@ -364,7 +368,7 @@
             self._start_sync()
 
     def _start_sync(self) -> asyncio.Task[None]:
-        """Write what was put, beside the beats: guards against a disk that hangs and would silence the agent."""
+        """Starts writing what was put, in the background: guards against a disk that hangs and would stop the heartbeats."""
         if self._sync_task is None or self._sync_task.done():
             self._sync_task = self._agent.tasks.spawn("store", self._flush())
         return self._sync_task
@@ -373,16 +377,16 @@
         await self._store.flush()
 
     def record_synced(self) -> None:
-        """An id of a payment is being synced: before long witnesses hold a beat that no older disk has.
+        """Called while a payment's id is synced: soon afterwards witnesses have a heartbeat that no older copy of the disk has.
 
-        Guards against a copy that is older than that id, and younger than what a few beats apart can tell.
+        Guards against a copy that is older than that id by less time than regular heartbeats can tell.
         """
         if self._mark_task is None or self._mark_task.done():
             self._mark_task = self._agent.tasks.spawn("mark", self._mark())
 
     async def _mark(self) -> None:
         await asyncio.sleep(MARK_DELAY_HEARTBEATS * self._config.beat / 1000)
-        # By two, and synced before it is told: the disk held the next one before.
+        # Raised by two, and synced before it is sent: the disk already held the next number.
         self.members.heartbeat += 2
         self._put_beat()
         if await self._store.flush() and self.own.settled and not self.own.superseded:
@@ -390,19 +394,19 @@
                 self._send(peer, self._message(wire.HEARTBEAT))
 
     def _witnesses(self, step: int) -> list[int]:
-        """Agents after this one, which keep its beats (1), or before it, of which it does (-1)."""
+        """The agents after this one, which store its heartbeats (1), or before it, whose heartbeats it stores (-1)."""
         agents = self._agent.config.settings.agents
         return [(self._me + step * far) % agents for far in range(1, min(WITNESSES, agents - 1) + 1)]
 
     def _put_beat(self) -> None:
-        """The next one, so that by the time it is told it is synced: peers know of none that the disk doesn't."""
+        """Stores the next heartbeat number, so that it is synced before it is sent: peers never know one that the disk doesn't."""
         self._store.put("beat", [self.own.incarnation.number, self.members.heartbeat + 1])
 
     def _latest_known(self, agent: int) -> tuple[Incarnation, int]:
         return max(self.members.latest(agent), self._witnessed.get(agent, NEVER_HEARD))
 
     def _record_witnessed(self) -> None:
-        """Keep what is known of a few others: where all lose power, their disks are held against it."""
+        """Stores the newest state of a few other agents: if all lose power, it shows which of their disks are outdated."""
         for agent in self._witnesses(-1):
             if (known := self._latest_known(agent)) != NEVER_HEARD:
                 self._witnessed[agent] = known
@@ -415,13 +419,13 @@
         )
 
     def _send_query(self) -> None:
-        """Those that haven't answered."""
+        """Sends the query to the peers that haven't answered."""
         for peer in self._query.peers if self._query else ():
             if peer not in self._query.answers:
                 self._send(peer, self._message(wire.QUERY, nonce=self._token))
 
     def _query_targets(self) -> list[int]:
-        """Its witnesses, and any others."""
+        """The peers to query: the witnesses, and random others."""
         agents = self._agent.config.settings.agents
         first = self._witnesses(1)
         others = [n for n in range(agents) if n != self._me and n not in first]
@@ -472,7 +476,7 @@
 
 
 def _valid_heartbeat(value: object, life: int) -> int:
-    """The beat kept of that life; of another one it says nothing."""
+    """The stored heartbeat number of that incarnation; 0 if it is another one's."""
     return _valid_integer(value[1]) if isinstance(value, list) and len(value) == 2 and value[0] == life else 0
 
 
--- a/lupinreach/ops/metrics.py
+++ b/lupinreach/ops/metrics.py
@@ -1,4 +1,4 @@
-"""What the agent reports of itself, from its counters. No I/O."""
+"""The agent's own metrics, derived from its counters. No I/O."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from lupinreach.net.counters import Counters, Outcome
 
-# The page's words.
+# Keys of the reported metrics.
 OUTCOME_KEYS = {Outcome.FULFILLED: "success", Outcome.RATE_LIMITED: "overload", Outcome.ERRORED: "error"}
 ATTEMPTS, IN_FLIGHT, BACKENDS, AVOIDED_BACKENDS = "dispatches", "concurrent", "targets", "targets_disabled"
 
 
 def report(products: Iterable[str], counters: Counters, listed: int, avoided: int) -> dict[str, Any]:
-    """The figures: API calls by how they ended, for each product, and what is there now.
+    """The metrics: API calls by outcome and product, and the current state.
 
-    All counts run from the start of the process and never go back.
+    All counts run from the start of the process and never decrease.
     """
     names = list(products)
     metrics: dict[str, Any] = {
--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door: HTTP/1.1, one call to a connection, on descriptors of its own."""
+"""The operators' HTTP/1.1 endpoint: one request per connection, on file descriptors of its own."""
 
 from __future__ import annotations
 
@@ -18,21 +18,19 @@
 from lupinreach.net.sockets import Sockets
 from lupinreach.ops import metrics
 
-MAX_CONNECTIONS = (
-    16  # connections at once, of the agent's descriptors; with all held, the one held longest makes room
-)
-REQUEST_TIMEOUT_S = 2.0  # s from connecting for all of a call
-WRITE_TIMEOUT_S = 2.0  # s for its answer to be taken
-LINGER_S = 0.2  # s for what follows a call that was refused, so that its caller gets to see why
-MAX_BODY_BYTES = 4 << 10  # bytes of a body, which says nothing
-MAX_DISCARDED_BYTES = 64 << 10
+MAX_CONNECTIONS = 16  # concurrent connections; when all are in use, a new one closes the oldest
+REQUEST_TIMEOUT_S = 2.0  # from connecting until the whole request has arrived
+WRITE_TIMEOUT_S = 2.0  # until the response has been written
+LINGER_S = 0.2  # reading on after a rejected request, so that its sender gets to see the response
+MAX_BODY_BYTES = 4 << 10  # a body is accepted and ignored
+MAX_DISCARDED_BYTES = 64 << 10  # read on after a rejected request
 BACKLOG = 64
-ACCEPT_PAUSE_S = 0.1  # s without accepting when the process has run out of descriptors
+ACCEPT_PAUSE_S = 0.1  # after the process has run out of file descriptors
 
 
 @dataclass(frozen=True)
 class Response:
-    """An answer of the door's; the text says why not."""
+    """A response: metrics as JSON, or a line of text."""
 
     status: int
     text: str = ""
@@ -40,6 +38,7 @@
     allow: bytes = b""
 
     def message(self) -> bytes:
+        """The response as HTTP bytes."""
         if self.metrics is not None:
             kind, body = b"application/json", orjson.dumps(self.metrics)
         else:
@@ -51,17 +50,15 @@
 
 
 class OperatorEndpoint:
-    """Answers operators beside the API calls."""
+    """Serves operators' requests beside the API calls."""
 
     def __init__(self, agent: Agent, address: Address, sockets: Sockets | None = None) -> None:
         self._agent = agent
         self._address = address
         self._sockets = sockets or Sockets()
         self._socket: socket.socket | None = None
-        self._connections: dict[
-            Channel, asyncio.Task[None] | None
-        ] = {}  # longest first; each leaves when it is closed
-        # By path and method.
+        self._connections: dict[Channel, asyncio.Task[None] | None] = {}  # oldest first; removed when closed
+        # Method and handler by path.
         self._routes: dict[bytes, tuple[bytes, Callable[[], Response]]] = {
             b"/_ready": (b"GET", self._ready),
             b"/_vars": (b"GET", self._vars),
@@ -70,7 +67,7 @@
         }
 
     def open(self) -> None:
-        """Listen; OSError where the address can't be had."""
+        """Listens; raises OSError if the address can't be bound."""
         self._socket = self._sockets.listening(self._address)
         self._socket.listen(BACKLOG)
         self._start_accepting()
@@ -82,6 +79,7 @@
         return host, port
 
     def close(self) -> None:
+        """Stops listening and closes all connections."""
         if self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket)
             self._socket.close()
@@ -95,7 +93,9 @@
 
     def _accept(self) -> None:
         assert self._socket is not None
-        for _ in range(MAX_CONNECTIONS):  # guards against callers by the hundred that would hold up API calls
+        for _ in range(
+            MAX_CONNECTIONS
+        ):  # guards against hundreds of connections at once that would delay API calls
             try:
                 sock, _ = self._socket.accept()
                 channel = Channel(sock, http.MOST_HEAD + MAX_BODY_BYTES)
@@ -108,7 +108,7 @@
                 return
             self._agent.counters.connections["operator opened"] += 1
             if len(self._connections) >= MAX_CONNECTIONS:
-                # Guards against callers that hold a connection and say nothing: they lock nobody out.
+                # Guards against idle connections that would lock others out.
                 self._drop(next(iter(self._connections)))
                 self._agent.counters.connections["operator made room"] += 1
             self._connections[channel] = None
@@ -121,7 +121,7 @@
             task.cancel()
 
     async def _serve(self, channel: Channel) -> None:
-        """One call and its answer."""
+        """Handles one request and writes its response."""
         try:
             response = await self._handle_request(channel)
             if response is not None:
--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -1,4 +1,4 @@
-"""What of an agent goes on from process to process: its store, what it learnt, and its part in the fleet."""
+"""Connects an agent to what outlasts its process: its store, the balancer's snapshot, the request journal, and its part in the fleet."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def restore_state(agent: Agent, disk: Disk | None = None, token: int | None = None) -> SnapshotStore | None:
-    """Begin with what the process before has left, before the agent starts; None where nothing is configured.
+    """Restores the state that the previous process stored, before the agent starts; None if no store is configured.
 
-    What is returned leaves it to the next.
+    The returned object saves the state for the next process.
 
-    `disk` and `token` are the system's unless given.
+    `disk` defaults to the system's files, `token` to a random one.
     """
     config = agent.config
     if config.store is None:
@@ -25,12 +25,12 @@
     agent.tasks.spawn("carry", snapshot.save_periodically())
     journal = None
     if config.ran:
-        from lupinreach.ops.request_journal import RequestJournal  # nor one that has nothing to keep of this
+        from lupinreach.ops.request_journal import RequestJournal  # loaded only where it is configured
 
         journal = RequestJournal(agent, store, found)
         agent.tasks.spawn("ran", journal.run())
     if config.fleet is not None:
-        from lupinreach.ops.fleet_agent import FleetAgent  # an agent that is alone doesn't load it
+        from lupinreach.ops.fleet_agent import FleetAgent  # loaded only by agents of a fleet
 
         part = FleetAgent(
             agent, store, found, config.fleet, token, journal.peers_asked if journal else lambda _: None
--- a/lupinreach/ops/request_journal.py
+++ b/lupinreach/ops/request_journal.py
@@ -1,13 +1,13 @@
-"""Ids of non-idempotent API calls that may have run, kept over a power loss by the agent's store.
+"""Ids of non-idempotent API calls that may have run, kept across a power loss in the agent's store.
 
-A client that loses its connection under a request may send it once more, by the same id. An agent that was never down knows
-the id (`net/ids.py`); one that lost power in between would run a payment twice. So the id is synced before the module has
-the API call, and with it before any shot; ids that come while a sync is out go with the next one.
+A client that loses its connection during a request may send it again under the same id. An agent that has run throughout knows
+the id (`net/ids.py`); one that lost power in between would run a payment twice. So the id is synced before the balancer gets
+the API call, and thus before any attempt. Ids that arrive during a sync are written with the next one.
 
-What follows for a disk: one that hangs has its payments rate-limited, at once and truthfully, since nothing of them has run;
-one that can't be written at all has them served as by an agent without this, which the log says once (`store failed`) and
-the counters count. One that lies, as far as that can be told, has them errored for a client timeout: they may have run.
-An id leaves the file between one and two longest client timeouts after it came.
+Consequences for a disk: if it hangs, its agent's payments are rate-limited at once, which is correct since none of them has run.
+If it can't be written at all, they are served as by an agent without a journal, which the log reports once (`store failed`) and
+the counters count. If it may hold outdated data, as far as that can be told, they are errored for one client timeout: they may have run.
+An id is removed from the file between one and two of the longest client timeouts after it arrived.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 from lupinreach.store.records import FileContents
 from lupinreach.store.store import Store
 
-SYNC_TIMEOUT_FRACTION = 0.2  # x the shortest client timeout of a non-idempotent product: for a sync
+SYNC_TIMEOUT_FRACTION = 0.2  # of the shortest client timeout of a non-idempotent product: time for a sync
 KEY_PREFIX = "ran/"
 
 
 class RequestJournal:
-    """One process's part. Its tables hold the ids of two longest client timeouts, and no more than the store's keys."""
+    """The journal of one process. Its tables hold the ids of two of the longest client timeouts, and at most as many as the store has keys."""
 
     def __init__(self, agent: Agent, store: Store, found: FileContents) -> None:
         self._agent = agent
         self._store = store
         stored = [key for key in trust.restorable(found.state) if key.startswith(KEY_PREFIX)]
         agent.serving.ids.recall(key.removeprefix(KEY_PREFIX).encode("latin-1") for key in stored)
-        self._current: list[str] = stored  # keys put since the last turn
-        self._previous: list[str] = []  # and before it
+        self._current: list[str] = stored  # keys put in the current period
+        self._previous: list[str] = []  # keys put in the previous period
         timeouts = [p.timeout for p in agent.config.settings.products if p.kind is Idempotency.NON_IDEMPOTENT]
         self._sync_timeout_s = SYNC_TIMEOUT_FRACTION * min(timeouts, default=0.0) / 1000
-        self._slow_sync: asyncio.Task[bool] | None = None  # a sync that took longer
-        self.on_recorded: Callable[[], None] = lambda: None  # hears of each id that is put
+        self._slow_sync: asyncio.Task[bool] | None = None  # a sync that exceeded its timeout
+        self.on_recorded: Callable[[], None] = lambda: None  # called for each recorded id
         if timeouts:
             agent.serving.remember = self.record
-        # What is sent once more comes within a client timeout, so a disk that can't tell is in doubt for as long: one that
-        # was cut or is another's; with a fleet each one until peers were asked, since an older copy looks sound.
+        # A repeated request arrives within a client timeout, so an unreliable disk is in doubt for as long: one that was
+        # truncated or is another agent's. In a fleet every disk is, until peers were asked, since an older copy looks valid.
         self._store_damaged = found.lost > 0
         in_doubt = self._store_damaged or agent.config.fleet is not None
         self._in_doubt_until = agent.clock.now() + agent.serving.longest_wait if in_doubt else 0.0
@@ -51,12 +51,12 @@
             agent.log.event("ran recalled", ids=len(stored))
 
     def peers_asked(self, store_outdated: bool) -> None:
-        """Peers were asked; `behind`: they have met a later life than this disk knows of."""
+        """Called after peers were asked; `store_outdated`: they know a later state of this agent than its disk."""
         if not (store_outdated or self._store_damaged):
             self._in_doubt_until = 0.0
 
     async def record(self, request_id: bytes) -> Remembered:
-        """Have it known to the next life that this API call may run from now on."""
+        """Records durably that this API call may run from now on."""
         counters = self._agent.counters.others
         if self._agent.clock.now() < self._in_doubt_until:
             counters["ran: errored, the disk can't tell"] += 1
@@ -72,7 +72,7 @@
         self._current.append(key)
         self.on_recorded()
         sync = self._agent.tasks.spawn("ran", self._store.flush())
-        # Guards against a disk that hangs: the writing goes on by itself, the API call doesn't.
+        # Guards against a disk that hangs: the sync continues in the background, the API call doesn't.
         if not (await asyncio.wait({sync}, timeout=self._sync_timeout_s))[0]:
             self._slow_sync = sync
             counters["ran: refused, the disk hangs"] += 1
@@ -81,7 +81,7 @@
         return Remembered.KEPT
 
     async def run(self) -> None:
-        """Forget, turn by turn; what is dropped is written with what comes next."""
+        """Removes old ids, period by period; the removal is written with the next sync."""
         while True:
             await asyncio.sleep(self._agent.serving.longest_wait / 1000)
             for key in self._previous:
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -1,8 +1,8 @@
-"""What agents of one fleet share, on sockets: evidence on backends, counts of customers, and the fleet's trials.
+"""Shared state of a fleet's agents, over sockets: observations of backends, request counts of customers, backend uptimes, and the fleet's trials.
 
-The pure modules of `fleet` decide and bound; here rows go out and come in, and the module is handed what follows. Without
-`fleet.share_ms` none of it is loaded. What it costs: two datagrams of 256 bytes at most every `share_ms`, in any fleet,
-and a question and an answer where trials are short.
+The pure modules of `fleet` make and bound the decisions; this module sends and receives their rows and hands the results to the balancer.
+It is only loaded with `fleet.share_ms`. Its cost: at most two datagrams of 256 bytes every `share_ms`, in a fleet of any size,
+and a request and an answer when trials run short.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 from lupinreach.model import SharedEstimates
 from lupinreach.net.agent import Agent
 
-JITTER = 0.2  # of the time between two words
-WINDOW_INTERVALS = 5.0  # x the time between two words: over which rates of customers are taken
+JITTER = 0.2  # of the sharing interval
+WINDOW_INTERVALS = 5.0  # sharing intervals over which customers' rates are measured
 AGEING_INTERVALS, ALONE_INTERVALS = (
     4.0,
     16.0,
-)  # x the time between two words without any: what is shared is ageing, then the agent is alone
-OVER_SHARE_FACTOR = 1.5  # x its fraction of all that is asked: from there on a customer is over its share
-HEALTHY_RELATIVE_LATENCY = 1.0  # x SLO: below it others have met a backend well
-TRIALS_BUDGET = 0  # the number of the budget
-TRIALS_PER_BACKEND = 2.0  # trials of each backend in a hold, over the fleet: with one, 40 agents that had all been deaf came back later
+)  # sharing intervals without an update after which the shared state is ageing, and the agent alone
+OVER_SHARE_FACTOR = 1.5  # x its fraction of all calls: above it a customer is over its share
+HEALTHY_RELATIVE_LATENCY = 1.0  # x SLO: below it others have found a backend healthy
+TRIALS_BUDGET = 0  # number of the trials budget in datagrams
+TRIALS_PER_BACKEND = 2.0  # trials of a backend per ejection period, over the fleet; with one, 40 agents that had all received nothing recovered later
 
 
 class Freshness(Enum):
-    """How far what others say can still be gone by."""
+    """How recent the reports of others are."""
 
     FRESH = "fresh"
     AGEING = "ageing"
@@ -44,7 +44,7 @@
 
 
 class Sharing:
-    """One agent's part. Its tables are those of `Evidence`, `Counts` and `Budget`, each bounded there."""
+    """One agent's shared state. Its tables are those of `Observations`, `Counts`, `Uptimes` and `Budget`, each bounded there."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         send: Callable[[int, int, dict[str, object]], None],
         draw: Callable[[], float],
     ) -> None:
-        """`me` gives this agent's life and if a newer one has taken its place; `send` a peer, a kind and what is said."""
+        """`me` returns this agent's incarnation number and whether a newer process has replaced it; `send` takes a peer, a kind and fields."""
         settings = agent.config.settings
         now = agent.clock.now()
         self._agent = agent
@@ -71,10 +71,12 @@
         self._fractions = [c.fraction for c in settings.customers]
         self._ejection_ms = EJECTION_SLOS * slo
         self._backends = 0
-        self.trials: Budget | None = None  # from the first list on, by whose length the fleet's trials go
+        self.trials: Budget | None = (
+            None  # from the first backend list on, whose length sets the fleet's budget
+        )
         self._lease_ms = LEASE_HEARTBEATS * config.beat
         self._began = self._last_update = now
-        self._queries_sent = 0  # questions of this life
+        self._queries_sent = 0  # of this incarnation
         self.stage = Freshness.FRESH
         if settings.customers:
             agent.serving.took = self.counts.record_call
@@ -82,6 +84,7 @@
     # Datagrams.
 
     def on_message(self, m: Message) -> None:
+        """Handles an UPDATE, BORROW or GRANT."""
         now = self._agent.clock.now()
         if m.kind == wire.UPDATE:
             self._last_update = now
@@ -104,15 +107,15 @@
             elif self.trials.granted(now, m.nonce, m.amount / 1000 * own):
                 self._agent.counters.others["shared: trials borrowed"] += 1
 
-    # What is made of it.
+    # Estimates for the balancer.
 
     def _wants(self) -> float:
-        """Trials a s that this agent could make use of: one for each backend that it holds back, each hold."""
+        """Trials per s that this agent could use: one per ejected backend and ejection period."""
         held = sum(any(b.ejected_until) for b, _ in self._agent.balancer.relative_latencies())
         return 1000 * held / self._ejection_ms
 
     def update(self) -> None:
-        """Once between two words: take what is own, and hand the module what follows from all of it."""
+        """Adds this agent's own rows and gives the balancer the resulting estimates, once per sharing interval."""
         now, balancer = self._agent.clock.now(), self._agent.balancer
         silent = now - self._last_update
         self.stage = (
@@ -163,14 +166,15 @@
         )
 
     def _resize_budget(self, now: float, backends: int) -> None:
+        """Replaces the trials budget when the backend list has grown."""
         if backends > self._backends:
-            # Guards against a share that moves with each list: agents with unlike lists would have unlike budgets.
+            # Only grows: agents with different lists would otherwise have different budgets.
             self._backends = backends
             total = TRIALS_PER_BACKEND * backends * 1000 / self._ejection_ms
             self.trials = Budget(now, total, self._agent.config.settings.agents, self._lease_ms)
 
     def _over_share(self, now: float) -> frozenset[int] | None:
-        """Customers over their share of what the fleet is asked; None where too little is heard to tell."""
+        """Customers over their share of the fleet's calls; None if too little is received to tell."""
         if not self._fractions or self.stage is Freshness.ALONE:
             return None
         rates = self.counts.rates(now)
@@ -184,7 +188,7 @@
         )
 
     def metrics(self) -> dict[str, object]:
-        """What operators see."""
+        """The `shared` object of the reported metrics."""
         now = self._agent.clock.now()
         met = self._agent.balancer.relative_latencies()
         return {
@@ -200,24 +204,25 @@
             "leases": None if self.trials is None else self.trials.lease_counts,
         }
 
-    # From start to end.
+    # The sharing loop.
 
     async def run(self) -> None:
-        said = Freshness.FRESH
+        """Sends updates and requests for trials, once per sharing interval."""
+        reported_stage = Freshness.FRESH
         while True:
             await asyncio.sleep(self._config.share * (1 + JITTER * (self._draw() - 0.5)) / 1000)
             self.update()
-            if self.stage is not said:
-                said = self.stage
-                self._agent.log.event("shared", stage=said.value)
+            if self.stage is not reported_stage:
+                reported_stage = self.stage
+                self._agent.log.event("shared", stage=reported_stage.value)
             if self._self()[1]:
-                continue  # a newer process of this agent speaks for it
+                continue  # a newer process of this agent sends instead
             now = self._agent.clock.now()
             for peer in self._members.draw_targets():
                 self._send(peer, wire.UPDATE, self._update(now))
             if self.trials is not None and self._wants() > self.trials.usable(now):
                 self._queries_sent += 1
-                # Guards against a late answer to a question of the life before, which would pass its owner's lease.
+                # Guards against a late answer to a request of the previous incarnation, which would outlast its owner's lease.
                 number = (self._self()[0] & 0xFFFF) << 16 | self._queries_sent & 0xFFFF
                 self.trials.ask(now, number)
                 self._send(
@@ -227,7 +232,7 @@
                 )
 
     def _update(self, now: float) -> dict[str, object]:
-        """As much as a datagram takes: half of it for who stands, where there is so much, half of the rest for each of the others."""
+        """The rows of one datagram: up to half of it for uptimes, and half of the rest each for counts and observations."""
         stood = self.uptimes.digest(now, wire.UPDATE_ROW_BYTES // 2 // wire.UPTIME_ROW.size)
         room = wire.UPDATE_ROW_BYTES - len(stood) * wire.UPTIME_ROW.size
         counts = min(len(self.counts), room // 2 // wire.COUNT_ROW.size)
--- a/lupinreach/ops/snapshot.py
+++ b/lupinreach/ops/snapshot.py
@@ -1,7 +1,7 @@
-"""What one process has learnt of the backends, handed to the next by the agent's store: put, taken, judged.
+"""The balancer's snapshot of backends, handed from one process to the next through the agent's store.
 
-The value says what it is of: its form, its time, the SLOs and the kind of weights. Whatever is wrong with it,
-the agent starts with nothing, as it does without a store, and the log says why.
+The stored value says what it applies to: its format, its time, the SLOs and the kind of weights. If anything about it is invalid,
+the agent starts without it, as it does without a store, and the log says why.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 from lupinreach.store.records import FileContents
 from lupinreach.store.store import Store
 
-FORMAT = 1  # of the value; another one is none
-KEY = "learnt"  # its key
+FORMAT = 1  # of the stored value; any other is rejected
+KEY = "learnt"  # in the store
 MAX_BACKENDS = 4096
-MAX_NUMBER = 1e7  # ms, and size: more than any deployment has
-SAVE_INTERVAL_S = 5.0  # s between two writings, so that a process killed outright leaves one
+MAX_NUMBER = 1e7  # of latencies (ms) and weights: more than any deployment has
+SAVE_INTERVAL_S = 5.0  # so that a killed process leaves a snapshot too
 
 
 class InvalidSnapshot(ValueError):
-    """The file can't be used; the text says why."""
+    """The stored snapshot can't be used; the message says why."""
 
 
 def encode_snapshot(snapshot: PolicySnapshot, at: float) -> dict[str, Any]:
-    """The value; of more backends than it may name, the rest is left out."""
+    """The value to store; backends beyond `MAX_BACKENDS` are left out."""
     return {
         "form": FORMAT,
         "at": at,
@@ -43,37 +43,41 @@
 
 
 def parse_snapshot(raw: Any) -> tuple[float, PolicySnapshot]:
-    """When the value was put, and what it holds: read whole before any of it counts."""
+    """The time and content of a stored value, validated as a whole."""
     try:
         if raw["form"] != FORMAT:
             raise InvalidSnapshot(f"form {raw['form']!r}")
         slos = tuple(map(_parse_number, raw["slos"]))
-        usual = tuple(tuple(map(_parse_number, four)) for four in raw["usual"])
+        slo_latencies = tuple(tuple(map(_parse_number, latencies)) for latencies in raw["usual"])
         backends = tuple(_parse_backend(*row, len(slos)) for row in raw["backends"])
         at, live = _parse_number(raw["at"], most=float("inf")), raw["live_weights"]
     except InvalidSnapshot:
         raise
     except (KeyError, TypeError, ValueError):
         raise InvalidSnapshot("torn or no such value") from None
-    if type(live) is not bool or len(usual) != len(slos) or any(len(four) != 4 for four in usual):
+    if (
+        type(live) is not bool
+        or len(slo_latencies) != len(slos)
+        or any(len(latencies) != 4 for latencies in slo_latencies)
+    ):
         raise InvalidSnapshot("parts that don't fit together")
     if len(backends) > MAX_BACKENDS:
         raise InvalidSnapshot("too many backends")
-    return at, PolicySnapshot(slos, live, usual, backends)  # type: ignore[arg-type]  # fours, as just checked
+    return at, PolicySnapshot(slos, live, slo_latencies, backends)  # type: ignore[arg-type]  # rows of four, as just checked
 
 
 def _parse_backend(
-    name: Any, boot_time: Any, listed: Any, figures: Any, ill: Any, slos: int
+    name: Any, boot_time: Any, weight: Any, latencies: Any, failure_rate: Any, slos: int
 ) -> BackendSnapshot:
-    if type(name) is not int or len(figures) != slos:
+    if type(name) is not int or len(latencies) != slos:
         raise InvalidSnapshot("a backend that doesn't fit")
-    known = tuple(None if f is None else _parse_number(f) for f in figures)
+    known = tuple(None if f is None else _parse_number(f) for f in latencies)
     return BackendSnapshot(
         name,
         _parse_number(boot_time, most=float("inf")),
-        _parse_number(listed),
+        _parse_number(weight),
         known,
-        _parse_number(ill, most=1.0),
+        _parse_number(failure_rate, most=1.0),
     )
 
 
@@ -84,19 +88,19 @@
 
 
 class SnapshotStore:
-    """What is handed on, as one process does it."""
+    """Restores the balancer's snapshot at the start and saves it while the agent runs."""
 
     def __init__(self, agent: Agent, store: Store, most_age: float | None) -> None:
-        """What is older than `most_age` ms by the wall clock starts nobody.
+        """A snapshot older than `most_age` ms by the wall clock is not used.
 
-        With None no clock is asked: a figure counts for the same process of a backend, by its boot time, and for no other.
+        With None its age is not checked: an estimate applies to the same process of a backend, by its boot time, and to no other.
         """
         self._agent = agent
         self._store = store
         self._most_age = most_age
 
     def restore(self, found: FileContents) -> None:
-        """Begin with what the process before has left, if it still means the same."""
+        """Restores the snapshot of the previous process, if it still applies."""
         log = self._agent.log
         if found.lost:
             log.event("store lost", bytes=found.lost, why=found.why)
@@ -122,15 +126,16 @@
         return snapshot, age
 
     async def save(self) -> None:
-        """Put it for the process that comes next; the event loop serves on while the disk syncs."""
+        """Saves a snapshot for the next process; the event loop continues while the disk syncs."""
         snapshot = self._agent.balancer.snapshot()
-        # Guards against a process that never saw a list and would wipe out what another has left.
+        # Guards against a process that never received a list and would overwrite the snapshot of another.
         if snapshot.backends:
             self._store.put(KEY, encode_snapshot(snapshot, self._agent.clock.now()))
         if not await self._store.flush():
             self._agent.counters.others["store: not written"] += 1
 
     async def save_periodically(self) -> None:
+        """Saves a snapshot every `SAVE_INTERVAL_S`."""
         while True:
             await asyncio.sleep(SAVE_INTERVAL_S)
             await self.save()
--- a/lupinreach/ops/succession.py
+++ b/lupinreach/ops/succession.py
@@ -1,4 +1,4 @@
-"""Which process serves under an agent's name: one small file in a folder that old and new process share."""
+"""Which process serves under an agent's name: recorded in one small file in a folder that the old and the new process share."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 
 from lupinreach.store.files import replace
 
-FORMAT = 1  # of the file; another one is no file
-MAX_FILE_BYTES = 4096  # bytes of it
+FORMAT = 1  # of the file; a file of another format is ignored
+MAX_FILE_BYTES = 4096
 
 
 class Process(NamedTuple):
-    """Guards against a pid that another process has by now: two never share pid and start."""
+    """A process, identified by pid and start time: guards against a pid that was reused."""
 
     pid: int
     started: int  # clock ticks since the machine started
 
 
 def encode(process: Process) -> bytes:
+    """The content of the file that names this process."""
     return orjson.dumps({"form": FORMAT, "pid": process.pid, "started": process.started})
 
 
 def decode(text: bytes) -> Process | None:
-    """The process that a file names; None for a file of another form, or a broken one."""
+    """The process that a file names; None for a file of another format or a damaged one."""
     try:
         raw = orjson.loads(text)
         if raw["form"] != FORMAT or type(raw["pid"]) is not int or type(raw["started"]) is not int:
@@ -36,18 +37,18 @@
 
 
 def running_process(pid: int) -> Process | None:
-    """The process that runs under a pid; None if there is none, or only its remains."""
+    """The process that runs under a pid; None if there is none, or only a zombie."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
             after_name = file.read().rpartition(b")")[2].split()
     except OSError:
         return None
-    # Fields 3 and 22 of proc(5): state, and when it started.
+    # Fields 3 and 22 of proc(5): state and start time.
     return Process(pid, int(after_name[19])) if after_name[0] not in (b"Z", b"X") else None
 
 
 class Succession:
-    """The file, as one process uses it. Without a folder that can be written there is neither before nor after."""
+    """One process's access to the file. Without a writable folder there is no succession."""
 
     def __init__(self, folder: str | None, name: str) -> None:
         safe = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)
@@ -55,7 +56,7 @@
         self._me = running_process(os.getpid())
 
     def other(self) -> Process | None:
-        """The live process that took over last, if it isn't this one."""
+        """The running process that took over last, if it isn't this one."""
         if self._path is None:
             return None
         try:
@@ -68,5 +69,5 @@
         return named
 
     def take_over(self) -> bool:
-        """Name this process."""
+        """Names this process in the file; false if it can't be written."""
         return self._path is not None and self._me is not None and replace(self._path, encode(self._me))
