--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -76,13 +76,13 @@
         self._seed = agent.config.seed
         self._draws = 0
         now = agent.clock.now()
-        kept = trust.restorable(found.state)
+        stored = trust.restorable(found.state)
         self._token = token if token is not None else int.from_bytes(os.urandom(4), "big")
-        life = _valid_integer(kept.get("life"))
-        self.own = OwnIncarnation(life, self._token, _valid_heartbeat(kept.get("beat"), life))
+        life = _valid_integer(stored.get("life"))
+        self.own = OwnIncarnation(life, self._token, _valid_heartbeat(stored.get("beat"), life))
         self.members = Members(self._me, settings.agents, config.beat, self._draw)
-        self.floor = RevisionFloor(_valid_integer(kept.get("floor")), settings.rules.ask_within)
-        self.drains = DrainSet(_drains(kept))
+        self.floor = RevisionFloor(_valid_integer(stored.get("floor")), settings.rules.ask_within)
+        self.drains = DrainSet(_drains(stored))
         self.startup = StartupSequence(
             now,
             StageLimits(
@@ -103,7 +103,7 @@
         self._cached_withheld = True
         self._on_peers_asked = on_peers_asked
         self._witnessed = dict(
-            _witnessed(kept.get("seen"), settings.agents)
+            _witnessed(stored.get("seen"), settings.agents)
         )  # newest state of the `WITNESSES` agents before this one
         self._query: PeerQuery | None = None
         self._sync_task: asyncio.Task[None] | None = None  # the last write
@@ -124,7 +124,7 @@
             )
             agent.tasks.spawn("sharing", self.sharing.run())
         store.put("life", self.own.incarnation.number)
-        self._put_beat()
+        self._store_heartbeat()
         agent.hears, agent.sees, agent.tells = self.on_datagram, self.apply_list, self.metrics
         agent.directory.older = self.is_older_list
         agent.standing.returning = not self.startup.ready
@@ -147,13 +147,13 @@
         self._registry_heard = self._registry_heard or not older
         return older
 
-    def apply_list(self, news: UpdateKind, entries: list[Listing], older: bool) -> list[Listing]:
+    def apply_list(self, update: UpdateKind, entries: list[Listing], older: bool) -> list[Listing]:
         """A list as the balancer is to get it: an older one doesn't make a draining backend ready."""
-        if news is UpdateKind.CACHED:
+        if update is UpdateKind.CACHED:
             self.floor.raise_to(self._agent.directory.version)
-        from_registry = news is not UpdateKind.CACHED and not older
+        from_registry = update is not UpdateKind.CACHED and not older
         named = {e.backend for e in entries}
-        if news is UpdateKind.FULL:
+        if update is UpdateKind.FULL:
             for removed in [e for e in self._listed.values() if e.backend not in named]:
                 del self._listed[removed.backend]
                 self._lift(removed)
@@ -172,7 +172,7 @@
         if from_registry:
             self._store.put("floor", self.floor.revision)
         before, self._withheld_indices = self._withheld_indices, self._withheld_set()
-        if news is UpdateKind.CACHED and self._cached_withheld:
+        if update is UpdateKind.CACHED and self._cached_withheld:
             return []
         self._cached_withheld = False
         # Peers' claims may withhold a share of the ready backends, so a list can change the state of backends it doesn't name.
@@ -227,27 +227,27 @@
 
     def on_datagram(self, sender: int, data: bytes) -> None:
         """Handles a datagram that came from the address of peer `sender`."""
-        others, now = self._agent.counters.others, self._agent.clock.now()
+        counters, now = self._agent.counters.others, self._agent.clock.now()
         try:
             m = wire.decode(data)
         except wire.Malformed:
-            others["fleet: malformed"] += 1
+            counters["fleet: malformed"] += 1
             return
         if m.sender != sender or sender == self._me:
             # Guards against a datagram under another agent's number.
-            others["fleet: from a wrong address"] += 1
+            counters["fleet: from a wrong address"] += 1
             return
         known = self._latest_known(sender)  # before this datagram, which is of the sender's new incarnation
         self.members.receive(now, sender, m.incarnation, m.heartbeat, m.members)
         if m.remembers:
             self.floor.add_claim(sender, m.revision)
-        mine = [(e.incarnation, e.heartbeat) for e in m.members if e.agent == self._me]
+        own_claims = [(e.incarnation, e.heartbeat) for e in m.members if e.agent == self._me]
         if m.kind == wire.REPLY and m.known.number:
-            mine.append((m.known, m.known_heartbeat))
-        for life, beat in mine:
+            own_claims.append((m.known, m.known_heartbeat))
+        for life, beat in own_claims:
             if self.own.observe(sender, life, beat):
                 self._store.put("life", self.own.incarnation.number)
-                self._put_beat()
+                self._store_heartbeat()
         if (
             self.sharing is not None
             and m.kind in (wire.UPDATE, wire.BORROW, wire.GRANT)
@@ -343,12 +343,12 @@
             standing=self._query.alive(),
             held=len(self._withheld_indices),
         )
-        said = SelfStatus.HEALTHY, False
+        reported = SelfStatus.HEALTHY, False
         while True:
             await asyncio.sleep(self._config.beat * (1 + HEARTBEAT_JITTER * (self._draw() - 0.5)) / 1000)
             now = clock.now()
             self.members.tick(now)
-            self._put_beat()
+            self._store_heartbeat()
             self._record_witnessed()
             if (
                 not self.own.superseded
@@ -357,10 +357,13 @@
             ):
                 self._send_query()  # guards against a partition during the query: drains may be known on its other side
             self._advance_startup()
-            if (self.members.self_status(now), self.own.superseded) != said:
-                said = self.members.self_status(now), self.own.superseded
+            if (self.members.self_status(now), self.own.superseded) != reported:
+                reported = self.members.self_status(now), self.own.superseded
                 log.event(
-                    "fleet", own=said[0].value, superseded=said[1], standing=self.members.alive_count(now)
+                    "fleet",
+                    own=reported[0].value,
+                    superseded=reported[1],
+                    standing=self.members.alive_count(now),
                 )
             if not self.own.superseded:
                 for peer in self.members.draw_targets():
@@ -382,13 +385,13 @@
         Guards against a copy that is older than that id by less time than regular heartbeats can tell.
         """
         if self._mark_task is None or self._mark_task.done():
-            self._mark_task = self._agent.tasks.spawn("mark", self._mark())
+            self._mark_task = self._agent.tasks.spawn("mark", self._send_extra_heartbeat())
 
-    async def _mark(self) -> None:
+    async def _send_extra_heartbeat(self) -> None:
         await asyncio.sleep(MARK_DELAY_HEARTBEATS * self._config.beat / 1000)
         # Raised by two, and synced before it is sent: the disk already held the next number.
         self.members.heartbeat += 2
-        self._put_beat()
+        self._store_heartbeat()
         if await self._store.flush() and self.own.settled and not self.own.superseded:
             for peer in self._witnesses(1):
                 self._send(peer, self._message(wire.HEARTBEAT))
@@ -398,7 +401,7 @@
         agents = self._agent.config.settings.agents
         return [(self._me + step * far) % agents for far in range(1, min(WITNESSES, agents - 1) + 1)]
 
-    def _put_beat(self) -> None:
+    def _store_heartbeat(self) -> None:
         """Stores the next heartbeat number, so that it is synced before it is sent: peers never know one that the disk doesn't."""
         self._store.put("beat", [self.own.incarnation.number, self.members.heartbeat + 1])
 
@@ -491,8 +494,8 @@
             yield row[0], (Incarnation(row[1], row[2]), row[3])
 
 
-def _drains(kept: dict[str, object]) -> Iterable[Drain]:
-    for key, boot in kept.items():
+def _drains(stored: dict[str, object]) -> Iterable[Drain]:
+    for key, boot in stored.items():
         name, _, number = key.partition("/")
         if name == "drain" and number.isdecimal() and int(number) < 1 << 32:
             yield Drain(int(number), _valid_integer(boot))
--- a/lupinreach/store/__init__.py
+++ b/lupinreach/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process and a power loss: records in one file, what of them is trusted, and their writing."""
+"""State that outlasts a process and a power loss: records in one file, what of them is trusted after a restart, and their writing."""
--- a/lupinreach/store/files.py
+++ b/lupinreach/store/files.py
@@ -10,15 +10,15 @@
 
 
 class Disk:
-    """The system's files. Virtual time hands in one that loses power."""
+    """Access to the file system. Simulations replace it by one that can lose power."""
 
     def read(self, path: str, most: int) -> bytes:
-        """The first so many bytes; OSError where there is no such file."""
+        """At most the first `most` bytes; raises OSError if there is no such file."""
         with open(path, "rb") as file:
             return file.read(most)
 
     def write(self, folder: str, text: bytes, sync: bool) -> str:
-        """A new file with that in it, synced if asked for; its path."""
+        """Writes a new temporary file, synced on request; returns its path."""
         descriptor, temporary = tempfile.mkstemp(dir=folder, prefix="lupinreach-")
         try:
             with os.fdopen(descriptor, "wb") as file:
@@ -27,12 +27,12 @@
                     file.flush()
                     os.fsync(file.fileno())
         except OSError:
-            os.unlink(temporary)  # guards against a full disk that fills with halves
+            os.unlink(temporary)  # guards against partial files piling up on a full disk
             raise
         return temporary
 
     def append(self, path: str, text: bytes, sync: bool) -> None:
-        """More at the end of a file that is there; a power loss before a sync leaves any first part of it."""
+        """Appends to an existing file; a power loss before the sync may leave any prefix of the text."""
         descriptor = os.open(path, os.O_WRONLY | os.O_APPEND)
         try:
             if os.write(descriptor, text) != len(text):
@@ -43,10 +43,11 @@
             os.close(descriptor)
 
     def rename(self, temporary: str, path: str) -> None:
+        """Replaces a file atomically."""
         os.replace(temporary, path)
 
     def sync(self, folder: str) -> None:
-        """What names stand in the folder is there after a power loss too."""
+        """Makes the folder's entries survive a power loss."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -54,14 +55,14 @@
             os.close(descriptor)
 
     async def run_blocking(self, work: Callable[[], bool]) -> bool:
-        """Do it where it holds up no event loop: a sync may take seconds."""
+        """Runs blocking work in a thread, since a sync may take seconds."""
         return await asyncio.to_thread(work)
 
 
 def replace(path: str, text: bytes, sync: bool = False, disk: Disk = Disk()) -> bool:
-    """Write the file in one step, so that nobody reads half of it; false where it can't be written.
+    """Replaces a file atomically, so that nobody reads a partial one; false if it can't be written.
 
-    With `sync`, a power loss at any moment leaves the file of before or this one.
+    With `sync`, a power loss at any moment leaves the previous file or this one.
     """
     folder = os.path.dirname(path) or "."
     try:
--- a/lupinreach/store/records.py
+++ b/lupinreach/store/records.py
@@ -1,12 +1,12 @@
-"""The store's file as bytes: records with checksums, the last one of a key counts. Pure.
+"""The store's file format: records with checksums, of which the last one of a key counts. Pure.
 
     file    = record, record, ...
     record  = length (4 bytes, little endian), CRC-32 (4) of length and body, body
-    body    = JSON: [key, value]; null in place of a value: the key is gone
+    body    = JSON: [key, value]; null as value deletes the key
 
-The first record has the empty key and says what the file is: {"form": 1, "agent": name}. Reading ends at the first
-record that is not whole: what follows can't be told apart any more and counts for nothing. Keys that a reader doesn't know
-are kept as they are, so that a version before and one after can write the same file in turn.
+The first record has the empty key and identifies the file: {"form": 1, "agent": name}. Reading ends at the first
+record that is not complete, since what follows can't be delimited any more; it is ignored. Keys that a reader doesn't know
+are kept unchanged, so that an earlier and a later version can write the same file in turn.
 """
 
 from __future__ import annotations
@@ -19,35 +19,33 @@
 
 import orjson
 
-FORMAT = 1
+FORMAT = 1  # of the file; any other is rejected
 HEADER = struct.Struct("<II")
-MAX_FILE_BYTES = 4 << 20  # bytes
+MAX_FILE_BYTES = 4 << 20
 MAX_RECORD_BYTES = 1 << 20
 MAX_KEYS = 4096
-LEGACY_FIRST_BYTE = (
-    b"{"  # how the carried file began before there was a store: one object, which is the value of `learnt`
-)
+LEGACY_FIRST_BYTE = b"{"  # of a file from before there was a store: one JSON object, the value of `learnt`
 
 State = dict[str, Any]
 
 
 @dataclass
 class FileContents:
-    """What a file holds, and what of it can't be believed."""
+    """The content of a file, and what of it is damaged."""
 
     state: State = field(default_factory=dict)
-    good: int = 0  # bytes up to the end of the last whole record
-    lost: int = 0  # bytes after that
-    why: str = ""  # why nothing, or not all, is believed; empty: all of it is
+    good: int = 0  # bytes up to the end of the last complete record
+    lost: int = 0  # bytes after it
+    why: str = ""  # why nothing, or not all, is used; empty: all of it is
 
     @property
     def appendable(self) -> bool:
-        """If more can be appended to it."""
+        """Whether records can be appended to the file."""
         return self.good > 0 and not self.why
 
 
 def encode_record(key: str, value: Any) -> bytes:
-    """One record; ValueError where it is longer than may be."""
+    """Encodes one record; raises ValueError if it is too long."""
     body = orjson.dumps([key, value])
     if len(body) > MAX_RECORD_BYTES:
         raise ValueError(f"{key}: {len(body)} bytes")
@@ -56,7 +54,7 @@
 
 
 def encode_file(agent: str, state: Mapping[str, Any]) -> bytes:
-    """A file with that in it and nothing else."""
+    """Encodes a file with this state and nothing else."""
     return b"".join(
         [
             encode_record("", {"form": FORMAT, "agent": agent}),
@@ -66,7 +64,7 @@
 
 
 def decode_file(text: bytes, agent: str) -> FileContents:
-    """Fold a file of that agent's; whatever is wrong with it, what stands before the fault counts."""
+    """Decodes a file of an agent; if it is damaged, the records before the damage count."""
     if text[:1] == LEGACY_FIRST_BYTE:
         return _decode_legacy(text)
     found, at = FileContents(), 0
@@ -83,7 +81,7 @@
             if key != "" or not isinstance(value, dict) or value.get("form") != FORMAT:
                 return FileContents(lost=len(text), why="another form")
             if value.get("agent") != agent:
-                # Guards against another agent's disk: its life number and drains are not this one's to speak of.
+                # Guards against another agent's disk, whose incarnation number and drains don't apply to this one.
                 return FileContents(lost=len(text), why="another agent's")
         elif value is None:
             found.state.pop(key, None)
@@ -96,7 +94,7 @@
 
 
 def _read_body(text: bytes, at: int) -> bytes | None:
-    """The body of the record that begins there; None where it is not whole."""
+    """The body of the record at an offset; None if it is not complete."""
     if at + HEADER.size > len(text):
         return None
     size, check = HEADER.unpack_from(text, at)
@@ -107,6 +105,7 @@
 
 
 def _decode_legacy(text: bytes) -> FileContents:
+    """Decodes a file from before there was a store."""
     try:
         raw = orjson.loads(text)
     except orjson.JSONDecodeError:
--- a/lupinreach/store/store.py
+++ b/lupinreach/store/store.py
@@ -1,8 +1,8 @@
-"""The store: one file in the agent's folder, read at the start and written beside the event loop.
+"""The store: one file in the agent's folder, read at the start and written in the background.
 
-What is put between two writings is written as one; a writing that hangs on its disk holds up nothing, and what is put
-meanwhile replaces itself, key by key. So a power loss costs what was put since the last writing that came to its end: one
-interval, or as long as the disk hangs. Who must not go on before it is safe awaits `flush`.
+Everything put between two writes is written at once. A write that hangs on its disk blocks nothing; of what is put
+meanwhile, the last value of each key counts. So a power loss costs what was put since the last completed write: one
+interval, or as long as the disk hangs. Callers that must not continue before their data is durable await `flush`.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from lupinreach.store.files import Disk, replace
 from lupinreach.store.records import FileContents, State
 
-SLACK_BYTES = 64 << 10  # bytes by which a file may be longer than what counts in it, beside as much again
+SLACK_BYTES = 64 << 10  # the file is rewritten when it exceeds twice its live content plus this
 
 
 class Store:
-    """One process's hold of its agent's file.
+    """One process's access to its agent's file.
 
-    `failed` hears once of a disk that can't be written, and `well` says if it could be of late.
+    `on_failure` is called once when the disk can't be written; `writable` is whether the last write succeeded.
     """
 
     def __init__(
@@ -37,14 +37,14 @@
         self._on_failure = on_failure
         self.writable = True
         self.state: State = {}  # bounded by `records.MOST_KEYS`
-        self.written = 0  # bytes, since the start
-        self._dirty: dict[str, None] = {}  # keys put since the last writing began
-        self._appends = False  # the file is whole, and this process's to go on with
-        self._size = self._rewrite_above = 0  # bytes that the file has, and from which on it is written anew
+        self.written = 0  # bytes since the start
+        self._dirty: dict[str, None] = {}  # keys put since the last write began
+        self._appends = False  # this process has written the whole file and may append to it
+        self._size = self._rewrite_above = 0  # bytes of the file, and above which it is rewritten
         self._lock = asyncio.Lock()
 
     def open(self) -> FileContents:
-        """Read what the life before has left; with no file that can be read, nothing."""
+        """Reads what the previous process stored; nothing if the file can't be read."""
         try:
             text = self._disk.read(self._path, records.MAX_FILE_BYTES + 1)
         except OSError as why:
@@ -56,9 +56,9 @@
         return found
 
     def put(self, key: str, value: Any) -> bool:
-        """Keep that from the next writing on; None: drop it. False, with nothing kept, where there is no room.
+        """Sets a key as of the next write; None deletes it. False, with nothing changed, if the store is full.
 
-        ValueError where the value is longer than a record may be.
+        Raises ValueError if the value is too long for a record.
         """
         if value is None:
             if self.state.pop(key, None) is not None:
@@ -67,13 +67,13 @@
         if len(self.state) >= records.MAX_KEYS and key not in self.state:
             return False
         if self.state.get(key) != value:
-            records.encode_record(key, value)  # guards against what the writing could only fail on
+            records.encode_record(key, value)  # guards against a value that the write would fail on
             self.state[key] = value
             self._dirty[key] = None
         return True
 
     async def flush(self) -> bool:
-        """Write and sync what was put; false where the disk can't. The event loop serves on meanwhile."""
+        """Writes and syncs what was put; false if the disk can't. The event loop continues meanwhile."""
         async with self._lock:
             if not self._dirty:
                 return True
@@ -85,7 +85,7 @@
             else:
                 done = await self._disk.run_blocking(self._rewrite(dict(self.state)))
             if not done:
-                # Guards against a half that would stand before what is appended next.
+                # Guards against a partial record before what is appended next: the file is rewritten.
                 self._appends = False
                 self._dirty = {**dirty, **self._dirty}
                 if self.writable:
@@ -106,7 +106,7 @@
 
     def _rewrite(self, state: State) -> Callable[[], bool]:
         def work() -> bool:
-            # Guards against another process on the same disk that has reached more meanwhile.
+            # Guards against losing higher values of another process on the same disk.
             try:
                 on_disk = records.decode_file(
                     self._disk.read(self._path, records.MAX_FILE_BYTES), self._agent
--- a/lupinreach/store/trust.py
+++ b/lupinreach/store/trust.py
@@ -1,6 +1,6 @@
-"""What of the life before is believed, item by item: the table of docs/recovery.md as data. Pure.
+"""What a new process restores of its predecessor's state, item by item: the table of docs/recovery.md as data. Pure.
 
-A key of the store is an item's name, or that and a name of its own after a slash.
+A key of the store is an item's name, or that name, a slash and a name of its own.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Trust(Enum):
-    """How far an item of a former life counts."""
+    """How far an item of a previous process is trusted."""
 
     AS_IT_IS = "taken as it is"
     GUESS = "taken as a guess"
@@ -21,9 +21,11 @@
 
 @dataclass(frozen=True)
 class Item:
+    """A row of the table: how far a kind of state is trusted, until when, and why."""
+
     name: str
     trust: Trust
-    until: str  # what overrules or ends it
+    until: str  # what overrides or ends it
     why: str
 
 
@@ -78,25 +80,25 @@
 
 
 def item(key: str) -> Item | None:
-    """The table's row for a key of the store; None for one of another version."""
+    """The table's row for a key of the store; None for a key of another version."""
     return ITEMS.get(key.partition("/")[0])
 
 
 def restorable(state: Mapping[str, Any]) -> dict[str, Any]:
-    """What a new life goes on with; what it doesn't know is another version's, and not its to use."""
+    """The state that a new process uses; keys it doesn't know belong to another version and are not used."""
     return {k: v for k, v in state.items() if (row := item(k)) is not None and row.trust is not Trust.NEVER}
 
 
-# Where two processes write one file, neither may lower what the other has reached.
+# Where two processes write one file, neither may lower the other's value.
 MERGED_BY_MAXIMUM = frozenset({"life", "floor"})
 
 
 def merged(on_disk: Mapping[str, Any], ours: Mapping[str, Any]) -> dict[str, Any]:
-    """What a file is to hold that another process may have written meanwhile."""
+    """The state to write to a file that another process may have written meanwhile."""
     found = {**{k: v for k, v in on_disk.items() if item(k) is None}, **ours}
     for key in MERGED_BY_MAXIMUM & on_disk.keys():
         try:
             found[key] = max(on_disk[key], ours.get(key, on_disk[key]))
         except TypeError:
-            continue  # guards against another version's value of another type
+            continue  # another version stored a value of another type: ours counts
     return found
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -126,7 +126,7 @@
             one.record_synced()  # a second payment in the same moment needs no mark of its own
             await one._mark_task
             one.members.heartbeat += 1
-            one._put_beat()
+            one._store_heartbeat()
             await store.flush()
 
     asyncio.run(work())
