--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,9 +1,9 @@
-"""The fleet's pure decisions: lives, datagrams, membership, which list is believed, the order of return."""
+"""The fleet's pure modules: incarnations, datagrams, membership, trusted lists, startup stages."""
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as played
-from hypothesis import strategies as some
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
 
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import MAX_JUMP, Incarnation, OwnIncarnation, credible_number
@@ -31,7 +31,7 @@
 from lupinreach.trial.models.order import STAYS, Order
 from lupinreach.trial.models.search import search
 
-BEAT_MS = 1000.0
+INTERVAL_MS = 1000.0
 
 
 def drawn(seed=7):
@@ -44,7 +44,7 @@
     return chance
 
 
-# Lives.
+# Incarnations.
 
 
 @pytest.mark.parametrize(
@@ -60,18 +60,18 @@
         (3, [2**32 - 1, 2**32 - 1], 2**32 - 2),
     ],
 )
-def test_a_life_s_number_follows_disk_and_peers_and_no_absurd_claim_of_one(kept, claims, number):
+def test_incarnation_number_follows_disk_and_peers_but_no_implausible_claim_of_one_peer(kept, claims, number):
     assert credible_number(kept, claims) == number
 
 
-def test_no_two_lives_are_alike_in_any_short_history_and_without_tokens_some_are():
+def test_incarnations_are_unique_in_every_short_history_and_only_with_tokens():
     found = search(Lives())
     assert found.well and found.states > 1000
-    # The planted mistake: a number alone, on disks that may be older, is used twice.
+    # Injected fault: without tokens a number is used twice where disks may be older copies.
     assert search(Lives(token=lambda process: 0)).story[-1] == "life 1 twice"
 
 
-def test_a_settled_process_that_hears_a_newer_one_falls_silent_and_doesn_t_outbid_it():
+def test_settled_process_is_superseded_by_a_newer_one_and_does_not_raise_its_number():
     one, two = OwnIncarnation(4, 11), OwnIncarnation(4, 22)
     assert one.incarnation < two.incarnation == Incarnation(5, 22)
     one.settled = True
@@ -85,39 +85,39 @@
     )
     three.settled = True
     three.observe(9, Incarnation(2**31, 5))
-    assert not three.superseded  # an absurd claim of one silences nobody
+    assert not three.superseded  # an implausible claim of one peer supersedes nobody
 
 
 # Datagrams.
 
-u8, u16, u32 = (some.integers(0, 2**bits - 1) for bits in (8, 16, 32))
-incarnations = some.builds(Incarnation, u32, u32)
+u8, u16, u32 = (st.integers(0, 2**bits - 1) for bits in (8, 16, 32))
+incarnations = st.builds(Incarnation, u32, u32)
 head = {
     "sender": u16,
     "incarnation": incarnations,
     "heartbeat": u32,
-    "remembers": some.booleans(),
-    "revision": some.integers(0, 2**64 - 1),
+    "remembers": st.booleans(),
+    "revision": st.integers(0, 2**64 - 1),
 }
-messages = some.one_of(
-    some.builds(
+messages = st.one_of(
+    st.builds(
         Message,
-        kind=some.just(HEARTBEAT),
-        members=some.lists(some.builds(Member, u16, incarnations, u32, u16), max_size=wire.MAX_MEMBERS).map(
+        kind=st.just(HEARTBEAT),
+        members=st.lists(st.builds(Member, u16, incarnations, u32, u16), max_size=wire.MAX_MEMBERS).map(
             tuple
         ),
         **head,
     ),
-    some.builds(Message, kind=some.just(QUERY), nonce=u32, **head),
-    some.builds(
+    st.builds(Message, kind=st.just(QUERY), nonce=u32, **head),
+    st.builds(
         Message,
-        kind=some.just(REPLY),
+        kind=st.just(REPLY),
         nonce=u32,
-        part=some.just(2),
-        parts=some.integers(3, 8),
+        part=st.just(2),
+        parts=st.integers(3, 8),
         alive=u16,
         known=incarnations,
-        drains=some.lists(some.builds(Drain, u32, some.integers(0, 2**64 - 1)), max_size=wire.MAX_DRAINS).map(
+        drains=st.lists(st.builds(Drain, u32, st.integers(0, 2**64 - 1)), max_size=wire.MAX_DRAINS).map(
             tuple
         ),
         **head,
@@ -125,32 +125,32 @@
 )
 
 
-@played(max_examples=300, derandomize=True, deadline=None)
+@hypothesis_settings(max_examples=300, derandomize=True, deadline=None)
 @given(messages)
-def test_every_datagram_reads_back_and_fits(message):
+def test_every_datagram_round_trips_and_fits(message):
     data = wire.encode(message)
     assert len(data) <= 256 and wire.decode(data) == message
 
 
-@played(max_examples=300, derandomize=True, deadline=None)
+@hypothesis_settings(max_examples=300, derandomize=True, deadline=None)
 @given(
-    some.one_of(
-        some.binary(max_size=300),
+    st.one_of(
+        st.binary(max_size=300),
         messages.map(wire.encode).flatmap(
-            lambda d: some.tuples(some.integers(0, len(d)), some.integers(0, 255)).map(
+            lambda d: st.tuples(st.integers(0, len(d)), st.integers(0, 255)).map(
                 lambda c: d[: c[0]] + bytes([c[1]]) + d[c[0] + 1 :]
             )
         ),
     )
 )
-def test_no_bytes_do_anything_but_read_or_be_refused(data):
+def test_any_bytes_are_decoded_or_rejected_as_malformed(data):
     try:
         wire.decode(data)
     except Malformed:
         pass
 
 
-def test_a_datagram_with_too_much_in_it_is_the_writer_s_fault():
+def test_encoding_too_many_members_raises():
     many = tuple(Member(n, Incarnation(1, 1), 1) for n in range(wire.MAX_MEMBERS + 1))
     with pytest.raises(ValueError, match="bytes"):
         wire.encode(Message(HEARTBEAT, 0, Incarnation(1, 1), 1, True, 1, members=many))
@@ -160,17 +160,17 @@
 
 
 class Net:
-    """Agents with their tables; each datagram comes or doesn't as `passes` says."""
+    """A simulated network of membership tables; `passes` decides which datagrams arrive, `sleeps` which agents are suspended."""
 
     def __init__(self, agents, passes=lambda now, a, b: True, sleeps=lambda now, a: False):
         self.now, self.passes, self.sleeps = 0.0, passes, sleeps
-        self.tables = [Members(n, agents, BEAT_MS, drawn(n + 1)) for n in range(agents)]
+        self.tables = [Members(n, agents, INTERVAL_MS, drawn(n + 1)) for n in range(agents)]
         self.up = set(range(agents))
         self.sent = 0
 
-    def beats(self, count):
+    def run_intervals(self, count):
         for _ in range(count):
-            self.now += BEAT_MS
+            self.now += INTERVAL_MS
             for n, table in enumerate(self.tables):
                 if n not in self.up or self.sleeps(self.now, n):
                     continue
@@ -198,58 +198,58 @@
 
 
 @pytest.mark.parametrize("agents", [3, 40, 80])
-def test_all_agents_are_known_to_all_and_one_that_dies_is_gone_in_the_stated_time_at_the_same_cost(agents):
+def test_all_agents_know_each_other_and_a_dead_one_is_detected_in_time_at_constant_cost(agents):
     net = Net(agents)
     silence = net.tables[0].silence
-    warm = int(silence / BEAT_MS)
-    net.beats(warm)
+    warm = int(silence / INTERVAL_MS)
+    net.run_intervals(warm)
     assert all(t.alive_count(net.now) == agents for t in net.tables)
-    assert net.sent <= 2 * agents * warm  # two a beat each, whatever the fleet
+    assert net.sent <= 2 * agents * warm  # two per agent and interval, whatever the fleet size
     net.up.discard(1)
-    net.beats(int(2 * silence / BEAT_MS) + 2)
+    net.run_intervals(int(2 * silence / INTERVAL_MS) + 2)
     assert set(net.views(1)) == {MemberStatus.DEAD}
     assert all(t.alive_count(net.now) == agents - 1 for n, t in enumerate(net.tables) if n != 1)
 
 
-def test_a_deaf_agent_doubts_itself_and_not_the_others_and_so_does_a_sleeper():
+def test_isolated_and_suspended_agents_suspect_themselves_and_not_the_others():
     net = Net(
         12,
         passes=lambda now, a, b: b != 4 or not 20_000 < now < 80_000,
         sleeps=lambda now, n: n == 7 and 20_000 < now < 80_000,
     )
-    net.beats(79)
-    deaf = net.tables[4]
-    assert deaf.self_status(net.now) is SelfStatus.ISOLATED and deaf.alive_count(net.now) == 12
+    net.run_intervals(79)
+    isolated = net.tables[4]
+    assert isolated.self_status(net.now) is SelfStatus.ISOLATED and isolated.alive_count(net.now) == 12
     assert (
         set(net.views(7)) <= {MemberStatus.DEAD, MemberStatus.ALIVE}
         and net.views(4).count(MemberStatus.ALIVE) >= 10
     )
-    net.beats(2)  # both are back
+    net.run_intervals(2)  # both are back
     assert net.tables[7].self_status(net.now) is SelfStatus.STALLED
-    assert net.tables[7].alive_count(net.now) == 12 and deaf.alive_count(net.now) == 12
-    net.beats(20)
+    assert net.tables[7].alive_count(net.now) == 12 and isolated.alive_count(net.now) == 12
+    net.run_intervals(20)
     assert all(t.alive_count(net.now) == 12 for t in net.tables)
 
 
-def test_two_halves_count_themselves_and_find_each_other_again():
+def test_two_partitions_count_their_own_members_and_merge_again():
     cut = Net(20, passes=lambda now, a, b: (a < 10) == (b < 10) or not 20_000 < now < 80_000)
-    cut.beats(70)
+    cut.run_intervals(70)
     assert {t.alive_count(cut.now) for t in cut.tables} == {10}
-    cut.beats(25)
+    cut.run_intervals(25)
     assert {t.alive_count(cut.now) for t in cut.tables} == {20}
 
 
-def test_silence_grows_with_the_fleet_alone():
+def test_silence_limit_grows_with_the_fleet_size():
     assert (
-        Members(0, 3, BEAT_MS, drawn()).silence
-        == Members(0, 28, BEAT_MS, drawn()).silence
-        == SUSPECT_AFTER_HEARTBEATS * BEAT_MS
+        Members(0, 3, INTERVAL_MS, drawn()).silence
+        == Members(0, 28, INTERVAL_MS, drawn()).silence
+        == SUSPECT_AFTER_HEARTBEATS * INTERVAL_MS
     )
-    assert Members(0, 280, BEAT_MS, drawn()).silence == 10 * SUSPECT_AFTER_HEARTBEATS * BEAT_MS
+    assert Members(0, 280, INTERVAL_MS, drawn()).silence == 10 * SUSPECT_AFTER_HEARTBEATS * INTERVAL_MS
 
 
-def test_an_older_life_s_word_that_comes_late_counts_for_nothing():
-    table = Members(0, 3, BEAT_MS, drawn())
+def test_late_heartbeat_of_an_older_incarnation_is_ignored():
+    table = Members(0, 3, INTERVAL_MS, drawn())
     table.tick(0.0)
     table.receive(1.0, 1, Incarnation(5, 1), 2, ())
     table.receive(
@@ -262,10 +262,10 @@
     assert table.latest(1)[0] == Incarnation(5, 1) and table.latest(0) == table.latest(7) == NEVER_HEARD
 
 
-# Which list is believed.
+# Which backend list is trusted.
 
 
-def test_a_floor_is_raised_by_two_and_by_the_registry_never_by_one_alone():
+def test_floor_is_raised_by_two_peers_or_the_registry_never_by_one_peer():
     floor = RevisionFloor(50, 1000.0)
     floor.add_claim(1, 2**60)
     floor.add_claim(1, 2**61)
@@ -279,7 +279,7 @@
     )
 
 
-def test_a_registry_that_stays_below_was_reset_and_one_that_catches_up_was_old():
+def test_registry_that_stays_below_the_floor_was_reset_and_one_that_catches_up_was_old():
     floor = RevisionFloor(50, 1000.0)
     assert floor.is_older(0.0, 10) and floor.is_older(RESET_AFTER * 1000.0 - 1, 12)
     assert not floor.is_older(RESET_AFTER * 1000.0, 12) and floor.revision == 12
@@ -290,7 +290,7 @@
     )
 
 
-def test_a_drain_told_once_holds_until_the_registry_or_a_restart_lifts_it():
+def test_drain_holds_until_the_registry_or_a_restart_ends_it():
     drains = DrainSet([Drain(7, 100)])
     assert not drains.add(Drain(7, 100)) and drains.add(Drain(8, 100))
     assert drains.withheld([Drain(7, 100), Drain(8, 100), Drain(9, 100)]) == {7, 8}
@@ -300,20 +300,20 @@
     assert sum(drains.add(Drain(n, 0)) for n in range(2 * MAX_DRAINS)) == MAX_DRAINS
 
 
-@pytest.mark.parametrize("liars, most", [(1, LONE_CLAIM_SHARE), (2, 1.0)])
-def test_one_peer_alone_can_hold_back_a_stated_share_and_two_can_hold_back_all(liars, most):
+@pytest.mark.parametrize("liars, share", [(1, LONE_CLAIM_SHARE), (2, 1.0)])
+def test_one_peer_can_withhold_a_limited_share_and_two_can_withhold_all(liars, share):
     drains, ready = DrainSet(), [Drain(n, 1) for n in range(20)]
     for peer in range(liars):
         drains.add_claims(peer, ready)
-    assert len(drains.withheld(ready)) == most * 20
-    assert drains.all() == []  # hearsay is not passed on
+    assert len(drains.withheld(ready)) == share * 20
+    assert drains.all() == []  # claims of peers are not passed on
 
 
-def test_a_question_is_over_when_all_have_answered_whole_or_its_time_is_up():
-    asking = PeerQuery(0.0, (1, 2), 99, 300.0)
+def test_query_is_over_when_all_answers_are_complete_or_its_time_is_up():
+    query = PeerQuery(0.0, (1, 2), 99, 300.0)
 
-    def tell(sender, part=0, parts=1, nonce=99, remembers=False, alive=0):
-        return asking.add_answer(
+    def reply(sender, part=0, parts=1, nonce=99, remembers=False, alive=0):
+        return query.add_answer(
             Message(
                 REPLY,
                 sender,
@@ -328,31 +328,31 @@
             )
         )
 
-    assert not tell(3) and not tell(1, nonce=98) and tell(1, part=0, parts=2, remembers=True, alive=30)
-    assert tell(2) and not asking.is_over(10.0)  # the second part of 1's is out
-    assert tell(1, part=1, parts=2, remembers=True, alive=30) and asking.is_over(10.0)
-    assert asking.alive() == 30
+    assert not reply(3) and not reply(1, nonce=98) and reply(1, part=0, parts=2, remembers=True, alive=30)
+    assert reply(2) and not query.is_over(10.0)  # the second part of peer 1's answer is missing
+    assert reply(1, part=1, parts=2, remembers=True, alive=30) and query.is_over(10.0)
+    assert query.alive() == 30
     assert not PeerQuery(0.0, (1,), 9, 300.0).is_over(299.0) and PeerQuery(0.0, (1,), 9, 300.0).is_over(300.0)
 
 
-# The order of return: every history of facts on a coarse clock.
+# Startup stages: every history of facts on a coarse clock.
 
 
-def test_in_every_history_an_agent_goes_forward_alone_stays_nowhere_too_long_and_serves_once_it_has_a_list():
+def test_startup_only_moves_forward_keeps_its_limits_and_serves_once_it_has_a_list():
     assert search(Order()).well
-    without = search(Order(fair=frozenset({"time"})))  # no list for ever: it listens for ever
+    without = search(Order(fair=frozenset({"time"})))  # without a list it stays in `LISTENING` forever
     assert without.story[-1] == "never done" and "time" in without.cycle
 
-    class Waits(StartupSequence):
-        """The planted mistake: no longest stay."""
+    class Unlimited(StartupSequence):
+        """Injected fault: no limit for a stage."""
 
-        def __init__(self, now, stays):
-            super().__init__(now, StageLimits(stays.read, 1e9, stays.hold, stays.cold))
+        def __init__(self, now, limits):
+            super().__init__(now, StageLimits(limits.read, 1e9, limits.hold, limits.cold))
 
-    assert search(Order(Waits)).story[-1] == "stays in standing too long"
+    assert search(Order(Unlimited)).story[-1] == "stays in standing too long"
 
-    class Forgets(StartupSequence):
-        """And one that goes back to trying when it is asked again."""
+    class MovesBack(StartupSequence):
+        """Injected fault: goes back to `TRYING`."""
 
         def advance(self, now, facts):
             passed = super().advance(now, facts)
@@ -360,10 +360,10 @@
                 self.stage = Stage.TRYING
             return passed
 
-    assert search(Order(Forgets)).story[-1] == "skips a stage, or goes back"
+    assert search(Order(MovesBack)).story[-1] == "skips a stage, or goes back"
 
 
-def test_with_a_list_a_return_ends_in_the_sum_of_its_longest_stays_whatever_else_happens():
+def test_startup_with_a_list_ends_within_the_sum_of_its_stage_limits():
     one, now = StartupSequence(0.0, STAYS), 0.0
     while one.stage is not Stage.FULL:
         now += 0.5
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,4 @@
-"""What agents share: merges, bounds, and every history of a small instance of lending; no sockets here."""
+"""Shared state of agents: merges, bounds, and every history of a small instance of lending; without sockets."""
 
 from random import Random
 
@@ -6,13 +6,13 @@
 from helpers import OK, READY, Bench, Peer, Site, says, settings, target
 from helpers import run as on_loop
 from hypothesis import given
-from hypothesis import settings as tries
-from hypothesis import strategies as some
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
 
 from lupinreach.bed.world.chance import stream
 from lupinreach.fleet import counts as counting
 from lupinreach.fleet import grants, wire
-from lupinreach.fleet import uptimes as standing
+from lupinreach.fleet import uptimes as uptimes_module
 from lupinreach.fleet.counts import MAX_CELLS, Count, Counts, cells
 from lupinreach.fleet.grants import DRIFT, Budget
 from lupinreach.fleet.incarnation import Incarnation
@@ -33,34 +33,30 @@
 from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
 from lupinreach.trial.models.search import search
 
-# Who stands: ages of cold backends by others' word.
+# Uptimes of cold backends by the reports of others.
 
-ROWS = some.lists(
-    some.builds(
-        Uptime, some.integers(1, 6), some.integers(0, 3), some.floats(0, 30_000), some.floats(0, 30_000)
-    ),
+ROWS = st.lists(
+    st.builds(Uptime, st.integers(1, 6), st.integers(0, 3), st.floats(0, 30_000), st.floats(0, 30_000)),
     max_size=12,
 )
 
 
-def warmth() -> Uptimes:
+def uptimes() -> Uptimes:
     return Uptimes(0, 20_000.0, Random(1).random)
 
 
-@tries(max_examples=150, deadline=None)
-@given(ROWS, some.randoms(use_true_random=False), some.floats(0, 20_000), some.floats(0, 20_000))
-def test_whoever_says_how_long_a_backend_stands_it_is_never_longer_than_this_agent_can_know(
-    said, chance, began, refused_at
-):
+@hypothesis_settings(max_examples=150, deadline=None)
+@given(ROWS, st.randoms(use_true_random=False), st.floats(0, 20_000), st.floats(0, 20_000))
+def test_reported_uptime_never_exceeds_what_this_agent_can_know(said, chance, began, refused_at):
     now = 25_000.0
-    once, again = warmth(), warmth()
+    once, again = uptimes(), uptimes()
     for one, rows in ((once, said), (again, chance.sample(said * 2, 2 * len(said)))):
         for row in rows:
             one.receive(now, [row])
     for one in (once, again):
         found = one.since(began, dict.fromkeys(range(4), refused_at))
         assert all(since >= earliest_up_since(began, refused_at) for since in found.values())
-        for backend in found:  # a lone claim waits for a second that met it after this agent was refused
+        for backend in found:  # needs two reporters with an answer after this agent's last refusal
             assert (
                 len(
                     {
@@ -71,26 +67,26 @@
                 )
                 >= 2
             )
-    assert len(once) <= 4 * (standing.MIN_REPORTERS + 1)
+    assert len(once) <= 4 * (uptimes_module.MIN_REPORTERS + 1)
 
 
-def test_the_second_longest_counts_and_a_process_that_went_down_since_does_not():
-    one = warmth()
+def test_second_longest_uptime_counts_and_only_answers_after_a_refusal():
+    one = uptimes()
     one.receive(
         10_000.0, [Uptime(1, 7, 6000.0, 100.0), Uptime(2, 7, 4000.0, 100.0), Uptime(3, 7, 2000.0, 100.0)]
     )
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0}
-    assert one.since(9000.0, {7: 0.0}) == {7: 9000.0}  # who stood up then can't know better
-    assert one.since(0.0, {7: 9950.0}) == {}  # refused since they met it
-    one.receive(12_000.0, [Uptime(1, 7, 8000.0, 2100.0)])  # late, and older than what came before
+    assert one.since(9000.0, {7: 0.0}) == {7: 9000.0}  # an agent that started then can't know better
+    assert one.since(0.0, {7: 9950.0}) == {}  # refused after their last answers
+    one.receive(12_000.0, [Uptime(1, 7, 8000.0, 2100.0)])  # late, and older than the row before
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0}
     one.expire(29_850.0, [7])
     assert one.since(0.0, {7: 0.0}) == {7: 6000.0} and not one.since(0.0, {7: 10_000.0})
     one.expire(29_950.0, [7])
-    assert len(one) == 0  # for as long as backends are cold
+    assert len(one) == 0  # rows last as long as backends are cold
 
 
-def test_what_others_say_of_a_backend_not_met_yet_makes_it_as_warm_as_it_is_and_no_lists_word_is_overruled():
+def test_reported_uptime_warms_an_unknown_backend_but_does_not_override_the_list():
     bench = Bench(settings(cold=20_000.0))
     bench.list(UpdateKind.CACHED, [Listing(i, READY, 0.0) for i in range(4)])
     for b in bench.agent._ready:
@@ -104,7 +100,7 @@
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6) and not here.down
     bench.agent.apply_shared(
         bench.now, SharedEstimates({}, up_since={here.name: bench.now - 5_000})
-    )  # nobody gets younger by it
+    )  # a shorter uptime has no effect
     assert bench.agent._capacity(bench.now, here) == pytest.approx(0.6)
     bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now - 1000) for i in range(4)])
     bench.agent.apply_shared(bench.now, SharedEstimates({}, up_since={here.name: bench.now - 15_000}))
@@ -113,41 +109,39 @@
     ) and here not in bench.agent.recently_started(bench.now)
 
 
-# Lending: every history of three agents whose words are lost, doubled and late.
+# Lending: every history of three agents with lost, duplicated and late messages.
 
 
-def test_no_history_spends_more_than_there_is_nor_leaves_anybody_under_the_floor():
+def test_no_history_exceeds_the_total_or_leaves_an_agent_below_its_unlent_share():
     found = search(Lending())
     assert found.well and found.states > 10_000
 
 
-class FromReceipt(Budget):
-    """Without the guard: who borrows counts from the answer."""
+class LeaseFromReceipt(Budget):
+    """Injected fault: the borrower's lease starts with the answer."""
 
     def granted(self, now, number, amount):
         self._asked[number] = now if number in self._asked else -1e9
         return super().granted(now, number, amount)
 
 
-class ForgetsWhatItLent(Budget):
-    """Without the guard: a new life has its whole share at once."""
+class ForgetsLentShare(Budget):
+    """Injected fault: a new incarnation uses its whole share at once."""
 
     def __init__(self, now, total, agents, lease, first=False):
         super().__init__(now, total, agents, lease, True)
 
 
-class LendsAsLongAsItLends(Budget):
-    """Without the guard: both leases alike, by clocks that run apart."""
+class LongBorrowerLease(Budget):
+    """Injected fault: the borrower's lease is longer than the owner's."""
 
     def __init__(self, *given, **more):
         super().__init__(*given, **more)
-        self._borrow_for = (
-            self._lease * 1.5
-        )  # a borrower's clock that is late, or a wall clock that was set back
+        self._borrow_for = self._lease * 1.5  # as with a slow clock, or a wall clock that was set back
 
 
-class LendsItsFloor(Budget):
-    """Without the guard: what others want is all that counts."""
+class LendsWholeShare(Budget):
+    """Injected fault: lends whatever is requested."""
 
     def lendable(self, now):
         return 10 * self.own
@@ -156,19 +150,19 @@
         return super().grant(now, peer, life, number, wants, 10 * self.own)
 
 
-@pytest.mark.parametrize("of", [FromReceipt, ForgetsWhatItLent, LendsAsLongAsItLends, LendsItsFloor])
-def test_the_same_search_finds_the_mistake_when_a_guard_is_taken_out(of):
+@pytest.mark.parametrize("of", [LeaseFromReceipt, ForgetsLentShare, LongBorrowerLease, LendsWholeShare])
+def test_search_finds_each_injected_fault(of):
     story = search(Lending(of)).story
     assert story is not None and len(story) <= 12, story
 
 
-@tries(max_examples=60, deadline=None, derandomize=True)
-@given(some.integers(0, 10_000), some.integers(2, 12))
-def test_lending_among_more_agents_keeps_its_bounds_in_any_weather(seed, agents):
+@hypothesis_settings(max_examples=60, deadline=None, derandomize=True)
+@given(st.integers(0, 10_000), st.integers(2, 12))
+def test_lending_among_more_agents_keeps_its_bounds_under_random_faults(seed, agents):
     chance, now = Random(seed), 0.0
     rates = [1 + chance.choice((-1, 0, 1)) * DRIFT for _ in range(agents)]
     all_of = [Budget(0.0, TOTAL, agents, LEASE, True) for _ in range(agents)]
-    lives, words = [1] * agents, []
+    lives, messages = [1] * agents, []
     for number in range(300):
         now += chance.random() * LEASE / 10
         n = chance.randrange(agents)
@@ -176,18 +170,18 @@
         if chance.random() < 0.05:
             all_of[n], lives[n] = Budget(mine, TOTAL, agents, LEASE), lives[n] + 1
         all_of[n].ask(mine, number)
-        words.append(("want", n, lives[n], chance.randrange(agents), number, 0.0))
-        for word in [w for w in words if chance.random() < 0.4]:
+        messages.append(("want", n, lives[n], chance.randrange(agents), number, 0.0))
+        for message in [w for w in messages if chance.random() < 0.4]:
             if chance.random() < 0.7:
-                words.remove(word)  # else it comes again
-            kind, by, life, to, about, amount = word
+                messages.remove(message)  # otherwise it is delivered again
+            kind, by, life, to, about, amount = message
             if by == to:
                 continue
             there = now * rates[to]
             if kind == "want" and (
                 got := all_of[to].grant(there, by, life, about, 1.0, all_of[to].usable(there))
             ):
-                words.append(("grant", to, life, by, about, got))
+                messages.append(("grant", to, life, by, about, got))
             elif kind == "grant" and life == lives[to]:
                 all_of[to].granted(there, about, amount)
         uses = [b.usable(now * r) for b, r in zip(all_of, rates, strict=True)]
@@ -197,51 +191,51 @@
         )
 
 
-# Evidence.
+# Observations.
 
 
-def met(reporter, backend=7, figure=2.0, age=0.0, zone=0):
+def observation(reporter, backend=7, figure=2.0, age=0.0, zone=0):
     return Observation(reporter, zone, backend, 1, figure, age)
 
 
-def evidence(me=0, zone=0):
+def table(me=0, zone=0):
     return Observations(me, zone, 500.0, lambda draws=stream(me, "evidence"): float(draws.random()))
 
 
-rows = some.lists(
-    some.builds(
-        met,
-        some.integers(0, 9),
-        some.integers(1, 4),
-        some.floats(-1, 9),
-        some.floats(-10, 4000),
-        some.integers(0, 1),
+rows = st.lists(
+    st.builds(
+        observation,
+        st.integers(0, 9),
+        st.integers(1, 4),
+        st.floats(-1, 9),
+        st.floats(-10, 4000),
+        st.integers(0, 1),
     ),
     max_size=30,
 )
 
 
-@tries(max_examples=150, deadline=None, derandomize=True)
-@given(rows, some.randoms(use_true_random=False))
-def test_rows_that_come_twice_or_in_another_order_change_nothing(said, chance):
-    one, two = evidence(), evidence()
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
+@given(rows, st.randoms(use_true_random=False))
+def test_duplicated_or_reordered_rows_change_nothing(said, chance):
+    one, two = table(), table()
     one.receive(10_000.0, said)
     twice = said * 2
     chance.shuffle(twice)
     for row in twice:
         two.receive(10_000.0, [row])
     own = {(b, 1): (0.5, 0.0) for b in range(1, 5)}
-    # As far as rows are kept: of more tellers than that the newest.
+    # Only while all rows are kept: with more reporters than `MAX_REPORTERS` the newest rows are.
     if all(len({r.reporter for r in said if r.backend == b}) <= MAX_REPORTERS for b in range(1, 5)) and len(
         {(r.reporter, r.backend, r.age) for r in said}
     ) == len(said):
         assert one.estimates(10_000.0, own) == two.estimates(10_000.0, own)
 
 
-@tries(max_examples=150, deadline=None, derandomize=True)
-@given(rows, some.integers(1, 40))
-def test_whatever_is_said_little_becomes_dearer_and_not_by_much(said, ready):
-    here = evidence()
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
+@given(rows, st.integers(1, 40))
+def test_cost_factors_are_bounded_in_number_and_size_whatever_is_reported(said, ready):
+    here = table()
     here.receive(10_000.0, said)
     own = {(b, 1): (0.3, 0.0) for b in range(1, ready + 1)}
     factors = here.cost_factors(10_000.0, own)
@@ -254,18 +248,20 @@
     )
 
 
-def test_a_quorum_of_the_own_zone_that_met_it_later_moves_turns_and_no_two_agents_alike():
+def test_quorum_of_the_own_zone_with_later_observations_raises_a_cost_factor_that_differs_by_agent():
     factors = []
     for me in range(20, 40):
-        here = evidence(me)
+        here = table(me)
         own = {(b, 1): (0.25, 5000.0) for b in range(8)}
-        here.receive(9000.0, [met(n) for n in range(QUORUM - 1)])
+        here.receive(9000.0, [observation(n) for n in range(QUORUM - 1)])
         assert here.cost_factors(9000.0, own) == {}
-        here.receive(9000.0, [met(5, zone=1)])
-        assert here.cost_factors(9000.0, own) == {}  # slow from there is not slow from here
-        here.receive(9000.0, [met(6)])
+        here.receive(9000.0, [observation(5, zone=1)])
+        assert here.cost_factors(9000.0, own) == {}  # observations of another zone don't count
+        here.receive(9000.0, [observation(6)])
         factors.append(here.cost_factors(9000.0, own)[7, 1])
-        assert here.cost_factors(9000.0, own | {(7, 1): (0.25, 9500.0)}) == {}  # own samples overrule
+        assert (
+            here.cost_factors(9000.0, own | {(7, 1): (0.25, 9500.0)}) == {}
+        )  # newer own samples take precedence
         assert here.cost_factors(9000.0 + here.max_age / 2, own)[7, 1] < factors[-1]
         assert here.cost_factors(9000.0 + here.max_age, own) == {}
     assert (
@@ -274,24 +270,27 @@
     )
 
 
-def test_a_third_of_liars_makes_nothing_dearer_where_the_others_have_met_it_too():
-    here = evidence()
-    here.receive(9000.0, [met(n, figure=4.0) for n in (1, 2)] + [met(n, figure=0.25) for n in (3, 4, 5, 6)])
+def test_a_third_of_liars_has_no_effect_where_the_others_observe_the_backend_too():
+    here = table()
+    here.receive(
+        9000.0,
+        [observation(n, figure=4.0) for n in (1, 2)] + [observation(n, figure=0.25) for n in (3, 4, 5, 6)],
+    )
     assert here.cost_factors(9000.0, {(7, 1): (0.25, 0.0), **{(b, 1): (0.2, 0.0) for b in range(3)}}) == {}
 
 
-def test_an_agent_that_finds_most_backends_bad_doubts_itself_and_says_nothing():
-    mets = [met(0, b, 2.0 if b < 6 else 0.2) for b in range(10)]
-    here = evidence()
-    here.record_own(1000.0, mets)
+def test_agent_that_finds_most_backends_slow_suspects_itself_and_reports_nothing():
+    reported = [observation(0, b, 2.0 if b < 6 else 0.2) for b in range(10)]
+    here = table()
+    here.record_own(1000.0, reported)
     assert len(here) == 0
-    here.record_own(1000.0, [met(0, b, 2.0 if b < 2 else 0.2) for b in range(10)])
+    here.record_own(1000.0, [observation(0, b, 2.0 if b < 2 else 0.2) for b in range(10)])
     assert {m.backend for m in here.digest(1000.0, 10)} == {0, 1}
-    here.record_own(2000.0, [met(0, b, 0.2) for b in range(10)])  # and takes back what it said
+    here.record_own(2000.0, [observation(0, b, 0.2) for b in range(10)])  # and withdraws its reports
     assert {(m.backend, m.relative_latency) for m in here.digest(2000.0, 10)} == {(0, 0.2), (1, 0.2)}
 
 
-def test_hearsay_ejects_nothing_and_brings_a_trial_forward():
+def test_reports_of_others_eject_nothing_and_bring_a_trial_forward():
     bench = Bench(settings(), backends=4)
     for n in range(12):
         bench.serve(("warm", n))
@@ -307,20 +306,20 @@
     )
 
 
-def test_a_dearer_backend_gets_fewer_turns_and_never_none():
+def test_backend_with_a_cost_factor_gets_fewer_turns_but_some():
     bench = Bench(settings(), backends=4)
     for n in range(20):
         bench.serve(("warm", n))
-    dear = bench.agent.relative_latencies()[0][0]
-    bench.agent.apply_shared(bench.now, SharedEstimates({dear.name: 4.0}))
-    # The names of a bench without names are alike: told apart here.
+    costly = bench.agent.relative_latencies()[0][0]
+    bench.agent.apply_shared(bench.now, SharedEstimates({costly.name: 4.0}))
+    # Backends of this bench share one name, so the factor is set on one of them here.
     for n, (b, _) in enumerate(bench.agent.relative_latencies()):
         b.cost_factor = 4.0 if n == 0 else 1.0
     got = [bench.serve(("then", n)) for n in range(200)]
-    assert 5 <= sum(index == dear.index for index in got) <= 35
+    assert 5 <= sum(index == costly.index for index in got) <= 35
 
 
-def test_connections_to_backends_that_are_no_longer_used_are_left():
+def test_idle_connections_to_unused_backends_are_closed():
     async def work():
         async with Peer(says(OK)) as one, Peer(says(OK)) as two:
             async with Site(target("s1", one.address), target("s2", two.address)) as site:
@@ -342,7 +341,7 @@
 
 
 class Sums(Counts):
-    """The mistake: counts are added up where they are merged."""
+    """Injected fault: counts are added up when merged."""
 
     def _merge(self, now, c):
         row = self._rows.get((c.agent, c.cell))
@@ -352,12 +351,12 @@
         )
 
 
-def fleet_of_counts(seed, of):
-    """Six agents, words lost, doubled and late, restarts and silence; true if anybody ever took the fleet for busier than the bound."""
+def rates_exceed_bound(seed, of):
+    """Six agents with lost, duplicated and late messages, restarts and silence; true if any rate ever exceeded the bound."""
     chance, window, now = Random(seed), 1000.0, 0.0
     agents = [of(n, 3, window, chance.random) for n in range(6)]
     lives, born, true = [1] * 6, [0.0] * 6, {}
-    late = []
+    pending = []
     for step in range(160):
         now += 100.0
         for n, agent in enumerate(agents):
@@ -372,13 +371,13 @@
             for _ in range(2):
                 if not (n == 3 and 40 < step < 100) and chance.random() < 0.7:
                     to = chance.randrange(6)
-                    late += [
+                    pending += [
                         (now + chance.choice((0, 0, 100, 2000)), to, agent.digest(now, 6))
                         for _ in range(chance.choice((1, 1, 2)))
                     ]
-        for word in [w for w in late if w[0] <= now]:
-            late.remove(word)
-            agents[word[1]].receive(now, word[2])
+        for message in [w for w in pending if w[0] <= now]:
+            pending.remove(message)
+            agents[message[1]].receive(now, message[2])
         for agent in agents if step % 8 == 7 else ():
             for c, rate in enumerate(agent.rates(now)):
                 if rate > counting.rate_bound(now, [v for k, v in true.items() if k[0] == c], window) + EXACT:
@@ -386,12 +385,12 @@
     return False
 
 
-def test_no_agent_ever_takes_the_fleet_for_busier_than_it_was_and_a_merge_by_sums_is_found():
-    assert not any(fleet_of_counts(seed, Counts) for seed in range(4))
-    assert all(fleet_of_counts(seed, Sums) for seed in range(2))
+def test_rates_never_exceed_their_bound_and_a_merge_by_sums_is_detected():
+    assert not any(rates_exceed_bound(seed, Counts) for seed in range(4))
+    assert all(rates_exceed_bound(seed, Sums) for seed in range(2))
 
 
-def test_what_all_ask_is_known_at_all_a_silent_agent_fades_and_a_new_life_counts_anew():
+def test_rates_reach_all_agents_fade_with_silence_and_restart_with_a_new_incarnation():
     many, now = [counts(n) for n in range(3)], 0.0
     for _ in range(60):
         now += 100.0
@@ -412,12 +411,10 @@
     again = counts(1)
     again.refresh(now, 2, 100.0)
     many[0].receive(now, [Count(1, 2, 1, 500, 100.0, 0.0)])
-    assert (
-        many[0].rates(now)[1] == 0.0
-    )  # of a new life nothing is known yet, and nothing of the old one stays
+    assert many[0].rates(now)[1] == 0.0  # a new incarnation has no rate yet, and the old one's is gone
 
 
-def test_many_customers_share_a_sketch_that_never_counts_too_little():
+def test_sketch_of_many_customers_never_underestimates():
     assert cells(5, MAX_CELLS) == (5,) and all(len(cells(c, 1000)) == 2 for c in range(1000))
     one, now, chance = counts(customers=1000, window=100.0), 0.0, Random(4)
     for _ in range(40):
@@ -434,46 +431,46 @@
     )
 
 
-# Words.
+# Datagrams.
 
-texts = some.builds(
+messages = st.builds(
     Message,
-    kind=some.just(UPDATE),
-    sender=some.integers(0, 999),
-    incarnation=some.just(Incarnation(3, 4)),
-    heartbeat=some.just(5),
-    remembers=some.booleans(),
-    revision=some.just(6),
-    mets=some.lists(
-        some.builds(
+    kind=st.just(UPDATE),
+    sender=st.integers(0, 999),
+    incarnation=st.just(Incarnation(3, 4)),
+    heartbeat=st.just(5),
+    remembers=st.booleans(),
+    revision=st.just(6),
+    mets=st.lists(
+        st.builds(
             Observation,
-            some.integers(0, 999),
-            some.integers(0, 9),
-            some.integers(0, 2**32 - 1),
-            some.integers(0, 65535),
-            some.sampled_from([0.0, 0.5, 2.0]),
-            some.sampled_from([0.0, 500.0]),
+            st.integers(0, 999),
+            st.integers(0, 9),
+            st.integers(0, 2**32 - 1),
+            st.integers(0, 65535),
+            st.sampled_from([0.0, 0.5, 2.0]),
+            st.sampled_from([0.0, 500.0]),
         ),
         max_size=8,
     ).map(tuple),
-    counts=some.lists(
-        some.builds(
+    counts=st.lists(
+        st.builds(
             Count,
-            some.integers(0, 999),
-            some.integers(1, 99),
-            some.integers(0, MAX_CELLS - 1),
-            some.integers(0, 2**31),
-            some.sampled_from([0.0, 7e6]),
-            some.sampled_from([0.0, 20.0]),
+            st.integers(0, 999),
+            st.integers(1, 99),
+            st.integers(0, MAX_CELLS - 1),
+            st.integers(0, 2**31),
+            st.sampled_from([0.0, 7e6]),
+            st.sampled_from([0.0, 20.0]),
         ),
         max_size=6,
     ).map(tuple),
 )
 
 
-@tries(max_examples=80, deadline=None, derandomize=True)
-@given(texts)
-def test_news_comes_out_as_it_went_in_and_what_a_version_does_not_know_is_skipped(m):
+@hypothesis_settings(max_examples=80, deadline=None, derandomize=True)
+@given(messages)
+def test_update_round_trips_and_unknown_sections_are_skipped(m):
     text = wire.encode(m)
     assert len(text) <= 256 and wire.decode(text) == m
     later = text + wire.SECTION.pack(99, 2, 5) + bytes(10)
@@ -482,7 +479,7 @@
         wire.decode(later[:-1])
 
 
-def test_a_question_for_a_share_comes_out_as_it_went_in():
+def test_borrow_request_round_trips():
     m = Message(BORROW, 3, Incarnation(1, 2), 3, False, 0, nonce=77, budget=0, amount=250)
     assert wire.decode(wire.encode(m)) == m
     assert boot_hash(5.0) != boot_hash(6.0)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Fleets that share: bounds watched at every agent while parts fail, in virtual time and with processes."""
+"""Fleets whose agents share state: bounds checked at every agent under faults, in virtual time and with processes."""
 
 import pytest
 from test_rig import SMALL as RIG
@@ -15,7 +15,7 @@
 AGENTS = {"agents": {"count": 4, "store": True, "fleet": True, "share_ms": 300}, "limits": {"peers": True}}
 
 
-# The others are played by the benchmark.
+# The benchmark runs the other cases.
 @pytest.mark.parametrize(
     "case",
     [
@@ -26,15 +26,15 @@
         "clocks that drift",
     ],
 )
-def test_no_bound_is_passed_at_any_agent_whatever_fails(case):
+def test_no_bound_is_exceeded_at_any_agent_whatever_fails(case):
     run, most = shared_bounds.played(case, 3, agents=8, seconds=14.0)
     assert run.verdict == play.KEPT, run.result.breaches[:3]
     assert not [name for name in bounds.JUDGED if most[name] > 1], most
     assert most["looks"] > 100 and most["lent"] > 0 and most["heard"] > 0, most
 
 
-def test_a_life_on_an_empty_disk_that_takes_its_share_for_unlent_is_found(monkeypatch):
-    # Found by the case of parts that restart without a disk: 1.17 of the fleet's trials.
+def test_incarnation_on_an_empty_disk_that_uses_its_lent_share_is_detected(monkeypatch):
+    # A case in which some agents restart without a disk reached 1.17 of the fleet's trials.
     plain = Budget.__init__
     monkeypatch.setattr(
         Budget,
@@ -44,10 +44,10 @@
     assert shared_bounds.played("a part restarts again and again", 3, agents=8, seconds=14.0)[1]["trials"] > 1
 
 
-# Planted mistakes, each found by the bound that it passes.
+# Injected faults, each detected by the bound that it exceeds.
 
 
-def test_a_lease_by_a_clock_that_was_set_back_is_found(monkeypatch):
+def test_lease_by_a_clock_that_was_set_back_is_detected(monkeypatch):
     plain = Budget.__init__
 
     def set_back(self, *given, **more):
@@ -58,14 +58,14 @@
     assert shared_bounds.played("nothing", 3, agents=8, seconds=22.0)[1]["trials"] > 1
 
 
-def test_an_ejection_by_hearsay_is_found(monkeypatch):
+def test_unbounded_cost_factors_are_detected(monkeypatch):
     monkeypatch.setattr(
         Observations, "cost_factors", lambda self, now, own: {key: 1e6 for key in self.estimates(now, own)}
     )
     assert shared_bounds.played("a slow tenth", 3, agents=8, seconds=14.0)[1]["dearer"] > 1
 
 
-def test_counts_merged_by_sums_are_found(monkeypatch):
+def test_counts_merged_by_sums_are_detected(monkeypatch):
     from test_shared import Sums
 
     monkeypatch.setattr("lupinreach.ops.sharing.Counts", Sums)
@@ -83,26 +83,26 @@
         ],
     }
 )
-def test_agents_of_a_fleet_of_processes_share_and_one_that_hears_nothing_says_so(played):
+def test_fleet_of_processes_shares_state_while_one_agent_receives_nothing(played):
     assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
 
 
-def test_silence_comes_and_goes_in_stages(monkeypatch):
-    stages, look = {}, Sharing.update
+def test_freshness_ages_with_silence_and_recovers(monkeypatch):
+    stages, update = {}, Sharing.update
 
-    def seen(self):
-        look(self)
+    def recorded(self):
+        update(self)
         if (past := stages.setdefault(self.observations.me, []))[-1:] != [self.stage.value]:
             past.append(self.stage.value)
 
-    monkeypatch.setattr(Sharing, "update", seen)
+    monkeypatch.setattr(Sharing, "update", recorded)
     deaf = {"kind": "deaf-agents", "at": 1, "seconds": 7, "targets": [1]}
     trial = spec.read(SMALL | AGENTS | {"seconds": 12, "troubles": [deaf]})
     assert play.run(trial, 3).verdict == play.KEPT
     assert stages[1] == ["fresh", "ageing", "alone", "fresh"] and stages[0] == ["fresh"]
 
 
-def test_what_shares_needs_a_fleet():
+def test_sharing_needs_a_fleet():
     with pytest.raises(BadConfig, match=r"agents\.share_ms: needs agents\.fleet"):
         spec.read(SMALL | {"agents": {"share_ms": 300}})
     assert SharedEstimates({}).over_share is None
