--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -1,4 +1,4 @@
-"""Payments that clients send once more, by the same id, over a power loss of their agent."""
+"""The request journal: payments that clients repeat under the same id across a power loss of their agent."""
 
 import asyncio
 from types import SimpleNamespace
@@ -26,28 +26,28 @@
 from lupinreach.store.store import Store
 from lupinreach.trial import play, spec
 
-TWICE = {
+REPEATED = {
     "clients": {"replays": True},
     "faults": [{"kind": "power", "at": 3, "agents": 0.3}, {"kind": "power", "at": 6, "agents": 0.3}],
 }
 AGENTS = {"agents": {"count": 4, "store": True, "ran": True}}
 
 
-def test_a_payment_that_is_sent_once_more_after_a_power_loss_runs_once():
-    played = [play.run(spec.read(SMALL | TWICE | AGENTS), seed) for seed in (3, 4)]
+def test_payment_repeated_after_a_power_loss_runs_once():
+    played = [play.run(spec.read(SMALL | REPEATED | AGENTS), seed) for seed in (3, 4)]
     assert [p.verdict for p in played] == [play.KEPT] * 2
     for p in played:
         assert 0 < p.result.figures["answers"]["errored"] < 10 and p.recovery.first_10s > 0.95
-    forgets = play.run(spec.read(SMALL | TWICE | {"agents": {"count": 4, "store": True}}), 3)
-    assert {b.name for b in forgets.result.breaches} == {"effect twice"}
+    without_journal = play.run(spec.read(SMALL | REPEATED | {"agents": {"count": 4, "store": True}}), 3)
+    assert {b.name for b in without_journal.result.breaches} == {"effect twice"}
 
 
-@pytest.mark.rig(RIG | TWICE | {"seconds": 9} | AGENTS)
-def test_and_so_with_processes(played):
+@pytest.mark.rig(RIG | REPEATED | {"seconds": 9} | AGENTS)
+def test_payment_repeated_after_a_power_loss_runs_once_with_processes(played):
     assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
 
 
-def test_a_disk_that_hangs_has_payments_rate_limited_at_once_and_the_rest_served():
+def test_hanging_disk_rate_limits_payments_at_once_and_the_rest_is_served():
     hangs = {"kind": "disk-hangs", "at": 4, "seconds": 3, "share": 1.0}
     ledger = virtual.play((trial := spec.read(SMALL | AGENTS | {"troubles": [hangs]})).world, 3)
     played = play.judge(trial, 3, ledger)
@@ -59,46 +59,46 @@
         for r in ledger.records
         if r[0] == "got" and 4.5e6 < asked[r[2]][0] - began < 6.5e6
     ]
-    # Those that come first wait for what the sync may take, the others not at all.
+    # The first payments wait for the sync timeout, the later ones not at all.
     assert max(took for product, status, took in late if product == "pay" and status == 429) < 5
     assert not [status for product, status, _ in late if product == "pay" and status == 200]
     assert sum(status == 200 for product, status, _ in late if product == "look") > 40
 
 
-def test_an_older_disk_is_found_out_by_what_others_keep_of_its_beats(monkeypatch):
-    # All agents lost power, half of the disks came back two seconds old, and a payment ran twice.
+def test_older_disk_is_detected_by_heartbeats_that_witnesses_store(monkeypatch):
+    # All agents lost power, half of the disks came back in a state two seconds old, and without witnesses a payment ran twice.
     trial = spec.read(drawn(5027, True, False))
     assert play.run(trial, 5027).verdict == play.KEPT
     monkeypatch.setattr(fleet_agent, "WITNESSES", 0)
     assert {b.name for b in play.run(trial, 5027).result.breaches} == {"effect twice"}
 
 
-def test_a_copy_that_is_two_beats_old_is_found_out_by_the_marks_that_payments_leave(monkeypatch):
-    # Drawn loss 20075: its witnesses had heard as little of it as its disk held, and a payment ran twice.
+def test_copy_two_heartbeats_old_is_detected_by_the_extra_heartbeats_after_payments(monkeypatch):
+    # Drawn loss 20075: the witnesses knew no more heartbeats than the old disk held, and a payment ran twice.
     trial = spec.read(drawn(20075, True, False))
     assert play.run(trial, 20075).verdict == play.KEPT
     monkeypatch.setattr(fleet_agent.FleetAgent, "record_synced", lambda _: None)
     assert {b.name for b in play.run(trial, 20075).result.breaches} == {"effect twice"}
 
 
-def test_a_mark_is_synced_before_it_is_told_and_above_all_that_an_older_disk_holds():
-    """One agent that marks beside its beats: what is told of it is never above its disk, nor at or below any older one."""
-    told, kept = [], []
+def test_extra_heartbeat_is_synced_before_it_is_sent_and_exceeds_any_older_disk():
+    """Heartbeat numbers sent after payments are never above the disk's, and always above those of the disk before the payment."""
+    sent, stored = [], []
 
     class Disk(MemoryDisk):
         def append(self, path, text, sync):
             super().append(path, text, sync)
-            kept.append(records.decode_file(self.read(path, 1 << 20), "agent-0").state["beat"][1])
+            stored.append(records.decode_file(self.read(path, 1 << 20), "agent-0").state["beat"][1])
 
-    class Marks(fleet_agent.FleetAgent):
+    class RecordingAgent(fleet_agent.FleetAgent):
         def _send(self, peer, message):
             if message.kind == wire.HEARTBEAT and not message.members:
-                assert message.heartbeat < kept[-1]  # at most what the disk holds
+                assert message.heartbeat < stored[-1]  # at most what the disk holds
                 assert message.heartbeat > self.before  # above what the disk held before the payment
-                told.append(message.heartbeat)
+                sent.append(message.heartbeat)
 
         def record_synced(self):
-            self.before = kept[-1] if kept else 0
+            self.before = stored[-1] if stored else 0
             super().record_synced()
 
     async def work():
@@ -106,7 +106,7 @@
             tasks=SimpleNamespace(spawn=lambda _, work: asyncio.ensure_future(work)),
             config=SimpleNamespace(settings=SimpleNamespace(agents=4)),
         )
-        one = object.__new__(Marks)
+        one = object.__new__(RecordingAgent)
         store = Store("/a/carried", "agent-0", Disk(stream(1, "disk")))
         store.put("beat", [1, 1])
         await store.flush()
@@ -123,25 +123,25 @@
         )
         for _ in range(5):
             one.record_synced()
-            one.record_synced()  # a second payment in the same moment needs no mark of its own
+            one.record_synced()  # a second payment at the same moment needs no heartbeat of its own
             await one._mark_task
             one.members.heartbeat += 1
             one._store_heartbeat()
             await store.flush()
 
     asyncio.run(work())
-    assert len(told) == 5 * 3 and told == sorted(told)
+    assert len(sent) == 5 * 3 and sent == sorted(sent)
 
 
-def test_who_was_cut_off_while_it_asked_asks_again_and_hears_what_drains(monkeypatch):
+def test_agent_partitioned_during_its_query_queries_again_and_learns_of_drains(monkeypatch):
     trial = spec.read(drawn(5060, True, False))
-    while_cut_off = play.run(trial, 5060).recovery.to_draining
+    with_repeated_queries = play.run(trial, 5060).recovery.to_draining
     monkeypatch.setattr(fleet_agent, "QUERY_INTERVAL_HEARTBEATS", 10**6)
-    assert play.run(trial, 5060).recovery.to_draining > 7 * while_cut_off
+    assert play.run(trial, 5060).recovery.to_draining > 7 * with_repeated_queries
 
 
-def test_a_disk_that_takes_longer_than_a_client_still_waits_leaves_no_client_without_an_answer():
-    # Found by the campaign (seed 11, history 68): an agent that had slept had payments with 88 ms left, and a disk that hung.
+def test_sync_longer_than_a_client_s_remaining_timeout_leaves_no_client_without_an_answer():
+    # Campaign seed 11, history 68: an agent resumed from suspension with payments that had 88 ms left, and its disk hung.
     async def work():
         async with Site(target("s-1", "127.0.0.1:9")) as site:
             kept = asyncio.Event()
@@ -157,7 +157,7 @@
             reader, writer = await site.client()
             writer.write(look(kind=b"pay", method=b"POST", body=b"x", deadline=b"5"))
             await asyncio.sleep(0.05)
-            writer.close()  # and one that leaves meanwhile has left, with no shot sent
+            writer.close()  # a client that disconnects meanwhile counts as left, with no attempt sent
             await asyncio.sleep(0.05)
             kept.set()
             await site.settled()
@@ -166,8 +166,8 @@
     on_loop(work())
 
 
-def part(store, found=None):
-    """The part alone, beside an agent that is none."""
+def journal_of(store, found=None):
+    """A request journal with a stub agent."""
     product = SimpleNamespace(kind=Idempotency.NON_IDEMPOTENT, timeout=1000.0)
     agent = SimpleNamespace(
         serving=SimpleNamespace(ids=Ids(), remember=None, longest_wait=40.0),
@@ -180,46 +180,48 @@
     return agent, RequestJournal(agent, store, found or store.open())
 
 
-def test_an_id_is_safe_before_it_counts_and_goes_after_two_turns():
+def test_id_is_durable_before_its_call_runs_and_removed_after_two_periods():
     async def work():
         disk = MemoryDisk(stream(1, "disk"))
-        _, ran = part(Store("/a/carried", "a", disk))
-        assert await asyncio.gather(*(ran.record(b"id-%d" % n) for n in range(50))) == [Remembered.KEPT] * 50
+        _, journal = journal_of(Store("/a/carried", "a", disk))
+        assert (
+            await asyncio.gather(*(journal.record(b"id-%d" % n) for n in range(50))) == [Remembered.KEPT] * 50
+        )
         disk.lose_power()
-        agent, after = part(store := Store("/a/carried", "a", disk))
+        agent, after = journal_of(store := Store("/a/carried", "a", disk))
         assert not any(agent.serving.ids.begin(b"id-%d" % n) for n in range(50)) and agent.serving.ids.begin(
             b"other"
         )
-        turns = asyncio.ensure_future(after.run())
-        await asyncio.sleep(0.06)  # one turn of 40 ms
+        periods = asyncio.ensure_future(after.run())
+        await asyncio.sleep(0.06)  # one period of 40 ms
         assert sum(key.startswith("ran/") for key in store.state) == 50
         await asyncio.sleep(0.04)
         assert not [key for key in store.state if key.startswith("ran/")]
-        turns.cancel()
+        periods.cancel()
 
     asyncio.run(work())
 
 
-def test_a_disk_that_can_t_be_written_and_a_full_store():
+def test_unwritable_disk_serves_calls_and_full_store_rejects_them():
     async def work():
         disk = MemoryDisk(stream(1, "disk"))
-        agent, ran = part(store := Store("/a/carried", "a", disk))
+        agent, journal = journal_of(store := Store("/a/carried", "a", disk))
         disk.stuck = True
         assert (
-            await ran.record(b"a") is Remembered.KEPT and agent.counters.others["ran: not kept"] == 1
-        )  # as without it
+            await journal.record(b"a") is Remembered.KEPT and agent.counters.others["ran: not kept"] == 1
+        )  # as without a journal
         disk.stuck = False
         while store.put(f"drain/{len(store.state)}", 1):
             pass
         assert (
-            await ran.record(b"b") is Remembered.NOT_NOW
+            await journal.record(b"b") is Remembered.NOT_NOW
             and agent.counters.others["ran: refused, no room"] == 1
         )
 
     asyncio.run(work())
 
 
-def test_a_configuration_that_has_nothing_to_keep_is_refused_by_its_key(tmp_path):
+def test_configuration_without_non_idempotent_products_is_rejected_by_its_key(tmp_path):
     raw = RAW | {"store": {"file": "/tmp/x", "ran": True}}
     assert read_file(tmp_path, raw).ran and not read_file(tmp_path, RAW).ran
     repeatable = {"categories": [{"give_up": 5, "semantics": "repeatable"}]}
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -1,4 +1,4 @@
-"""Agents that know of each other return from a power loss: in virtual time, with processes, and beside those that lie."""
+"""Startup of fleet members after a power loss: in virtual time, with processes, and beside faulty or lying agents."""
 
 import asyncio
 import os
@@ -31,10 +31,10 @@
 from lupinreach.store.store import Store
 from lupinreach.trial import play, spec
 
-TOUCH = {"agents": {"count": 6, "store": True, "fleet": True}, "limits": {"peers": True}, "seconds": 14}
+FLEET = {"agents": {"count": 6, "store": True, "fleet": True}, "limits": {"peers": True}, "seconds": 14}
 DRAIN = {"kind": "drain", "at": 2, "seconds": 9, "targets": [0, 1]}
 POWER = {"kind": "power", "at": 4, "agents": 1, "registry": 2, "registry_older": 3}
-HARD = {
+CASES = {
     "old list that names drained backends": {"faults": [POWER], "troubles": [DRAIN]},
     "half the disks older, one another's": {
         "faults": [POWER],
@@ -75,21 +75,21 @@
 }
 
 
-def said(ledger, event):
+def logged(ledger, event):
     return [(r[2], r[4]) for r in ledger.records if r[0] == "said" and r[3] == event]
 
 
-@pytest.mark.parametrize("case", HARD)
-def test_a_fleet_in_touch_keeps_the_rules_and_sends_nothing_to_what_drains(case):
-    trial = spec.read(SMALL | TOUCH | HARD[case])
+@pytest.mark.parametrize("case", CASES)
+def test_fleet_keeps_the_rules_and_sends_nothing_to_draining_backends(case):
+    trial = spec.read(SMALL | FLEET | CASES[case])
     ledger = virtual.play(trial.world, 3)
     played = play.judge(trial, 3, ledger)
     assert played.verdict == play.KEPT, played.result.breaches[:3]
-    asked = said(ledger, "asked")
+    asked = logged(ledger, "asked")
     assert len(asked) >= 12 and len({(agent, *fields["life"]) for agent, fields in asked}) == len(asked)
-    if "deaf" not in case:  # what hears nobody is the agent of today
+    if "deaf" not in case:  # an isolated agent behaves like one without a fleet
         assert played.recovery.to_draining == 0
-    assert {fields["to"] for _, fields in said(ledger, "returned")} >= {
+    assert {fields["to"] for _, fields in logged(ledger, "returned")} >= {
         "standing",
         "listening",
         "trying",
@@ -97,20 +97,20 @@
     }
 
 
-def test_without_each_other_the_old_list_s_word_counts():
+def test_agents_without_a_fleet_follow_the_old_list():
     alone = play.run(
-        spec.read(SMALL | TOUCH | {"agents": {"count": 6}} | HARD["old list that names drained backends"]), 3
+        spec.read(SMALL | FLEET | {"agents": {"count": 6}} | CASES["old list that names drained backends"]), 3
     )
     assert alone.recovery.to_draining > 50
 
 
-def rig(case):
+def rig_case(case):
     more = {"seconds": 8, "agents": {"count": 4, "store": True, "fleet": True}, "limits": {"peers": True}}
     troubles = [
         t | {"targets": [0]}
         if t["kind"] == "drain"
         else t | {"targets": [n % 4 for n in t.get("targets", [0, 1])]}
-        for t in HARD[case]["troubles"]
+        for t in CASES[case]["troubles"]
     ]
     return pytest.param(
         case,
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize(
     "case",
     map(
-        rig,
+        rig_case,
         [
             "old list that names drained backends",
             "half the disks older, one another's",
@@ -131,17 +131,17 @@
         ],
     ),
 )
-def test_and_so_does_a_fleet_of_processes(case, played):
+def test_fleet_of_processes_keeps_the_rules_and_sends_nothing_to_draining_backends(case, played):
     assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
     assert played.recovery.to_draining == 0
 
 
-# Planted mistakes.
+# Injected faults.
 
 
-def test_a_life_number_used_twice_is_caught_by_its_name(monkeypatch):
+def test_incarnation_used_twice_is_detected_as_such(monkeypatch):
     empty = {"kind": "disk-torn", "at": 4.5, "seconds": 1, "share": 1.0, "strength": 0.0}
-    trial = spec.read(SMALL | TOUCH | {"faults": [POWER], "troubles": [empty]})
+    trial = spec.read(SMALL | FLEET | {"faults": [POWER], "troubles": [empty]})
     assert play.run(trial, 3).verdict == play.KEPT
     restore_state = persistence.restore_state
     monkeypatch.setattr(virtual, "restore_state", lambda agent, disk, token: restore_state(agent, disk, 7))
@@ -149,7 +149,7 @@
     assert {b.name for b in found} == {"life twice"} and len(found) >= 5
 
 
-def lying(monkeypatch, liars):
+def make_liars(monkeypatch, liars):
     plain = FleetAgent._message
 
     def message(self, kind, **more):
@@ -162,26 +162,28 @@
     monkeypatch.setattr(FleetAgent, "_message", message)
 
 
-def test_one_that_claims_an_absurd_revision_and_that_all_drain_does_little_harm(monkeypatch):
-    trial = spec.read(SMALL | TOUCH | {"faults": [{"kind": "power", "at": 4, "agents": 1}]})
+def test_one_peer_that_claims_an_implausible_revision_and_that_all_backends_drain_does_little_harm(
+    monkeypatch,
+):
+    trial = spec.read(SMALL | FLEET | {"faults": [{"kind": "power", "at": 4, "agents": 1}]})
     sound = play.run(trial, 3)
-    lying(monkeypatch, 1)
+    make_liars(monkeypatch, 1)
     ledger = virtual.play(trial.world, 3)
     harmed = play.judge(trial, 3, ledger)
     assert harmed.verdict == play.KEPT and harmed.recovery.whole >= 0.95 * sound.recovery.whole
-    assert {f["floor"] < 100 for _, f in said(ledger, "asked")} == {True}
-    # Where one peer's word is enough, the lie shows.
+    assert {f["floor"] < 100 for _, f in logged(ledger, "asked")} == {True}
+    # Where one peer's claim is enough, the lie has an effect.
     monkeypatch.setattr(RevisionFloor, "add_claim", lambda self, peer, revision: self.raise_to(revision))
-    assert 2**60 in {f["floor"] for _, f in said(virtual.play(trial.world, 3), "asked")}
+    assert 2**60 in {f["floor"] for _, f in logged(virtual.play(trial.world, 3), "asked")}
 
 
-# One agent's part, by itself.
+# One fleet agent by itself.
 
 
 def spawned(what, work):
     try:
         return asyncio.get_running_loop().create_task(work)
-    except RuntimeError:  # no loop runs: done at once, on a disk that holds up nothing
+    except RuntimeError:  # no loop runs: done at once, on a disk that never blocks
         asyncio.run(work)
         return SimpleNamespace(done=lambda: True)
 
@@ -214,7 +216,7 @@
     return agent, FleetAgent(agent, store, FileContents(dict(state or {})), config, 77)
 
 
-def test_a_datagram_from_a_wrong_address_is_believed_of_nobody():
+def test_datagram_from_a_wrong_address_is_ignored():
     agent, part = one()
     forged = wire.encode(Message(HEARTBEAT, 4, Incarnation(9, 9), 5, True, 900))
     part.on_datagram(3, forged)
@@ -224,8 +226,8 @@
     assert agent.counters.others == {"fleet: from a wrong address": 2, "fleet: malformed": 1}
     part.on_datagram(4, forged)
     assert part.members.latest(4)[0] == Incarnation(9, 9)
-    told = part.metrics()
-    assert (told["stage"], told["agents"], told["standing"], told["floor"], told["own"]) == (
+    report = part.metrics()
+    assert (report["stage"], report["agents"], report["standing"], report["floor"], report["own"]) == (
         "dark",
         {"4": [9, "there"]},
         2,
@@ -234,7 +236,7 @@
     )
 
 
-def test_what_is_told_of_drains_is_kept_passed_on_and_lifted_by_a_list_that_is_not_older():
+def test_drains_are_stored_passed_on_and_ended_by_a_list_that_is_not_older():
     agent, part = one(state={"drain/70": 9, "floor": 50, "life": 3, "drain/x": 1, "drain/71": "no"})
     ready, draining = (
         Listing(0, ListedState.READY, 9.0, name=70),
@@ -247,7 +249,7 @@
         ListedState.DRAINING,
     ]
     part.on_datagram(5, wire.encode(Message(wire.QUERY, 5, Incarnation(1, 1), 1, False, 0, nonce=8)))
-    # Synced at once: found on drawn loss 1022, where power failed between a drain and the next beat.
+    # Synced at once: in drawn loss 1022 power failed between a drain and the next heartbeat.
     assert records.decode_file(part._store._disk.copy(), "a").state["drain/71"] == 9
     to, answer = agent.sent[-1]
     assert (
@@ -261,7 +263,7 @@
     assert part.drains.all() == [] and not [k for k in part._store.state if k.startswith("drain/70")]
 
 
-def test_peers_word_of_a_drain_reaches_the_module_as_a_change():
+def test_drains_claimed_by_peers_reach_the_balancer_as_a_change():
     agent, part = one(state={"life": 4})
     assert (
         part.apply_list(
@@ -293,7 +295,7 @@
         (news, [e.backend for e in entries if e.state is ListedState.DRAINING], len(entries))
         for news, entries in agent.listed
     ] == [(UpdateKind.CACHED, [1], 8)]
-    # Lifted after three times the time to ask within, if the registry's own word is as new as the fleet's by then.
+    # Claims end after three times the time to ask the registry, if the registry's own list is as new as the fleet's by then.
     agent.directory.age = 5.0
     part._advance_startup()
     agent.clock.now = lambda: 6_000.0 + 3 * 10_000.0
@@ -307,7 +309,7 @@
     ]
 
 
-def test_what_one_peer_s_word_holds_back_shrinks_with_the_ready_backends_and_the_module_hears_of_it():
+def test_share_withheld_by_one_peer_shrinks_with_the_ready_backends_and_the_balancer_is_updated():
     agent, part = one()
     part.apply_list(
         UpdateKind.FULL, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False
@@ -322,8 +324,8 @@
 
 
 @pytest.mark.parametrize("state", [{}, {"life": 4}])
-def test_an_agent_serves_by_no_list_of_before_until_it_has_asked(state):
-    # Found on drawn losses 130 (another's disk) and 1874 (an older copy): an old list, and 0.3 s of shots to a backend that drained.
+def test_agent_serves_by_no_cached_list_until_its_query_is_over(state):
+    # Drawn losses 130 (another agent's disk) and 1874 (an older copy): an old list led to 0.3 s of attempts at a draining backend.
     agent, part = one(state, config=FleetConfig(50.0, 10.0))
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
     assert (
@@ -358,7 +360,7 @@
         ({"fleet": []}, "fleet: must be an object"),
     ],
 )
-def test_half_a_fleet_is_refused_by_name(tmp_path, change, message):
+def test_incomplete_fleet_settings_are_rejected_by_name(tmp_path, change, message):
     settings = RAW["settings"] | {"fleet_size": 2, "me": 1, "ceilings": {"peer_messages": True}}
     good = RAW | {
         "store": {"file": "/x"},
@@ -379,7 +381,7 @@
     assert str(bad.value).startswith(message)
 
 
-def test_an_agent_without_these_keys_loads_none_of_it():
+def test_agent_without_these_settings_loads_none_of_the_modules():
     import subprocess
     import sys
 
@@ -390,8 +392,8 @@
     assert found.stdout.strip() == "[]"
 
 
-def test_a_process_that_a_newer_one_has_replaced_says_so_once_and_falls_silent():
-    # The log's own `event` has a parameter called self: found on a drawn loss, where the part ended with a TypeError.
+def test_superseded_process_logs_it_once_and_stops_sending():
+    # The log's `event` has a parameter called self: a field of that name ended the agent's task with a TypeError on a drawn loss.
     agent, part = one(config=FleetConfig(50.0, 10.0))
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
     part.startup._since = agent.clock.now()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,12 +1,12 @@
-"""The store: every cut of its file, every sync that can be lost, two processes on one disk, and disks that fail."""
+"""The store: every cut of its file, every sync that can be lost, two processes on one disk, and failing disks."""
 
 import asyncio
 from collections import Counter
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as played
-from hypothesis import strategies as some
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
 from test_disk import Stops
 
 from lupinreach.bed.ways.disk import CARRIED, MemoryDisk
@@ -20,7 +20,7 @@
 
 
 def history():
-    """A file, where each of its records ends, and what it holds up to there."""
+    """A file, and for each of its records the end offset and the state up to there."""
     text, state, ends = encode_file("a", {}), {}, []
     ends.append((len(text), {}))
     for key, value in PUTS:
@@ -30,7 +30,7 @@
     return text, ends
 
 
-def test_a_file_cut_at_any_byte_holds_what_was_whole_before_the_cut_and_says_what_is_lost():
+def test_file_cut_at_any_byte_yields_the_complete_records_and_the_lost_bytes():
     text, ends = history()
     for cut in range(len(text) + 1):
         good, state = max((e for e in ends if e[0] <= cut), key=lambda e: e[0], default=(0, {}))
@@ -41,7 +41,7 @@
         assert zeros.state == state and zeros.lost
 
 
-def test_a_byte_that_is_another_anywhere_ends_what_is_believed_before_it():
+def test_corrupt_byte_anywhere_ends_reading_before_its_record():
     text, ends = history()
     for at in range(len(text)):
         for flip in (1, 0x80):
@@ -50,7 +50,7 @@
             assert found.state == state and not found.appendable
 
 
-def test_a_length_that_lies_reads_no_further_than_the_file():
+def test_wrong_record_length_reads_no_further_than_the_file():
     for size in (0, 1, 1 << 19, (1 << 32) - 1):
         found = records.decode_file(encode_file("a", {"life": 1}) + HEADER.pack(size, 0) + b"[]", "a")
         assert found.state == {"life": 1} and found.lost == 10
@@ -67,12 +67,12 @@
         (b'{"form": 1, "at"', "torn or no such file"),
     ],
 )
-def test_what_is_no_file_of_this_agent_s_is_believed_of_nothing(text, why):
+def test_file_that_is_not_this_agent_s_yields_nothing(text, why):
     found = records.decode_file(text, "a")
     assert (found.state, found.why, found.appendable) == ({}, why, False)
 
 
-def test_the_file_of_the_version_before_is_taken_and_written_anew():
+def test_file_from_before_the_store_is_read_and_rewritten():
     disk = MemoryDisk(stream(1, "disk"))
     disk.put(b'{"form":1,"at":5}')
     store = Store(CARRIED, "a", disk)
@@ -82,16 +82,16 @@
     assert records.decode_file(disk.copy(), "a").state == {"learnt": {"form": 1, "at": 5}, "life": 1}
 
 
-values = some.recursive(
-    some.none() | some.booleans() | some.integers(-(2**53), 2**53) | some.text(max_size=8),
-    lambda inner: some.lists(inner, max_size=3) | some.dictionaries(some.text(max_size=4), inner, max_size=3),
+values = st.recursive(
+    st.none() | st.booleans() | st.integers(-(2**53), 2**53) | st.text(max_size=8),
+    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=3),
     max_leaves=6,
 )
 
 
-@played(max_examples=200, derandomize=True, deadline=None)
-@given(some.lists(some.tuples(some.text(min_size=1, max_size=5), values), max_size=12))
-def test_what_was_put_is_read_back_by_key_the_last_one_counts(puts):
+@hypothesis_settings(max_examples=200, derandomize=True, deadline=None)
+@given(st.lists(st.tuples(st.text(min_size=1, max_size=5), values), max_size=12))
+def test_values_read_back_by_key_and_the_last_one_counts(puts):
     state = {}
     for key, value in puts:
         state.pop(key, None)
@@ -103,10 +103,10 @@
     )
 
 
-# Power losses: each point at which one can come, and all that the disk may then hold.
+# Power losses: every point at which one can happen, and every content that the disk may then have.
 
 
-def test_after_a_power_loss_at_any_step_what_was_flushed_is_there_and_nothing_that_was_not_put():
+def test_power_loss_at_any_step_keeps_flushed_values_and_adds_nothing():
     outcomes = 0
     for steps in range(30):
         disk, safe, put = Stops(stream(1, "disk"), steps), {}, [{}]
@@ -122,7 +122,7 @@
         for text in disk.outcomes(CARRIED):
             found = records.decode_file(text, "a").state if text is not None else {}
             assert found.get("life", 0) >= safe.get("life", 0)
-            # A record is whole or not there: between two flushes any first part of the second's may stand.
+            # A record is complete or absent: after a power loss during a flush any prefix of its records may be there.
             assert found in put or any(
                 found == (a | {"life": b["life"]}) for a, b in zip(put, put[1:], strict=False)
             )
@@ -130,12 +130,12 @@
     assert outcomes > 300
 
 
-def test_a_sync_that_is_left_out_is_found():
-    class Lazy(MemoryDisk):
+def test_missing_sync_is_detected():
+    class Unsynced(MemoryDisk):
         def append(self, path, text, sync):
             super().append(path, text, False)
 
-    disk = Lazy(stream(1, "disk"))
+    disk = Unsynced(stream(1, "disk"))
     store = Store(CARRIED, "a", disk)
     for life in (1, 2):
         store.put("life", life)
@@ -145,36 +145,36 @@
     } == {1, 2}
 
 
-def test_two_processes_on_one_disk_lower_neither_s_life_nor_floor():
+def test_two_processes_on_one_disk_lower_neither_incarnation_nor_floor():
     disk = MemoryDisk(stream(1, "disk"))
     one, two = Store(CARRIED, "a", disk), Store(CARRIED, "a", disk)
     one.open(), two.open()
     for store, life in ((one, 4), (two, 6)):
         store.put("life", life)
         assert asyncio.run(store.flush())
-    one._appends = False  # its next writing is of the whole file
+    one._appends = False  # its next write is of the whole file
     one.put("floor", 50)
     assert asyncio.run(one.flush())
     assert Store(CARRIED, "a", disk).open().state == {"life": 6, "floor": 50}
 
 
-def test_a_disk_that_fails_is_said_once_and_what_was_put_is_written_when_it_is_back():
-    said = []
+def test_failing_disk_is_reported_once_and_values_are_written_when_it_recovers():
+    reported = []
     disk = MemoryDisk(stream(1, "disk"))
-    store = Store(CARRIED, "a", disk, said.append)
+    store = Store(CARRIED, "a", disk, reported.append)
     store.put("life", 1)
     assert asyncio.run(store.flush()) and store.writable
     disk.stuck = True
     for floor in (1, 2, 3):
         store.put("floor", floor)
         assert not asyncio.run(store.flush()) and not store.writable
-    assert said == ["can't be written"]
+    assert reported == ["can't be written"]
     disk.stuck = False
     assert asyncio.run(store.flush()) and store.writable
     assert Store(CARRIED, "a", disk).open().state == {"life": 1, "floor": 3}
 
 
-def test_the_file_stays_bounded_and_so_does_what_is_held():
+def test_file_and_state_stay_bounded():
     disk = MemoryDisk(stream(1, "disk"))
     store = Store(CARRIED, "a", disk)
     for n in range(400):
@@ -188,7 +188,7 @@
         store.put("learnt", "x" * (records.MAX_RECORD_BYTES + 1))
 
 
-def test_each_item_of_a_former_life_is_believed_as_the_table_says():
+def test_each_stored_item_is_restored_as_the_table_says():
     state = {name: 1 for name in ITEMS} | {"drain/b-1": 2, "of a later version": 3}
     kept = {key.partition("/")[0] for key in restorable(state)}
     assert kept == {name for name, item in ITEMS.items() if item.trust is not Trust.NEVER}
