--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -1,4 +1,4 @@
-"""What one process hands to the next: the file, what of it is believed, and the first seconds after a switch."""
+"""The stored snapshot: its file, its validation, and the first seconds after a switch between processes."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 
 
 def warmed(given=LIVE, loads=(0.0, 0.0, 0.0, 0.0)):
-    """An agent that has served for a while; backend 2 answers late."""
+    """A bench whose agent has served for a while; backend 2 is slow."""
     bench = Bench(given, entries=[Listing(i, READY, size=4.0, name=70 + i) for i in range(4)])
     bench.move(100.0)
     bench.list(
@@ -42,19 +42,19 @@
     return bench
 
 
-def fresh(entries, given=LIVE, learnt=None):
+def fresh(entries, given=LIVE, snapshot=None):
     bench = Bench(given, entries=[Listing(90, READY, name=1)])
-    taken = learnt is None or bench.agent.restore(learnt)
+    taken = snapshot is None or bench.agent.restore(snapshot)
     bench.list(UpdateKind.FULL, entries)
     return bench, taken
 
 
-def test_sizes_and_figures_of_the_same_process_are_kept_and_nothing_else():
+def test_weights_and_latencies_of_the_same_process_are_restored_and_nothing_else():
     old = warmed(loads=(3.0, 0.0, 0.0, 0.0))
-    learnt = old.agent.snapshot()
-    # Listed under load, so that without what was carried its size would be read too low.
+    snapshot = old.agent.snapshot()
+    # Listed under load: without the snapshot its size would be estimated too low.
     entries = [Listing(i, READY, size=1.0, name=70 + i) for i in range(4)]
-    new, taken = fresh(entries, learnt=learnt)
+    new, taken = fresh(entries, snapshot=snapshot)
     assert taken
     before, after = ({b.name: b for b in x.agent._ready} for x in (old, new))
     for name, b in after.items():
@@ -67,15 +67,15 @@
     assert not new.agent._restored
 
 
-def test_a_restarted_a_draining_and_an_unknown_backend_start_afresh():
-    learnt = warmed().agent.snapshot()
+def test_restarted_draining_and_unknown_backends_are_not_restored():
+    snapshot = warmed().agent.snapshot()
     entries = [
         Listing(0, READY, boot_time=5.0, size=1.0, name=70),
         Listing(1, DRAINING, size=1.0, name=71),
         Listing(2, READY, size=1.0, name=72),
         Listing(3, READY, size=1.0, name=99),
     ]
-    new, _ = fresh(entries, learnt=learnt)
+    new, _ = fresh(entries, snapshot=snapshot)
     known = {b.name: b for b in new.agent._backends.values()}
     assert [known[n].latency_ms for n in (70, 99)] == [[None]] * 2
     assert known[72].latency_ms[0] is not None
@@ -83,10 +83,10 @@
     assert 1 not in used and len(used) > 1
 
 
-def test_an_ejected_backend_stays_ejected_until_a_trial_that_is_due_at_once():
+def test_ejected_backend_stays_ejected_until_a_trial_that_is_due_at_once():
     ejected = BackendSnapshot(72, 0.0, 4.0, (800.0,), 0.0)
-    learnt = PolicySnapshot((400.0,), True, ((40.0, 40.0, 40.0, 40.0),), (ejected,))
-    new, taken = fresh([Listing(i, READY, size=4.0, name=70 + i) for i in range(4)], learnt=learnt)
+    snapshot = PolicySnapshot((400.0,), True, ((40.0, 40.0, 40.0, 40.0),), (ejected,))
+    new, taken = fresh([Listing(i, READY, size=4.0, name=70 + i) for i in range(4)], snapshot=snapshot)
     assert taken
     b = next(b for b in new.agent._ready if b.name == 72)
     assert b.ejected_until[0] and not b.trial
@@ -94,13 +94,15 @@
     assert first == 2 and not b.ejected_until[0]
 
 
-def test_a_cold_backend_gets_no_more_in_the_first_second_than_from_an_agent_that_carries_nothing():
-    learnt = warmed().agent.snapshot()
+def test_cold_backend_gets_no_more_in_the_first_second_than_without_a_snapshot():
+    snapshot = warmed().agent.snapshot()
 
     def first_second(carried):
         entries = [Listing(i, READY, size=4.0, name=70 + i) for i in range(3)]
-        cold = Listing(3, READY, boot_time=1_000_000.0, size=4.0, name=73)  # carried as another process, warm
-        new, _ = fresh([*entries, cold], learnt=learnt if carried else None)
+        cold = Listing(
+            3, READY, boot_time=1_000_000.0, size=4.0, name=73
+        )  # the snapshot has another, warm process
+        new, _ = fresh([*entries, cold], snapshot=snapshot if carried else None)
         sent = [new.serve(n, 10.0) for n in range(100)]
         return sent.count(3), sent
 
@@ -110,33 +112,33 @@
 
 
 @pytest.mark.parametrize("other", [settings(live_weights=False), settings(live_weights=True, slo=500.0)])
-def test_figures_for_other_slos_or_other_weights_are_not_taken(other):
+def test_snapshot_for_other_slos_or_weights_is_not_restored(other):
     new, taken = fresh([Listing(0, READY, name=70)], other, warmed().agent.snapshot())
     assert not taken and new.agent._ready[0].latency_ms == [None]
 
 
-def again(learnt, at):
-    """What was put, as the next process reads it."""
-    return parse_snapshot(json.loads(json.dumps(encode_snapshot(learnt, at))))
+def round_trip(snapshot, at):
+    """The snapshot as the next process reads it."""
+    return parse_snapshot(json.loads(json.dumps(encode_snapshot(snapshot, at))))
 
 
-def carried(path, agent="n"):
+def stored_snapshot(path, agent="n"):
     return parse_snapshot(records.decode_file(path.read_bytes(), agent).state["learnt"])
 
 
-def test_the_file_reads_back_and_is_bounded():
-    learnt = warmed().agent.snapshot()
-    assert again(learnt, 1234.5) == (1234.5, learnt)
+def test_snapshot_round_trips_and_is_bounded():
+    snapshot = warmed().agent.snapshot()
+    assert round_trip(snapshot, 1234.5) == (1234.5, snapshot)
     many = PolicySnapshot(
         (400.0,),
         True,
         ((1.0, 1.0, 1.0, 1.0),),
         tuple(BackendSnapshot(i, 0.0, 1.0, (None,), 0.0) for i in range(2 * MAX_BACKENDS)),
     )
-    assert len(again(many, 1.0)[1].backends) == MAX_BACKENDS
+    assert len(round_trip(many, 1.0)[1].backends) == MAX_BACKENDS
 
 
-def test_each_fault_of_a_file_is_named_and_nothing_of_it_taken():
+def test_each_invalid_snapshot_is_rejected_as_a_whole():
     good = json.loads(json.dumps(encode_snapshot(warmed().agent.snapshot(), 1.0)))
     row = good["backends"][0]
     for change in (
@@ -162,18 +164,18 @@
             parse_snapshot(other)
 
 
-def test_an_agent_that_saw_no_list_leaves_what_another_has_left(tmp_path):
+def test_agent_without_a_list_does_not_overwrite_a_snapshot(tmp_path):
     path = tmp_path / "carried"
     path.write_bytes(b"left by another")
 
     async def work():
-        async with Site() as blind, Site(target("s-1", "127.0.0.1:9")) as sees:
-            await SnapshotStore(blind.agent, Store(str(path), "n"), 1e4).save()
+        async with Site() as unlisted, Site(target("s-1", "127.0.0.1:9")) as listed:
+            await SnapshotStore(unlisted.agent, Store(str(path), "n"), 1e4).save()
             assert path.read_bytes() == b"left by another"
-            await SnapshotStore(sees.agent, Store(str(path), "n"), 1e4).save()
+            await SnapshotStore(listed.agent, Store(str(path), "n"), 1e4).save()
 
     run(work())
-    assert len(carried(path)[1].backends) == 1
+    assert len(stored_snapshot(path)[1].backends) == 1
     assert os.listdir(tmp_path) == ["carried"]
 
 
@@ -187,7 +189,7 @@
         ({"file": "/y"}, "store.file: carry.file names another"),
     ],
 )
-def test_the_configuration_of_the_file_is_checked(tmp_path, carry, message):
+def test_file_settings_are_validated(tmp_path, carry, message):
     with pytest.raises(BadConfig) as bad:
         read_file(
             tmp_path, RAW | {"carry": carry} | ({"store": {"file": "/x"}} if "/y" in str(carry) else {})
@@ -195,7 +197,7 @@
     assert str(bad.value).startswith(message)
 
 
-def test_without_a_word_nothing_is_carried(tmp_path):
+def test_nothing_is_stored_unless_configured(tmp_path):
     assert read_file(tmp_path, RAW).store is None
     config = read_file(tmp_path, RAW | {"carry": {"file": "/x"}})
     assert (config.store, config.carry_age) == ("/x", 60_000.0)
@@ -208,13 +210,13 @@
 
 
 @pytest.mark.parametrize("fault", ["", "torn", "old", "of before"])
-def test_a_process_says_what_it_carried_and_a_bad_file_stops_no_start(tmp_path, fault):
+def test_process_logs_what_it_restored_and_starts_despite_a_bad_file(tmp_path, fault):
     async def main():
         async with Site(target("s-1", "127.0.0.1:9")) as site:
             path = tmp_path / "carried"
             at = site.agent.clock.now() - (3.6e6 if fault == "old" else 1000.0)
-            learnt = site.agent.balancer.snapshot()
-            value = encode_snapshot(learnt, at)
+            snapshot = site.agent.balancer.snapshot()
+            value = encode_snapshot(snapshot, at)
             text = (
                 json.dumps(value).encode()
                 if fault == "of before"
@@ -238,39 +240,41 @@
             process.terminate()
             lines += await lines_of(process)
             assert await process.wait() == 0
-            return lines, carried(path)
+            return lines, stored_snapshot(path)
 
-    lines, (at, learnt) = run(main())
-    said = [line for line in lines if line["event"].startswith("carried")]
-    assert len(said) == 1
+    lines, (at, snapshot) = run(main())
+    logged = [line for line in lines if line["event"].startswith("carried")]
+    assert len(logged) == 1
     if fault in ("torn", "old"):
         assert (
-            said[0]["event"] == "carried nothing"
-            and ("torn" if fault == "torn" else "s old") in said[0]["why"]
+            logged[0]["event"] == "carried nothing"
+            and ("torn" if fault == "torn" else "s old") in logged[0]["why"]
         )
     else:
         assert (
-            said[0]["event"] == "carried" and said[0]["backends"] == 1 and 1000 <= said[0]["age_ms"] < 20_000
+            logged[0]["event"] == "carried"
+            and logged[0]["backends"] == 1
+            and 1000 <= logged[0]["age_ms"] < 20_000
         )
-    assert len(learnt.backends) == 1 and at > 0  # left anew at the end
+    assert len(snapshot.backends) == 1 and at > 0  # saved again at the end
 
 
-def test_a_switch_to_the_new_shape_and_back_under_steady_clients_loses_nothing(tmp_path):
-    shape = PATIENT | {"weight_kind": "live", "discovery": "pushed", "fleet_size": 20}
+def test_switch_to_new_settings_and_back_under_steady_load_loses_nothing(tmp_path):
+    new_settings = PATIENT | {"weight_kind": "live", "discovery": "pushed", "fleet_size": 20}
 
     async def main():
         async with platform(tmp_path) as site:
             raw = json.loads((tmp_path / "config.json").read_text())
             carry = {"carry": {"file": str(tmp_path / "carried")}}
             (tmp_path / "config.json").write_text(json.dumps(raw | carry))
-            (tmp_path / "moved.json").write_text(json.dumps(raw | carry | {"settings": shape}))
+            (tmp_path / "moved.json").write_text(json.dumps(raw | carry | {"settings": new_settings}))
             first = await site.start()
             await asyncio.sleep(0.5)
             moved = await site.upgrade(first, PROXY_CONFIG=str(tmp_path / "moved.json"))
             await asyncio.sleep(1.0)
             again = await site.upgrade(
                 moved, PROXY_CONFIG=str(tmp_path / "moved.json")
-            )  # within the new shape
+            )  # with the same new settings
             await asyncio.sleep(0.5)
             back = await site.upgrade(again)
             await asyncio.sleep(0.5)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' door, the figures and sending clients away, on loopback and without a bench."""
+"""The operators' endpoint, the reported metrics and draining clients, on loopback and without a bench."""
 
 import asyncio
 import itertools
@@ -19,41 +19,41 @@
 
 
 class Operated(Site):
-    """A site whose agent has a door."""
+    """A site whose agent has an operators' endpoint."""
 
     async def __aenter__(self):
         await super().__aenter__()
-        self.door = OperatorEndpoint(self.agent, ("127.0.0.1", 0))
-        self.door.open()
+        self.endpoint = OperatorEndpoint(self.agent, ("127.0.0.1", 0))
+        self.endpoint.open()
         return self
 
     async def __aexit__(self, *failed):
-        self.door.close()
+        self.endpoint.close()
         await super().__aexit__(*failed)
 
     async def call(self, method: bytes, path: bytes, more=b"", body=b"") -> tuple[int, bytes, bytes]:
-        """Status, head and body of one call at the door; the door ends the connection."""
-        reader, writer = await asyncio.open_connection(*self.door.address)
+        """Status, head and body of one request to the endpoint, which closes the connection."""
+        reader, writer = await asyncio.open_connection(*self.endpoint.address)
         writer.write(method + b" " + path + b" HTTP/1.1\r\nHost: x\r\n" + more + b"\r\n" + body)
         answer = await asyncio.wait_for(reader.read(), 5)
         writer.close()
-        head, _, said = answer.partition(b"\r\n\r\n")
-        return int(head.split()[1]), head, said
+        head, _, body_received = answer.partition(b"\r\n\r\n")
+        return int(head.split()[1]), head, body_received
 
-    async def figures(self) -> dict:
-        code, _, said = await self.call(b"GET", b"/_vars")
+    async def metrics(self) -> dict:
+        code, _, text = await self.call(b"GET", b"/_vars")
         assert code == 200
-        return json.loads(said)
+        return json.loads(text)
 
 
 def code(answer: bytes) -> int:
     return int(answer.split()[1])
 
 
-# What is said to clients: the state machine beside its table.
+# The state reported to clients: the state machine against its table.
 
 
-def test_the_standing_follows_its_table_whatever_the_order_of_events():
+def test_state_follows_its_table_in_any_order_of_events():
     events = {
         "listed": lambda s: setattr(s, "listed", True),
         "on": lambda s: s.drain(1000.0),
@@ -70,7 +70,7 @@
                 drained = drained or (1000.0 if name == "on" else 5000.0)
             if name == "off":
                 drained = None
-            wanted = (
+            expected = (
                 State.STOPPING
                 if stopping
                 else State.DRAINED
@@ -79,8 +79,8 @@
                 if listed
                 else State.UNLISTED
             )
-            assert standing.state is wanted
-            assert standing.ready == (wanted is State.SERVING)
+            assert standing.state is expected
+            assert standing.ready == (expected is State.SERVING)
             assert standing.parting == (stopping or drained is not None)
             assert not standing.takes_clients
             standing.accepting = True
@@ -88,15 +88,15 @@
             standing.accepting = False
             for late in (-1.0, 0.0):
                 assert standing.closes_idle((drained or 0.0) + SETTLES + late) == (
-                    wanted is State.DRAINED and late == 0.0
+                    expected is State.DRAINED and late == 0.0
                 )
 
 
-# The door.
+# The endpoint.
 
 
 @pytest.mark.parametrize(
-    "method, path, more, body, wanted, says_too",
+    "method, path, more, body, expected, contained",
     [
         (b"GET", b"/_ready", b"", b"", 200, b"yes"),
         (b"GET", b"/_ready?x=1", b"", b"", 200, b"yes"),
@@ -117,19 +117,19 @@
         (b"GET", b"/_ready", b"X: " + b"x" * 20_000 + b"\r\n", b"", 413, b"too large"),
     ],
 )
-def test_each_call_at_the_door_has_its_answer(method, path, more, body, wanted, says_too):
+def test_each_request_has_its_response(method, path, more, body, expected, contained):
     async def work():
         async with Operated(target("s-1", "127.0.0.1:9")) as site:
-            status, head, said = await site.call(method, path, more, body)
-            assert status == wanted and says_too in head + said and b"Connection: close" in head
+            status, head, text = await site.call(method, path, more, body)
+            assert status == expected and contained in head + text and b"Connection: close" in head
             assert (site.agent.standing.drained_at is not None) == (
-                path == b"/_lameduck/on" and wanted == 200
+                path == b"/_lameduck/on" and expected == 200
             )
 
     run(work())
 
 
-def test_the_door_says_no_until_there_is_a_list():
+def test_endpoint_is_not_ready_until_there_is_a_list():
     async def work():
         async with Operated() as site:
             assert (await site.call(b"GET", b"/_ready"))[0] == 503
@@ -138,19 +138,19 @@
     run(work())
 
 
-def test_callers_that_hold_a_connection_lock_nobody_out_and_get_their_end():
+def test_idle_connections_lock_nobody_out_and_are_closed():
     async def work():
         async with Operated(target("s-1", "127.0.0.1:9")) as site:
-            held = [await asyncio.open_connection(*site.door.address) for _ in range(3 * MAX_CONNECTIONS)]
+            held = [await asyncio.open_connection(*site.endpoint.address) for _ in range(3 * MAX_CONNECTIONS)]
             for _, writer in held[::2]:
                 writer.write(b"GET /_re")
             started = time.monotonic()
             assert (await site.call(b"GET", b"/_ready"))[0] == 200
             assert time.monotonic() - started < 1.0
-            assert len(site.door._held) <= MAX_CONNECTIONS
+            assert len(site.endpoint._connections) <= MAX_CONNECTIONS
             ends = [await asyncio.wait_for(reader.read(), 5) for reader, _ in held]
             assert all(not end or code(end) == 408 for end in ends) and any(ends)
-            while site.door._held:
+            while site.endpoint._connections:
                 await asyncio.sleep(0)
             for _, writer in held:
                 writer.close()
@@ -158,7 +158,7 @@
     run(work())
 
 
-def test_a_full_agent_still_answers_its_operators():
+def test_agent_at_its_client_limit_still_answers_operators():
     async def work():
         settings = {"limits": {"memory_mb": 64, "sockets": 40}}
         async with Operated(target("s-1", "127.0.0.1:9"), **settings) as site:
@@ -174,10 +174,10 @@
     run(work())
 
 
-# The figures.
+# Metrics.
 
 
-def test_the_figures_agree_with_what_the_peers_saw():
+def test_metrics_agree_with_what_the_peers_saw():
     async def work():
         asked, hold = 0, asyncio.Event()
 
@@ -196,29 +196,29 @@
             assert code(await site.ask(look(name=b"bad2"))) == 429
             assert code(await site.ask(look(kind=b"nothing"))) == 400
             slow = asyncio.create_task(site.ask(look(name=b"slow1")))
-            while (await site.figures())["concurrent"] != 1:
+            while (await site.metrics())["concurrent"] != 1:
                 pass
-            said = await site.figures()
-            assert said["success"] == {"look": 7, "pay": 0} and said["error"] == {"look": 0, "pay": 1}
-            assert said["overload"] == {"look": 1, "pay": 0}
-            assert said["dispatches"] == asked and said["targets"] == 1
+            report = await site.metrics()
+            assert report["success"] == {"look": 7, "pay": 0} and report["error"] == {"look": 0, "pay": 1}
+            assert report["overload"] == {"look": 1, "pay": 0}
+            assert report["dispatches"] == asked and report["targets"] == 1
             hold.set()
             assert code(await slow) == 200
-            while (said := await site.figures())["concurrent"]:
+            while (report := await site.metrics())["concurrent"]:
                 pass
-            assert said["success"]["look"] == 8
-            assert site.agent.counters.snapshot()["written"] == said["dispatches"] == asked
+            assert report["success"]["look"] == 8
+            assert site.agent.counters.snapshot()["written"] == report["dispatches"] == asked
 
     run(work())
 
 
-def test_a_report_names_every_product_and_never_avoids_more_than_is_listed():
+def test_report_names_every_product_and_counts_at_most_the_listed_backends_as_avoided():
     counters = Counters()
     counters.told("fulfilled", "a")
     counters.told("left", "a")
     counters.told("no room", None)
-    said = metrics.report(["a", "b"], counters, 2, 3)
-    assert said == {
+    report = metrics.report(["a", "b"], counters, 2, 3)
+    assert report == {
         "success": {"a": 1, "b": 0},
         "overload": {"a": 0, "b": 0},
         "error": {"a": 0, "b": 0},
@@ -231,10 +231,10 @@
     assert counters.outcomes[Outcome.FULFILLED]["a"] == 1
 
 
-# Sending clients away.
+# Draining clients.
 
 
-def test_a_drain_says_no_ends_connections_with_answers_and_closes_idle_ones():
+def test_drain_reports_not_ready_closes_connections_after_answers_and_idle_ones():
     async def work():
         async with Peer(says(OK)) as backend, Operated(target("s-1", backend.address)) as site:
             busy, idle, silent = [await site.client() for _ in range(3)]
@@ -244,13 +244,13 @@
             assert (await site.call(b"POST", b"/_lameduck/on"))[0] == 200
             assert code(await site.ask(READY)) == 503
             answer = await site.ask(look(), busy)
-            assert code(answer) == 200 and b"Connection: close" in answer  # served, and sent away
+            assert code(answer) == 200 and b"Connection: close" in answer  # served, then closed
             assert await asyncio.wait_for(busy[0].read(), 1) == b""
             for reader, _ in (idle, silent):
                 assert await asyncio.wait_for(reader.read(), 3) == b""
-            assert code(await site.ask(look())) == 200  # what still comes is served
-            assert (await site.call(b"GET", b"/_ready"))[0] == 200  # the process runs on
-            assert (await site.call(b"POST", b"/_lameduck/on"))[0] == 200  # once more changes nothing
+            assert code(await site.ask(look())) == 200  # new calls are still served
+            assert (await site.call(b"GET", b"/_ready"))[0] == 200  # the process keeps running
+            assert (await site.call(b"POST", b"/_lameduck/on"))[0] == 200  # repeating it changes nothing
             assert (await site.call(b"POST", b"/_lameduck/off"))[0] == 200
             back = await site.client()
             assert code(await site.ask(READY, back)) == 200
@@ -259,7 +259,7 @@
     run(work())
 
 
-def test_off_right_after_on_closes_nothing():
+def test_drain_turned_off_at_once_closes_nothing():
     async def work():
         async with Peer(says(OK)) as backend, Operated(target("s-1", backend.address)) as site:
             client = await site.client()
@@ -273,14 +273,14 @@
     run(work())
 
 
-def test_the_door_says_yes_only_once_clients_can_connect():
+def test_endpoint_is_ready_only_once_clients_can_connect():
     async def work():
         async with Operated(target("s-1", "127.0.0.1:9")) as site:
             second = Agent(site.agent.config, site.agent.log)
-            site.door.close()
-            site.door = OperatorEndpoint(second, ("127.0.0.1", 0))
-            site.door.open()
-            starting = asyncio.create_task(second.start(hear_first=0.2))  # the directory says nothing
+            site.endpoint.close()
+            site.endpoint = OperatorEndpoint(second, ("127.0.0.1", 0))
+            site.endpoint.open()
+            starting = asyncio.create_task(second.start(hear_first=0.2))  # the directory stays silent
             while not second.standing.listed:
                 await asyncio.sleep(0)
             assert (await site.call(b"GET", b"/_ready"))[0] == 503 and not starting.done()
--- a/tests/test_show.py
+++ b/tests/test_show.py
@@ -1,4 +1,4 @@
-"""`lupinreach fleet show`: two agents on sockets that know of each other, and where they disagree."""
+"""`lupinreach fleet show`: two agents on sockets that know of each other, and their disagreements."""
 
 import asyncio
 import json
@@ -14,19 +14,19 @@
 
 
 def ports(many):
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(many)]
-    for one in held:
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(many)]
+    for one in sockets:
         one.bind(("127.0.0.1", 0))
-    found = [one.getsockname()[1] for one in held]
-    for one in held:
+    found = [one.getsockname()[1] for one in sockets]
+    for one in sockets:
         one.close()
     return found
 
 
-def test_two_agents_are_shown_side_by_side_and_one_that_is_alone_says_so(tmp_path):
+def test_agents_are_shown_side_by_side_with_reasons_for_missing_ones(tmp_path):
     async def work():
         peers = [f"127.0.0.1:{port}" for port in ports(2)]
-        sites, doors = [], []
+        sites, endpoints = [], []
         for n in range(3):
             own = (
                 {
@@ -41,36 +41,46 @@
             )
             sites.append(site := await Site(target("s1", "127.0.0.1:1"), **own).__aenter__())
             restore_state(site.agent)
-            site.agent.directory.start(site.agent.config.known)  # as if it had been taken up before the start
-            doors.append(door := OperatorEndpoint(site.agent, ("127.0.0.1", 0)))
-            door.open()
+            site.agent.directory.start(
+                site.agent.config.known
+            )  # as if the state had been restored before the start
+            endpoints.append(endpoint := OperatorEndpoint(site.agent, ("127.0.0.1", 0)))
+            endpoint.open()
         await sites[0].ask(look())
         await asyncio.sleep(1.0)
-        words = ["fleet", "show", *(f"127.0.0.1:{door.address[1]}" for door in doors), "127.0.0.1:1"]
-        said = await asyncio.to_thread(command, *words)
-        for site, door in zip(sites, doors, strict=True):
-            door.close()
+        arguments = [
+            "fleet",
+            "show",
+            *(f"127.0.0.1:{endpoint.address[1]}" for endpoint in endpoints),
+            "127.0.0.1:1",
+        ]
+        result = await asyncio.to_thread(command, *arguments)
+        for site, endpoint in zip(sites, endpoints, strict=True):
+            endpoint.close()
             await site.__aexit__(None, None, None)
-        return said, words
+        return result, arguments
 
-    said, words = asyncio.run(asyncio.wait_for(work(), 30))
-    found = json.loads(said.stdout)
+    result, arguments = asyncio.run(asyncio.wait_for(work(), 30))
+    found = json.loads(result.stdout)
     assert (
-        said.returncode == 1
-        and set(found["agents"]) == set(words[2:4])
-        and set(found["silent"]) == set(words[4:])
+        result.returncode == 1
+        and set(found["agents"]) == set(arguments[2:4])
+        and set(found["silent"]) == set(arguments[4:])
     )
-    for held in found["agents"].values():
+    for report in found["agents"].values():
         assert (
-            held["standing"] == 2
-            and held["shared"]["stage"] == "fresh"
-            and held["shared"]["trials_per_s"] > 0
+            report["standing"] == 2
+            and report["shared"]["stage"] == "fresh"
+            and report["shared"]["trials_per_s"] > 0
         )
-    assert "no fleet is configured" in found["silent"][words[4]] and "refused" in found["silent"][words[5]]
-    assert "no fleet is configured" in said.stderr and len(said.stderr.splitlines()) >= 5
+    assert (
+        "no fleet is configured" in found["silent"][arguments[4]]
+        and "refused" in found["silent"][arguments[5]]
+    )
+    assert "no fleet is configured" in result.stderr and len(result.stderr.splitlines()) >= 5
 
 
-def held(**more):
+def fleet_report(**more):
     shared = {
         "stage": "fresh",
         "rows": 3,
@@ -99,13 +109,29 @@
         ({"floor": 40}, "floor: 2 of 3 hold 60; c 40"),
         ({"drains": [9]}, "backend 9 drains: not known at a, b"),
         ({"agents": {"0": [2, "gone"]}}, "agent 0: there at a, there at b, gone at c"),
-        ({"shared": held()["shared"] | {"customers_per_s": [4.0, 8.0]}}, "customer 1: 2 a s at a, 8 at c"),
+        (
+            {"shared": fleet_report()["shared"] | {"customers_per_s": [4.0, 8.0]}},
+            "customer 1: 2 a s at a, 8 at c",
+        ),
     ],
 )
-def test_each_disagreement_is_told_by_who_holds_what(more, line):
-    assert disagreements({"a": held(), "b": held(), "c": held()}) == []
-    assert disagreements({"a": held(), "b": held(), "c": held(**more)}) == [line]
+def test_each_disagreement_is_reported_with_the_differing_agents(more, line):
+    assert disagreements({"a": fleet_report(), "b": fleet_report(), "c": fleet_report()}) == []
+    assert disagreements({"a": fleet_report(), "b": fleet_report(), "c": fleet_report(**more)}) == [line]
 
 
-def test_an_agent_s_line_holds_its_stage_and_what_it_makes_of_others_word():
-    assert row(held()) == ["full", "2", "sound", "3", "60", "60", "0", "fresh", "3", "77 2.5", "1", "0.500"]
+def test_row_shows_stage_and_conclusions_from_shared_state():
+    assert row(fleet_report()) == [
+        "full",
+        "2",
+        "sound",
+        "3",
+        "60",
+        "60",
+        "0",
+        "fresh",
+        "3",
+        "77 2.5",
+        "1",
+        "0.500",
+    ]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
 # The file.
 
 
-def test_a_file_reads_back_and_everything_else_is_no_file():
+def test_file_round_trips_and_anything_else_is_ignored():
     one = Process(7, 99)
     text = succession.encode(one)
     assert succession.decode(text) == one
@@ -30,7 +30,7 @@
         assert succession.decode(other) is None
 
 
-def test_a_stale_file_counts_for_nothing(tmp_path):
+def test_stale_file_is_ignored(tmp_path):
     ours = Succession(str(tmp_path), "n/1")
     assert ours.other() is None and ours.take_over() and ours.other() is None
     (path,) = tmp_path.iterdir()
@@ -39,12 +39,12 @@
     path.write_bytes(succession.encode(there))
     assert ours.other() == there
     assert Succession(str(tmp_path), "another").other() is None
-    path.write_bytes(succession.encode(there._replace(started=there.started - 1)))  # the pid came again
+    path.write_bytes(succession.encode(there._replace(started=there.started - 1)))  # the pid was reused
     assert ours.other() is None
     path.write_bytes(succession.encode(there))
     child.kill()
     os.waitid(os.P_PID, child.pid, os.WEXITED | os.WNOWAIT)
-    assert ours.other() is None  # only its remains are there
+    assert ours.other() is None  # only a zombie is left
     child.wait()
     child.stdin.close()
     assert ours.other() is None
@@ -53,17 +53,17 @@
     assert [p.name for p in tmp_path.iterdir()] == [path.name]
 
 
-def test_without_a_folder_there_is_no_other(tmp_path):
+def test_without_a_folder_there_is_no_succession(tmp_path):
     for folder in (None, str(tmp_path / "none")):
-        nowhere = Succession(folder, "n")
-        assert nowhere.other() is None and not nowhere.take_over()
+        succession_without_folder = Succession(folder, "n")
+        assert succession_without_folder.other() is None and not succession_without_folder.take_over()
 
 
 # The descriptor.
 
 
 @pytest.mark.parametrize("kind", ["none", "word", "closed", "file", "not listening", "datagrams"])
-def test_a_faulty_descriptor_is_named_and_ends_the_start(tmp_path, kind):
+def test_invalid_descriptor_is_named_and_ends_the_start(tmp_path, kind):
     sock = socket.socket(type=socket.SOCK_DGRAM if kind == "datagrams" else socket.SOCK_STREAM)
     with sock, open(tmp_path / "file", "w") as file:
         number = {"none": "", "word": "four", "closed": "987", "file": str(file.fileno())}.get(
@@ -92,20 +92,20 @@
     assert done.returncode == 2 and "PROXY_FD" in done.stderr
 
 
-# The clients of the platform.
+# The test clients.
 
 
-@pytest.mark.parametrize("turns", range(8))
-def test_a_client_whose_answer_comes_as_it_is_ended_ends(tmp_path, monkeypatch, turns):
-    """Guards against a client that goes on for ever, and a test that waits for it until its time is up."""
+@pytest.mark.parametrize("yields", range(8))
+def test_client_cancelled_as_its_answer_arrives_ends(tmp_path, monkeypatch, yields):
+    """Guards against a client that swallows its cancellation and keeps a test waiting until its timeout."""
 
     async def work():
         reader = asyncio.StreamReader()
-        asked = asyncio.Event()
+        written = asyncio.Event()
 
         class Writer:
             def write(self, raw):
-                asked.set()
+                written.set()
 
         async def opened(*address):
             return reader, Writer()
@@ -114,9 +114,9 @@
         site = Platform(tmp_path, "127.0.0.1:9", "127.0.0.1:9")
         site.listening.close()
         client = asyncio.create_task(site.ask_on(0))
-        await asked.wait()
+        await written.wait()
         reader.feed_data(OK)
-        for _ in range(turns):
+        for _ in range(yields):
             await asyncio.sleep(0)
         client.cancel()
         await asyncio.wait([client], timeout=1)
@@ -128,7 +128,7 @@
 # The upgrade.
 
 
-def test_upgrades_in_a_row_under_steady_clients_lose_nothing_and_run_no_payment_twice(tmp_path):
+def test_consecutive_upgrades_under_steady_load_lose_nothing_and_run_no_payment_twice(tmp_path):
     async def work():
         async with platform(tmp_path) as site:
             process = await site.start()
@@ -137,12 +137,14 @@
             seen = site.seen
             assert set(seen.answers) == {200} and seen.answers[200] > 200
             assert seen.lost == 0 and max(seen.runs.values()) == 1
-            assert seen.turned_back <= 2 * 3  # one that crosses with a close is written again, unheard
+            assert (
+                seen.turned_back <= 2 * 3
+            )  # a request that crosses with a close is written again, unprocessed
 
     run(work())
 
 
-def test_a_new_process_that_dies_before_its_yes_changes_nothing(tmp_path):
+def test_new_process_that_dies_before_it_is_ready_changes_nothing(tmp_path):
     async def work():
         async with platform(tmp_path) as site:
             old = await site.start()
@@ -153,17 +155,17 @@
             while site.seen.answers[200] < before + 50:
                 await asyncio.sleep(0.01)
             assert old.returncode is None and site.seen.lost == site.seen.turned_back == 0
-            await site.upgrade(old)  # and the next one succeeds
+            await site.upgrade(old)  # the next upgrade succeeds
             assert site.seen.lost == 0
 
     run(work())
 
 
-def test_a_sigterm_before_the_new_process_has_said_yes_leaves_the_queue_to_it(tmp_path):
+def test_sigterm_before_the_new_process_is_ready_leaves_the_accept_queue_to_it(tmp_path):
     async def work():
         async with platform(tmp_path) as site:
             old = await site.start()
-            new, door = await site.spawn()
+            new, _address = await site.spawn()
             old.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(old.wait(), WAITS) == 0
             before = site.seen.answers[200]
@@ -174,7 +176,7 @@
     run(work())
 
 
-def test_an_old_file_in_the_folder_does_not_make_a_lone_process_wait_or_leave_early(tmp_path):
+def test_old_file_does_not_make_a_single_process_wait_or_stop_early(tmp_path):
     async def work():
         async with platform(tmp_path, clients=False) as site:
             (tmp_path / "lupinreach-n_1.serving").write_bytes(succession.encode(Process(1, 0)))
--- a/tests/upgrading.py
+++ b/tests/upgrading.py
@@ -1,4 +1,4 @@
-"""A platform that upgrades real agents on a shared listening socket, and clients that never pause."""
+"""A test platform that upgrades real agents on a shared listening socket, with clients that send continuously."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).parent.parent
 ID = re.compile(rb"(?i)req-id: *(\S+)")
 CLIENTS = 8
-# Wide, so that a machine that stands still for a moment makes no call late and no backend slow.
+# Long, so that a short stall of the machine makes no call late and no backend slow.
 PATIENT = AGENT_SETTINGS | {
     "categories": [c | {"aim": 4000.0, "give_up": 10_000.0} for c in AGENT_SETTINGS["categories"]]
 }
@@ -32,10 +32,8 @@
     """What clients and backends saw."""
 
     answers: Counter[int] = field(default_factory=Counter)
-    turned_back: int = (
-        0  # requests that met the end of a connection that carried others, and were written once more
-    )
-    lost: int = 0  # requests that a fresh connection did not answer
+    turned_back: int = 0  # requests on a reused connection that was closed, written again on a new one
+    lost: int = 0  # requests without an answer on a fresh connection
     runs: Counter[bytes] = field(default_factory=Counter)  # by id
 
 
@@ -59,14 +57,14 @@
         (folder / "config.json").write_text(json.dumps(raw))
 
     async def spawn(self, **more: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-        """A process, and the address of its door."""
-        with socket.create_server(("127.0.0.1", 0)) as found:
-            door = found.getsockname()
+        """Starts a process; returns it and the address of its operators' endpoint."""
+        with socket.create_server(("127.0.0.1", 0)) as reserved:
+            operator_address = reserved.getsockname()
         variables = {
             "PROXY_CONFIG": str(self.folder / "config.json"),
             "TMPDIR": str(self.folder),
             "PROXY_FD": str(self.listening.fileno()),
-            "PROXY_MGMT": f"{door[0]}:{door[1]}",
+            "PROXY_MGMT": f"{operator_address[0]}:{operator_address[1]}",
         }
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -79,36 +77,39 @@
             stderr=asyncio.subprocess.PIPE,
         )
         self.processes.append(process)
-        return process, door
+        return process, operator_address
 
     async def start(self, **more: str) -> asyncio.subprocess.Process:
-        """A process that has said yes."""
-        process, door = await self.spawn(**more)
-        while not await says_yes(door):
+        """Starts a process and waits until it is ready."""
+        process, operator_address = await self.spawn(**more)
+        while not await is_ready(operator_address):
             assert process.returncode is None
             await asyncio.sleep(0.01)
         return process
 
     async def upgrade(self, old: asyncio.subprocess.Process, **more: str) -> asyncio.subprocess.Process:
+        """Replaces a process by a new one."""
         new = await self.start(**more)
         old.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(old.wait(), WAITS) == 0
         return new
 
     async def ask_on(self, number: int) -> None:
-        """One client: a request after the other, on one connection for as long as it stays open."""
+        """One client: sends one request after the other, on one connection for as long as it stays open."""
         connection = None
         while True:
             number += CLIENTS
             raw = look(**PAY, deadline=b"%.1f" % WAITS) if number % 2 else look(deadline=b"%.1f" % WAITS)
             for _ in range(3):
                 if connection is not None and connection[0].at_eof():
-                    connection = None  # closed between two requests, and seen to be
+                    connection = None  # closed between two requests
                 fresh = connection is None
                 reader, writer = connection = connection or await asyncio.open_connection(*self.address)
                 try:
                     writer.write(raw)
-                    async with asyncio.timeout(WAITS):  # not wait_for: it may swallow the end of the client
+                    async with asyncio.timeout(
+                        WAITS
+                    ):  # not wait_for, which may swallow the client's cancellation
                         answer = await read_http(reader)
                 except (asyncio.IncompleteReadError, ConnectionError, TimeoutError):
                     connection = None
@@ -124,13 +125,13 @@
 
 
 def backends(address: str) -> list[dict]:
-    """As many at the one address as the clients fill the bounds of."""
+    """One listed backend per client, all at one address, so that the clients fit their limits."""
     return [target(f"s-{i}", address) for i in range(CLIENTS)]
 
 
-async def says_yes(door: tuple[str, int], path: bytes = b"/_ready") -> bool:
+async def is_ready(operator_address: tuple[str, int], path: bytes = b"/_ready") -> bool:
     try:
-        reader, writer = await asyncio.open_connection(*door)
+        reader, writer = await asyncio.open_connection(*operator_address)
         writer.write(b"GET " + path + b" HTTP/1.1\r\n\r\n")
         answer = await asyncio.wait_for(reader.read(), 2)
         writer.close()
@@ -141,7 +142,7 @@
 
 @asynccontextmanager
 async def platform(folder: Path, clients: bool = True):
-    """A platform with one backend, a silent directory and, if wanted, clients that ask from the start on."""
+    """A platform with one backend, a silent directory and, on request, clients that send from the start."""
     seen = Seen()
 
     async def script(request, writer):
