--- a/lupinreach/fleet/counts.py
+++ b/lupinreach/fleet/counts.py
@@ -1,21 +1,27 @@
 """Fleet-wide request rates by customer, derived from grow-only counters. Pure.
 
-Each agent counts the API calls of each customer since its incarnation began. A row holds such a count and the time of the count by the
-counting agent's own clock. Rows are merged by agent, incarnation and cell, and the later one wins, so duplicated, delayed or reordered rows change nothing.
-A rate is the difference of two counts of one incarnation divided by the time between them on the counting agent's clock, so network delay
-does not affect it. When an incarnation ends, its calls are neither lost nor counted twice: its last rate fades like that of any agent that falls silent.
+Each agent counts the API calls of each customer since its incarnation began. A row holds such a count and the
+time of the count by the counting agent's own clock. Rows are merged by agent, incarnation and cell, and the
+later one wins, so duplicated, delayed or reordered rows change nothing. A rate is the difference of two
+counts of one incarnation divided by the time between them on the counting agent's clock, so network delay
+does not affect it. When an incarnation ends, its calls are neither lost nor counted twice: its last rate
+fades like that of any agent that falls silent.
 
-Up to `MAX_CELLS` customers have a cell each. More customers share a sketch of `SKETCH_ROWS` rows: a customer's rate is the minimum over its cells.
-It is never below the true rate, and exceeds it by more than 2 / SKETCH_WIDTH of the total with a probability of at most 2^-SKETCH_ROWS
-(Cormode and Muthukrishnan's count-min sketch).
+Up to `MAX_CELLS` customers have a cell each. More customers share a sketch of `SKETCH_ROWS` rows: a
+customer's rate is the minimum over its cells. It is never below the true rate, and exceeds it by more than 2
+/ SKETCH_WIDTH of the total with a probability of at most 2^-SKETCH_ROWS (Cormode and Muthukrishnan's
+count-min sketch).
 
-The last rate of a silent agent is held for `HOLD_WINDOWS`, then fades within `FADE_WINDOWS`. Its actual rate may be anything meanwhile, so
-what others assume is an estimate that expires. With asked_a(s, t) the calls that agent a received from s to t, the following holds under
-message loss, delay, duplication and partitions:
+The last rate of a silent agent is held for `HOLD_WINDOWS`, then fades within `FADE_WINDOWS`. Its actual rate
+may be anything meanwhile, so what others assume is an estimate that expires. With asked_a(s, t) the calls
+that agent a received from s to t, the following holds under message loss, delay, duplication and partitions:
 
-    rate(t)  <=  rate_bound(...) = sum over a of the greatest asked_a(s, u) / (u - s) of two moments t - `BOUND_WINDOWS` windows <= s < u <= t at which a counted
+    rate(t)  <=  rate_bound(...) = sum over a of the greatest asked_a(s, u) / (u - s)
 
-The checker verifies this bound: no call is counted twice. The rate can be too low by whatever has not been received.
+of two moments t - `BOUND_WINDOWS` windows <= s < u <= t at which a counted.
+
+The checker verifies this bound: no call is counted twice. The rate can be too low by whatever has not been
+received.
 """
 
 from __future__ import annotations
@@ -45,7 +51,10 @@
 
 
 def rate_bound(now: float, histories: Iterable[Sequence[tuple[float, int]]], window: float) -> float:
-    """Upper bound of any agent's estimate of the fleet's rate per s; `histories` has (ms, total count) points for each incarnation."""
+    """Upper bound of any agent's estimate of the fleet's rate per s.
+
+    `histories` has (ms, total count) points for each incarnation.
+    """
     total = 0.0
     for incarnation in histories:
         points = [(at, count) for at, count in incarnation if now - BOUND_WINDOWS * window <= at <= now]
@@ -86,7 +95,10 @@
 
 
 class Counts:
-    """One agent's table of rows, including its own. Bounded by `MAX_ROWS`; a row is removed once it has faded."""
+    """One agent's table of rows, including its own.
+
+    Bounded by `MAX_ROWS`; a row is removed once it has faded.
+    """
 
     def __init__(self, me: int, customers: int, window: float, draw: Callable[[], float]) -> None:
         """`window` in ms."""
@@ -104,7 +116,10 @@
             self._own[cell] = self._own.get(cell, 0) + 1
 
     def refresh(self, now: float, incarnation: int, age: float) -> None:
-        """Turns the own counts into rows and removes faded rows, once per sharing interval; `age` is that of this incarnation, ms."""
+        """Turns the own counts into rows and removes faded rows, once per sharing interval.
+
+        `age` is that of this incarnation, ms.
+        """
         for cell, total in self._own.items():
             self._merge(now, Count(self.me, incarnation, cell, total, age, 0.0))
         for key in [
--- a/lupinreach/fleet/grants.py
+++ b/lupinreach/fleet/grants.py
@@ -1,20 +1,25 @@
-"""Fleet-wide budgets as shares that agents lend to each other, without a leader. In any partition the total is not exceeded. Pure.
+"""Fleet-wide budgets as shares that agents lend to each other, without a leader. Pure.
 
-A budget is a rate, `total`, of which each of n agents owns total / n. An owner lends what it doesn't use for the duration of a lease, and keeps
-`UNLENT_SHARE` of its own share, so that an agent that nobody hears is never starved. It reclaims nothing before the lease has ended by its own
-clock. The borrower counts its lease from the moment of its request, which is before the owner received it, and uses a shorter lease, so that clocks
-whose rates are off by up to `DRIFT` in either direction don't matter:
+The total is not exceeded under any partition.
+
+A budget is a rate, `total`, of which each of n agents owns total / n. An owner lends what it doesn't use for
+the duration of a lease, and keeps `UNLENT_SHARE` of its own share, so that an agent that nobody hears is
+never starved. It reclaims nothing before the lease has ended by its own clock. The borrower counts its lease
+from the moment of its request, which is before the owner received it, and uses a shorter lease, so that
+clocks whose rates are off by up to `DRIFT` in either direction don't matter:
 
     borrower's lease = lease x (1 - DRIFT) / (1 + DRIFT)
 
-A message that is lost, duplicated or late lends nothing twice: each request has a number, and its answer is the same however often it is
-repeated. A new incarnation doesn't know what the previous one has lent, so for the length of one lease it uses only its unlent share. At every
-moment, for any number of partitions, losses, restarts and incarnations:
+A message that is lost, duplicated or late lends nothing twice: each request has a number, and its answer is
+the same however often it is repeated. A new incarnation doesn't know what the previous one has lent, so for
+the length of one lease it uses only its unlent share. At every moment, for any number of partitions, losses,
+restarts and incarnations:
 
     total x UNLENT_SHARE  <=  what all agents together may use  <=  total
 
-Two processes of one agent count as one only as far as they know of each other. Until the older one has heard of the newer one and
-stops, each has its own share, and the upper bound is (1 + twins / n) x total, `upper_bound()`.
+Two processes of one agent count as one only as far as they know of each other. Until the older one has heard
+of the newer one and stops, each has its own share, and the upper bound is (1 + twins / n) x total,
+`upper_bound()`.
 """
 
 from __future__ import annotations
@@ -32,7 +37,10 @@
 
 
 def upper_bound(total: float, agents: int, twins: int = 0) -> float:
-    """The most that all agents together may use; `twins` is the number of second processes that their agents don't know of."""
+    """The most that all agents together may use.
+
+    `twins` is the number of second processes that their agents don't know of.
+    """
     return total * (1 + twins / agents)
 
 
@@ -51,7 +59,10 @@
     """One agent's share of one budget, with what it has lent and borrowed."""
 
     def __init__(self, now: float, total: float, agents: int, lease: float, first: bool = False) -> None:
-        """`total` per s over the fleet; `lease` in ms; `first`: no earlier incarnation of this agent can have lent anything."""
+        """`total` per s over the fleet.
+
+        `lease` in ms; `first`: no earlier incarnation of this agent can have lent anything.
+        """
         self.own = total / agents
         self._lease = lease
         self._borrow_for = lease * (1 - DRIFT) / (1 + DRIFT)
@@ -110,7 +121,10 @@
     def grant(
         self, now: float, peer: int, incarnation: int, number: int, wanted: float, spare: float
     ) -> float:
-        """What that peer is lent of `spare`, which this agent doesn't use; a repeated request gets the same answer."""
+        """What that peer is lent of `spare`, which this agent doesn't use.
+
+        A repeated request gets the same answer.
+        """
         self._expire(now)
         key = peer, incarnation, number
         if key in self._lent:
--- a/lupinreach/fleet/incarnation.py
+++ b/lupinreach/fleet/incarnation.py
@@ -1,8 +1,9 @@
 """Incarnation numbers: which process of one agent is the newest. Pure.
 
-An incarnation is a number and a token. The number is one above the highest one that the disk and the peers know. Each process draws its own token,
-so that two incarnations differ even where disk and peers both know too little (an older copy, another agent's disk, no disk, a second
-process on the same disk). Of two incarnations the greater one is the newer one.
+An incarnation is a number and a token. The number is one above the highest one that the disk and the peers
+know. Each process draws its own token, so that two incarnations differ even where disk and peers both know
+too little (an older copy, another agent's disk, no disk, a second process on the same disk). Of two
+incarnations the greater one is the newer one.
 """
 
 from __future__ import annotations
@@ -25,8 +26,9 @@
 
 
 def credible_number(stored: int, claims: Sequence[int]) -> int:
-    """The highest credible number stored on the disk or claimed by peers. An implausibly high claim needs a second peer's.
+    """The highest credible number that the disk holds or peers claim.
 
+    An implausibly high claim needs a second peer's.
     Guards against one faulty or lying peer that would use up all numbers.
     """
     sound = [c for c in claims if c <= stored + MAX_JUMP or sum(other >= c for other in claims) > 1]
@@ -37,7 +39,7 @@
     """The incarnation of this process: raised by peers' claims during startup, never afterwards."""
 
     def __init__(self, stored: int, token: int, stored_heartbeat: int = 0) -> None:
-        """`stored` and `stored_heartbeat` are the incarnation number on the disk, and a heartbeat number that it had not sent yet when it was stored."""
+        """`stored` is the incarnation number on the disk, `stored_heartbeat` its next heartbeat at that time."""
         self.incarnation = Incarnation(credible_number(stored, ()) + 1, token)
         self.settled = False  # the startup query is over: from now on a higher incarnation is another process
         self.superseded = False
@@ -47,17 +49,21 @@
 
     @property
     def behind(self) -> bool:
-        """Whether peers know a later state of an earlier incarnation than the disk: the disk then is an older copy."""
+        """Whether peers know a later state of an earlier incarnation: the disk then is an older copy."""
         return self._seen_by_peers > self._stored
 
     def observe(self, peer: int, other: Incarnation, heartbeat: int = 0) -> bool:
-        """Takes an incarnation of this agent that a peer knows; true if this process's number was raised above it."""
+        """Takes an incarnation of this agent that a peer knows.
+
+        True if this process's number was raised above it.
+        """
         if other.token != self.incarnation.token and not self.settled:
             self._seen_by_peers = max(self._seen_by_peers, (other.number, heartbeat))
         if other <= self.incarnation or other.token == self.incarnation.token:
             return False
         if self.settled:
-            # Guards against two processes that raise their numbers over each other's forever: the older one stops sending.
+            # Guards against two processes that raise their numbers over each other's forever: the older one
+            # stops sending.
             self.superseded = self.superseded or other.number <= self.incarnation.number + MAX_JUMP
             return False
         self._claims[peer] = max(other.number, self._claims.get(peer, 0))
--- a/lupinreach/fleet/membership.py
+++ b/lupinreach/fleet/membership.py
@@ -1,14 +1,19 @@
 """Failure detection: which agents are alive, by heartbeats passed on in digests. Pure.
 
-Each agent numbers its own heartbeats. Once per heartbeat interval it sends the `wire.MAX_MEMBERS` rows that it has sent least often since they
-changed to `FANOUT` randomly drawn peers. The cost per agent is the same in every fleet size; what grows is the time for an update to reach all agents, and
-with it the silence after which an agent is suspected:
+Each agent numbers its own heartbeats. Once per heartbeat interval it sends the `wire.MAX_MEMBERS` rows that
+it has sent least often since they changed to `FANOUT` randomly drawn peers. The cost per agent is the same in
+every fleet size; what grows is the time for an update to reach all agents, and with it the silence after
+which an agent is suspected:
 
-    silence(n) = SUSPECT_AFTER_HEARTBEATS x interval x max(1, n / (FANOUT x MAX_MEMBERS))    suspected after it, dead after twice that
+    silence(n) = SUSPECT_AFTER_HEARTBEATS x interval x max(1, n / (FANOUT x MAX_MEMBERS))
 
-Each row carries the age of its heartbeat, so that all agents measure the same silence, whoever passed the row on.
+After twice that silence an agent is considered dead.
 
-An agent whose own ticks are late, or that receives nothing at all, cannot judge others: it suspects itself first.
+Each row carries the age of its heartbeat, so that all agents measure the same silence, whoever passed the row
+on.
+
+An agent whose own ticks are late, or that receives nothing at all, cannot judge others: it suspects itself
+first.
 """
 
 from __future__ import annotations
@@ -22,7 +27,9 @@
 
 FANOUT = 2  # peers that each heartbeat is sent to
 AGE_STEP_MS = 100.0  # ms per step of a transmitted age
-SUSPECT_AFTER_HEARTBEATS = 16.0  # intervals without a newer heartbeat; among 12 to 100 agents without loss the oldest of 400,000 rows was 10.5
+# Intervals without a newer heartbeat; among 12 to 100 agents without loss the oldest of 400,000 rows was
+# 10.5.
+SUSPECT_AFTER_HEARTBEATS = 16.0
 NEVER_HEARD = Incarnation(0, 0), 0
 LATE_TICK_INTERVALS = 2.0  # intervals between two ticks above which this agent itself was stalled
 
@@ -82,7 +89,8 @@
         else:
             gap = now - self._last_tick
             if gap > LATE_TICK_INTERVALS * self._interval:
-                # Guards against a suspended process that resumes and considers all others dead: it stood still, not they.
+                # Guards against a suspended process that resumes and considers all others dead: it stood
+                # still, not they.
                 self._stalled_until = now + self.silence
                 for row in self._rows.values():
                     row.last_heard += gap
@@ -118,7 +126,10 @@
             self._merge(now - member.age * AGE_STEP_MS, member.agent, member.incarnation, member.heartbeat)
 
     def _merge(self, since: float, agent: int, incarnation: Incarnation, heartbeat: int) -> None:
-        """Keeps the newest heartbeat, dated `since`. Guards against a dead agent's last heartbeat that arrives late and makes it look alive."""
+        """Keeps the newest heartbeat, dated `since`.
+
+        Guards against a dead agent's last heartbeat that arrives late and makes it look alive.
+        """
         if agent == self.me or agent >= self._agents:
             return
         row = self._rows.get(agent)
@@ -126,7 +137,10 @@
             self._rows[agent] = Row(incarnation, heartbeat, max(since, row.last_heard if row else since))
 
     def latest(self, agent: int) -> tuple[Incarnation, int]:
-        """The newest known incarnation of an agent and its last heartbeat; `NEVER_HEARD` is less than any other."""
+        """The newest known incarnation of an agent and its last heartbeat.
+
+        `NEVER_HEARD` is less than any other.
+        """
         row = self._rows.get(agent)
         return (row.incarnation, row.heartbeat) if row else NEVER_HEARD
 
@@ -172,7 +186,10 @@
         )
 
     def draw_targets(self) -> list[int]:
-        """Draws the recipients of the next heartbeat from all configured agents, known or not, so that healed partitions find each other."""
+        """Draws the recipients of the next heartbeat.
+
+        They are drawn from all configured agents, known or not, so that partitions find each other again.
+        """
         found: list[int] = []
         while len(found) < min(FANOUT, self._agents - 1):
             other = min(self._agents - 1, int(self._draw() * self._agents))
--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -1,15 +1,18 @@
-"""Latency observations of backends, passed on among agents: what each agent has measured itself, never what it concluded from others. Pure.
+"""Latency observations of backends, passed on among agents. Pure.
 
-A row is one agent's latency estimate of one backend process: its smoothed latency as a share of the first latency SLO, and the age of its
-last sample. Rows are merged by agent and age, so duplicated, delayed or reordered rows change nothing. The only conclusion
-is a cost factor on a scheduling turn at the backend:
+They hold what each agent has measured itself, never what it concluded from others.
+
+A row is one agent's latency estimate of one backend process: its smoothed latency as a share of the first
+latency SLO, and the age of its last sample. Rows are merged by agent and age, so duplicated, delayed or
+reordered rows change nothing. The only conclusion is a cost factor on a scheduling turn at the backend:
 
     factor(b) = 1 + follow x fade x (min(MAX_COST_FACTOR, median / own) - 1)
 
-The median is the lower one, over the agents of the same zone that observed the backend recently, at least `QUORUM`. `follow` is drawn by
-agent and backend between a half and one, so that agents don't move in step. `fade` falls to zero as the rows age. Own
-samples as fresh as the rows take precedence. At most `MAX_AFFECTED_SHARE` of the ready backends have a factor, the slowest first. So whoever lies, and
-however many, the share of an agent's turns that reports of others can divert is at most
+The median is the lower one, over the agents of the same zone that observed the backend recently, at least
+`QUORUM`. `follow` is drawn by agent and backend between a half and one, so that agents don't move in step.
+`fade` falls to zero as the rows age. Own samples as fresh as the rows take precedence. At most
+`MAX_AFFECTED_SHARE` of the ready backends have a factor, the slowest first. So whoever lies, and however
+many, the share of an agent's turns that reports of others can divert is at most
 
     max_diverted_share() = MAX_AFFECTED_SHARE x (1 - 1 / MAX_COST_FACTOR)
 """
@@ -61,7 +64,11 @@
 
 
 class Observations:
-    """One agent's table of rows. Bounded by `MAX_BACKENDS` and `MAX_REPORTERS`; a row is removed when it is too old or its backend is removed."""
+    """One agent's table of rows.
+
+    Bounded by `MAX_BACKENDS` and `MAX_REPORTERS`; a row is removed when it is too old or its backend is
+    removed.
+    """
 
     def __init__(self, me: int, zone: int, slo: float, draw: Callable[[], float]) -> None:
         """`slo` is the longest latency SLO, ms; `draw` returns random numbers from 0 to 1."""
@@ -78,7 +85,10 @@
     # Input.
 
     def record_own(self, now: float, observations: Iterable[Observation]) -> None:
-        """Takes this agent's own estimates, once per interval; only reports of slow backends are passed on."""
+        """Takes this agent's own estimates, once per interval.
+
+        Only reports of slow backends are passed on.
+        """
         observations = list(observations)
         latencies = sorted(m.relative_latency for m in observations)
         median = latencies[len(latencies) // 2] if latencies else 0.0
@@ -93,7 +103,8 @@
                 and slow_count <= len(observations) / 2
             )
             if slow or key in self._announced:
-                # After a backend was reported as slow, its recovery is reported for as long as others may hold the old row.
+                # After a backend was reported as slow, its recovery is reported for as long as others may
+                # hold the old row.
                 self._merge(now, m)
                 self._announced.add(key)
         self._announced &= self._rows.keys()
@@ -132,7 +143,7 @@
     # Output.
 
     def digest(self, now: float, limit: int) -> tuple[Observation, ...]:
-        """At most `limit` rows for one datagram, those sent least often first, of these this agent's own first."""
+        """At most `limit` rows for one datagram: those sent least often first, and own ones first among equals."""
         rows = [row for each in self._rows.values() for row in each.values() if now - row.at < self.max_age]
         rows.sort(key=lambda row: (row.times_sent, row.met.reporter != self.me, self._draw()))
         for row in rows[:limit]:
@@ -151,8 +162,8 @@
     ) -> dict[tuple[int, int], tuple[float, float]]:
         """By backend and boot: the relative latency that others observed, and its freshness from 0 to 1.
 
-        `own` holds this agent's relative latency and the time of its last sample (ms) for each ready backend that it knows.
-        Rows older than its own last sample are ignored.
+        `own` holds this agent's relative latency and the time of its last sample (ms) for each ready backend
+        that it knows. Rows older than its own last sample are ignored.
         """
         found = {}
         for key, (_, met_at) in own.items():
@@ -168,7 +179,7 @@
     def cost_factors(
         self, now: float, own: Mapping[tuple[int, int], tuple[float, float]]
     ) -> dict[tuple[int, int], float]:
-        """Cost factors by backend and boot, at most `MAX_COST_FACTOR`, for at most `MAX_AFFECTED_SHARE` of those in `own`."""
+        """Cost factors by backend and boot, for at most `MAX_AFFECTED_SHARE` of those in `own`."""
         slower = []
         for key, (figure, fade) in self.estimates(now, own).items():
             own_latency = own[key][0]
--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -1,4 +1,4 @@
-"""How an agent starts up: what it asks its peers, how answers are merged, which backend list it trusts, and its startup stages. Pure."""
+"""How an agent starts up: its query to peers, the trusted backend list, and the startup stages. Pure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 
 QUERIED_PEERS = 5  # peers that a starting agent asks
 LONE_CLAIM_SHARE = 0.25  # share of the ready backends that the claims of one peer alone may withhold
-RESET_AFTER = 3.0  # x the time within which an agent has to ask the registry: one that stays below the floor this long was reset
+# Multiple of the time within which an agent has to ask the registry: one that stays below the floor
+# this long was reset.
+RESET_AFTER = 3.0
 MAX_DRAINS = 1024
 
 
@@ -37,9 +39,12 @@
 
 
 class PeerQuery:
-    """The query of a starting agent to a few peers; over when all have answered completely, or after `within` ms.
+    """The query of a starting agent to a few peers.
 
-    In a fleet where no agent remembers anything nobody waits: an agent that has just started says so at once, in one part.
+    It is over when all have answered completely, or after `within` ms.
+
+    In a fleet where no agent remembers anything nobody waits: an agent that has just started says so at once,
+    in one part.
     """
 
     def __init__(self, now: float, peers: Iterable[int], nonce: int, within: float) -> None:
@@ -77,9 +82,10 @@
 class RevisionFloor:
     """The highest revision that is certainly the registry's, and whether a list is older than that.
 
-    A registry that was reset on purpose stays below the floor; one that came back with an old list catches up or is
-    repaired. Only time tells them apart: `RESET_AFTER` times the time within which an agent has to ask the registry. Until then no
-    backend is dropped because of the old list, and no draining backend gets new calls.
+    A registry that was reset on purpose stays below the floor; one that came back with an old list catches up
+    or is repaired. Only time tells them apart: `RESET_AFTER` times the time within which an agent has to ask
+    the registry. Until then no backend is dropped because of the old list, and no draining backend gets new
+    calls.
     """
 
     def __init__(self, revision: int, within: float) -> None:
@@ -104,7 +110,10 @@
             self.raise_to(claims[1])
 
     def is_older(self, now: float, revision: int) -> bool:
-        """Whether the registry, which has reported this revision, is older than the floor; resets the floor after the waiting time."""
+        """Whether the registry, which has reported this revision, is older than the floor.
+
+        Resets the floor after the waiting time.
+        """
         if revision >= self.revision:
             self.revision, self._below_since = revision, None
             return False
@@ -118,7 +127,10 @@
 
 
 class DrainSet:
-    """Draining backend processes, which get no new calls whatever an older list says. Entries end with a restart, a removal or a lift."""
+    """Draining backend processes, which get no new calls whatever an older list says.
+
+    Entries end with a restart, a removal or a lift.
+    """
 
     def __init__(self, kept: Iterable[Drain] = ()) -> None:
         self._own: dict[Drain, None] = dict.fromkeys(
@@ -134,7 +146,10 @@
         return True
 
     def lift(self, backend: int, boot: int) -> bool:
-        """Ends a drain, since a registry not older than the floor reports the backend as ready or removed; true if there was one."""
+        """Ends a drain, since a registry not older than the floor reports the backend as ready or removed.
+
+        True if there was one.
+        """
         lifted = [d for d in (*self._own, *self._claims) if d.backend == backend and d.boot <= boot]
         for d in lifted:
             self._own.pop(d, None)
@@ -150,22 +165,23 @@
     def drop_claims(self) -> bool:
         """Drops the claims of peers; true if there were any.
 
-        Guards against a false or late claim that no change of the list would ever end. Not done as soon as the registry
-        is past the floor: one that came back with an old list continues from there, and its drains are still missing.
+        Guards against a false or late claim that no change of the list would ever end. Not done as soon as
+        the registry is past the floor: one that came back with an old list continues from there, and its
+        drains are still missing.
         """
         had_claims = bool(self._claims)
         self._claims.clear()
         return had_claims
 
     def all(self) -> list[Drain]:
-        """The drains that this agent passes on: those it has from the registry itself, not those claimed by peers."""
+        """The drains that this agent passes on: those from the registry itself, not peers' claims."""
         return list(self._own)
 
     def withheld(self, ready: Iterable[Drain]) -> set[int]:
         """Names of those of the ready backends (name and boot) that get no new calls.
 
-        A claimed drain counts at once, but the claims of one peer alone withhold at most `LONE_CLAIM_SHARE` of them: guards
-        against a peer that claims that all of them drain.
+        A claimed drain counts at once, but the claims of one peer alone withhold at most `LONE_CLAIM_SHARE`
+        of them: guards against a peer that claims that all of them drain.
         """
         ready = list(ready)
         found = {d.backend for d in ready if d in self._own or len(self._claims.get(d, ())) > 1}
@@ -262,7 +278,10 @@
         return self.stage is Stage.FULL or STAGE_TABLE[self.stage].ready
 
     def advance(self, now: float, facts: StartupFacts) -> list[tuple[Stage, float]]:
-        """Moves on as far as `facts` and the limits allow; the stages that ended, each with its duration in ms."""
+        """Moves on as far as `facts` and the limits allow.
+
+        The stages that ended, each with its duration in ms.
+        """
         passed = []
         while self.stage is not Stage.FULL:
             rule = STAGE_TABLE[self.stage]
--- a/lupinreach/fleet/show.py
+++ b/lupinreach/fleet/show.py
@@ -67,7 +67,7 @@
 
 
 def disagreements(fleet: dict[str, FleetReport]) -> list[str]:
-    """A line for each disagreement between agents: what differs from the majority, or the two that are furthest apart."""
+    """A line for each disagreement: what differs from the majority, or the two agents furthest apart."""
     found = []
     for what in ("floor", "list", "standing"):
         most, times = Counter(report[what] for report in fleet.values()).most_common(1)[0]
--- a/lupinreach/fleet/uptimes.py
+++ b/lupinreach/fleet/uptimes.py
@@ -1,15 +1,19 @@
 """How long cold backends have been up, according to agents that have had answers from them. Pure.
 
-After a power loss the registry may be down, outdated or overloaded, and an agent with little traffic first reaches a backend long after it
-is back: it would treat a backend that has been up for half of its cold time as just started. A row says of one backend how long ago its reporter had the
-first answer of the current process, and the last one. Both are measured by the reporter's own clock and sent as ages, so that a wrong wall clock has no
-effect. Rows are merged by backend and reporter, and the later last answer wins, so duplicated, delayed or reordered rows change nothing.
+After a power loss the registry may be down, outdated or overloaded, and an agent with little traffic first
+reaches a backend long after it is back: it would treat a backend that has been up for half of its cold time
+as just started. A row says of one backend how long ago its reporter had the first answer of the current
+process, and the last one. Both are measured by the reporter's own clock and sent as ages, so that a wrong
+wall clock has no effect. Rows are merged by backend and reporter, and the later last answer wins, so
+duplicated, delayed or reordered rows change nothing.
 
-A claim of a long uptime needs a second reporter: a backend has been up for as long as the second longest of its reporters says, and
+A claim of a long uptime needs a second reporter: a backend has been up for as long as the second longest of
+its reporters says, and
 
     since(b)  >=  max(when this agent started, when it was last refused there)
 
-whoever lies, and however many: `earliest_up_since()`. Where the registry has reported the boot time, none of this applies.
+whoever lies, and however many: `earliest_up_since()`. Where the registry has reported the boot time, none of
+this applies.
 """
 
 from __future__ import annotations
@@ -17,7 +21,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-MIN_REPORTERS = 2  # reporters needed; as many rows are kept for a backend beside the own one, those with the longest uptime
+# Reporters needed; as many rows are kept for a backend beside the own one, those with the longest uptime.
+MIN_REPORTERS = 2
 MAX_BACKENDS = 512  # backends with rows
 
 
@@ -44,7 +49,11 @@
 
 
 class Uptimes:
-    """One agent's table of rows. Bounded by `MAX_BACKENDS` and `MIN_REPORTERS` + 1; a row is removed when it is too old or its backend no longer cold."""
+    """One agent's table of rows.
+
+    Bounded by `MAX_BACKENDS` and `MIN_REPORTERS` + 1; a row is removed when it is too old or its backend no
+    longer cold.
+    """
 
     def __init__(self, me: int, max_age: float, draw: Callable[[], float]) -> None:
         """`max_age` in ms is the largest age of a last answer: as long as backends are cold."""
@@ -108,7 +117,10 @@
         )
 
     def since(self, began: float, refused: Mapping[int, float]) -> dict[int, float]:
-        """Since when (ms) backends have been up by the reports of others; `refused` names the backends, with the time of this agent's last refusal there."""
+        """Since when (ms) backends have been up by the reports of others.
+
+        `refused` names the backends, with the time of this agent's last refusal there.
+        """
         found = {}
         for backend, at in refused.items():
             at = earliest_up_since(began, at)
--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -1,20 +1,25 @@
 """Datagrams between agents, at most 256 bytes each. Pure.
 
-    header     format (1 byte), kind (1), sender (2), incarnation number (4), token (4), heartbeat (4), flags (1), revision (8)
-    HEARTBEAT  header, then members: agent (2), incarnation number (4), token (4), heartbeat (4), age of that heartbeat in 0.1 s (2), 16 bytes each
+    header     format (1 byte), kind (1), sender (2), incarnation number (4), token (4), heartbeat (4),
+               flags (1), revision (8)
+    HEARTBEAT  header, then members: agent (2), incarnation number (4), token (4), heartbeat (4),
+               age of that heartbeat in 0.1 s (2), 16 bytes each
     QUERY      header, nonce (4)
-    REPLY      header, nonce (4), part (1), parts (1), members alive (2), incarnation by which the querying agent is known (8) and its heartbeat
-               (4), then drains: backend (4), boot time in ms (8), 12 bytes each
-    UPDATE     header, then sections: kind (1), rows (1), bytes per row (1), rows. A section of a kind that the reader doesn't know is skipped,
-               and so is the rest of a row that is longer than the reader knows it: agents of two versions share what both know.
-               OBSERVATION  reporter (2), its zone (1), backend (4), boot hash (2), latency in 1/64 of the SLO (1), age in 10 ms (2)
-               COUNT        agent (2), its incarnation number (4), cell (1), total (4), stamp in 10 ms (4), age in 10 ms (2)
-               UPTIME       reporter (2), backend (4), ages of its first and its last answer there in 10 ms (2, 2)
+    REPLY      header, nonce (4), part (1), parts (1), members alive (2), incarnation by which the querying
+               agent is known (8) and its heartbeat (4), then drains: backend (4), boot time in ms (8),
+               12 bytes each
+    UPDATE     header, then sections: kind (1), rows (1), bytes per row (1), rows:
+               OBSERVATION  reporter (2), its zone (1), backend (4), boot hash (2),
+                            latency in 1/64 of the SLO (1), age in 10 ms (2)
+               COUNT        agent (2), its incarnation number (4), cell (1), total (4), stamp in 10 ms (4),
+                            age in 10 ms (2)
+               UPTIME       reporter (2), backend (4), ages of its first and its last answer in 10 ms (2, 2)
     BORROW     header, nonce (4), budget (1), thousandths of an own share (2)
     GRANT      header, nonce (4), budget (1), thousandths of an own share (2)
 
-Network byte order. A revision of 0 means none. Readers reject another format and inconsistent lengths; a longer header
-of a later version is taken for another format.
+Network byte order. A revision of 0 means none. Readers reject another format and inconsistent lengths; a
+longer header of a later version is taken for another format. A reader skips sections of kinds that it doesn't
+know, and the rest of rows that are longer than it knows them: agents of two versions share what both know.
 """
 
 from __future__ import annotations
@@ -107,7 +112,10 @@
 
 
 def encode(m: Message) -> bytes:
-    """Encodes a datagram; values that don't fit are an error of the caller and raise struct.error or ValueError."""
+    """Encodes a datagram.
+
+    Values that don't fit are an error of the caller and raise struct.error or ValueError.
+    """
     text = HEADER.pack(
         FORMAT,
         m.kind,
--- a/lupinreach/ops/__init__.py
+++ b/lupinreach/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Operating an agent: the operators' HTTP endpoint, metrics, stored state, handover between processes, and its part in a fleet."""
+"""Operating an agent: operators' endpoint, metrics, stored state, process handover, fleet membership."""
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -1,7 +1,9 @@
-"""An agent's startup and its membership in the fleet, over sockets: carries out what the pure modules of `fleet` decide.
+"""An agent's startup and its membership in the fleet, over sockets.
 
-It changes the rest of the agent only through hooks that do nothing without it: which backend list is trusted, which backends are
-treated as draining, and what `/health/ready` reports.
+It carries out what the pure modules of `fleet` decide.
+
+It changes the rest of the agent only through hooks that do nothing without it: which backend list is trusted,
+which backends are treated as draining, and what `/health/ready` reports.
 """
 
 from __future__ import annotations
@@ -53,7 +55,10 @@
 
 
 class FleetAgent:
-    """One agent as a member of the fleet, from start to end. Its tables are bounded by agents, backends and drains."""
+    """One agent as a member of the fleet, from start to end.
+
+    Its tables are bounded by agents, backends and drains.
+    """
 
     def __init__(
         self,
@@ -66,7 +71,8 @@
     ) -> None:
         """`token` distinguishes two incarnations with one number; random unless given.
 
-        `on_peers_asked` is called after the query, with whether peers know a later state of this agent than the disk.
+        `on_peers_asked` is called after the query, with whether peers know a later state of this agent than
+        the disk.
         """
         settings = agent.config.settings
         self._agent = agent
@@ -98,8 +104,9 @@
         ] = {}  # by index, as the registry last reported; entries end with a removal
         self._withheld_indices: set[int] = set()  # ready in the list, but draining for the balancer
         self._registry_heard = False
-        # Guards against a stored list that has draining backends as ready, with a disk that remembers no drain: an older
-        # copy looks like a valid one. Until peers were asked, the balancer gets lists of the registry itself only.
+        # Guards against a stored list that has draining backends as ready, with a disk that remembers no
+        # drain: an older copy looks like a valid one. Until peers were asked, the balancer gets lists of the
+        # registry itself only.
         self._cached_withheld = True
         self._on_peers_asked = on_peers_asked
         self._witnessed = dict(
@@ -166,7 +173,9 @@
                 drain = _drain(e)
                 if self.drains.add(drain):
                     self._store.put(f"drain/{drain.backend}", drain.boot)
-                    self._start_sync()  # guards against a power loss before the next heartbeat: other agents may know it only from their disks
+                    # Guards against a power loss before the next heartbeat: other agents may know it only
+                    # from their disks.
+                    self._start_sync()
             elif from_registry:
                 self._lift(e)
         if from_registry:
@@ -175,7 +184,8 @@
         if update is UpdateKind.CACHED and self._cached_withheld:
             return []
         self._cached_withheld = False
-        # Peers' claims may withhold a share of the ready backends, so a list can change the state of backends it doesn't name.
+        # Peers' claims may withhold a share of the ready backends, so a list can change the state of backends
+        # it doesn't name.
         also = [
             self._listed[i]
             for i in sorted(self._withheld_indices ^ before)
@@ -299,7 +309,7 @@
             )
 
     def metrics(self) -> dict[str, object]:
-        """The `fleet` object of the reported metrics: startup stage, incarnation, known members and trusted state."""
+        """The `fleet` object of the reported metrics."""
         now = self._agent.clock.now()
         return {
             "stage": self.startup.stage.name.lower(),
@@ -323,8 +333,8 @@
     async def run(self) -> None:
         """Runs the startup query, then sends heartbeats for as long as the process runs."""
         log, clock = self._agent.log, self._agent.clock
-        # Guards against a datagram under a number that a power loss would undo, and against a disk that hangs: the
-        # write continues in the background, since a cancelled one would lose what it was to write.
+        # Guards against a datagram under a number that a power loss would undo, and against a disk that
+        # hangs: the write continues in the background, since a cancelled one would lose what it was to write.
         if not (await asyncio.wait({self._start_sync()}, timeout=self._config.ask / 1000))[0]:
             self._agent.counters.others["fleet: life not synced in time"] += 1
         await asyncio.sleep(QUERY_DELAY_SPREAD * self._config.ask * self._draw() / 1000)
@@ -355,7 +365,8 @@
                 and now < self._claims_expire_at
                 and self.members.heartbeat % QUERY_INTERVAL_HEARTBEATS == 0
             ):
-                self._send_query()  # guards against a partition during the query: drains may be known on its other side
+                # Guards against a partition during the query: drains may be known on its other side.
+                self._send_query()
             self._advance_startup()
             if (self.members.self_status(now), self.own.superseded) != reported:
                 reported = self.members.self_status(now), self.own.superseded
@@ -371,7 +382,7 @@
             self._start_sync()
 
     def _start_sync(self) -> asyncio.Task[None]:
-        """Starts writing what was put, in the background: guards against a disk that hangs and would stop the heartbeats."""
+        """Starts writing what was put, in the background: a hanging disk must not stop the heartbeats."""
         if self._sync_task is None or self._sync_task.done():
             self._sync_task = self._agent.tasks.spawn("store", self._flush())
         return self._sync_task
@@ -380,7 +391,7 @@
         await self._store.flush()
 
     def record_synced(self) -> None:
-        """Called while a payment's id is synced: soon afterwards witnesses have a heartbeat that no older copy of the disk has.
+        """Called while a payment's id is synced: soon witnesses have a heartbeat that no older disk has.
 
         Guards against a copy that is older than that id by less time than regular heartbeats can tell.
         """
@@ -397,19 +408,19 @@
                 self._send(peer, self._message(wire.HEARTBEAT))
 
     def _witnesses(self, step: int) -> list[int]:
-        """The agents after this one, which store its heartbeats (1), or before it, whose heartbeats it stores (-1)."""
+        """The agents after this one, which store its heartbeats (1), or before it, whose it stores (-1)."""
         agents = self._agent.config.settings.agents
         return [(self._me + step * far) % agents for far in range(1, min(WITNESSES, agents - 1) + 1)]
 
     def _store_heartbeat(self) -> None:
-        """Stores the next heartbeat number, so that it is synced before it is sent: peers never know one that the disk doesn't."""
+        """Stores the next heartbeat number before it is sent: peers never know one that the disk doesn't."""
         self._store.put("beat", [self.own.incarnation.number, self.members.heartbeat + 1])
 
     def _latest_known(self, agent: int) -> tuple[Incarnation, int]:
         return max(self.members.latest(agent), self._witnessed.get(agent, NEVER_HEARD))
 
     def _record_witnessed(self) -> None:
-        """Stores the newest state of a few other agents: if all lose power, it shows which of their disks are outdated."""
+        """Stores the newest state of a few other agents: if all lose power, it shows outdated disks."""
         for agent in self._witnesses(-1):
             if (known := self._latest_known(agent)) != NEVER_HEARD:
                 self._witnessed[agent] = known
--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -1,4 +1,4 @@
-"""Connects an agent to what outlasts its process: its store, the balancer's snapshot, the request journal, and its part in the fleet."""
+"""Connects an agent to its stored state: the balancer's snapshot, the request journal and its fleet part."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def restore_state(agent: Agent, disk: Disk | None = None, token: int | None = None) -> SnapshotStore | None:
-    """Restores the state that the previous process stored, before the agent starts; None if no store is configured.
+    """Restores the state of the previous process before the agent starts; None if no store is configured.
 
     The returned object saves the state for the next process.
 
--- a/lupinreach/ops/request_journal.py
+++ b/lupinreach/ops/request_journal.py
@@ -1,13 +1,15 @@
 """Ids of non-idempotent API calls that may have run, kept across a power loss in the agent's store.
 
-A client that loses its connection during a request may send it again under the same id. An agent that has run throughout knows
-the id (`net/ids.py`); one that lost power in between would run a payment twice. So the id is synced before the balancer gets
-the API call, and thus before any attempt. Ids that arrive during a sync are written with the next one.
+A client that loses its connection during a request may send it again under the same id. An agent that has run
+throughout knows the id (`net/ids.py`); one that lost power in between would run a payment twice. So the id is
+synced before the balancer gets the API call, and thus before any attempt. Ids that arrive during a sync are
+written with the next one.
 
-Consequences for a disk: if it hangs, its agent's payments are rate-limited at once, which is correct since none of them has run.
-If it can't be written at all, they are served as by an agent without a journal, which the log reports once (`store failed`) and
-the counters count. If it may hold outdated data, as far as that can be told, they are errored for one client timeout: they may have run.
-An id is removed from the file between one and two of the longest client timeouts after it arrived.
+Consequences for a disk: if it hangs, its agent's payments are rate-limited at once, which is correct since
+none of them has run. If it can't be written at all, they are served as by an agent without a journal, which
+the log reports once (`store failed`) and the counters count. If it may hold outdated data, as far as that can
+be told, they are errored for one client timeout: they may have run. An id is removed from the file between
+one and two of the longest client timeouts after it arrived.
 """
 
 from __future__ import annotations
@@ -27,7 +29,10 @@
 
 
 class RequestJournal:
-    """The journal of one process. Its tables hold the ids of two of the longest client timeouts, and at most as many as the store has keys."""
+    """The journal of one process.
+
+    Its tables hold the ids of two of the longest client timeouts, and at most as many as the store has keys.
+    """
 
     def __init__(self, agent: Agent, store: Store, found: FileContents) -> None:
         self._agent = agent
@@ -42,8 +47,9 @@
         self.on_recorded: Callable[[], None] = lambda: None  # called for each recorded id
         if timeouts:
             agent.serving.remember = self.record
-        # A repeated request arrives within a client timeout, so an unreliable disk is in doubt for as long: one that was
-        # truncated or is another agent's. In a fleet every disk is, until peers were asked, since an older copy looks valid.
+        # A repeated request arrives within a client timeout, so an unreliable disk is in doubt for as long:
+        # one that was truncated or is another agent's. In a fleet every disk is, until peers were asked,
+        # since an older copy looks valid.
         self._store_damaged = found.lost > 0
         in_doubt = self._store_damaged or agent.config.fleet is not None
         self._in_doubt_until = agent.clock.now() + agent.serving.longest_wait if in_doubt else 0.0
@@ -51,7 +57,10 @@
             agent.log.event("ran recalled", ids=len(stored))
 
     def peers_asked(self, store_outdated: bool) -> None:
-        """Called after peers were asked; `store_outdated`: they know a later state of this agent than its disk."""
+        """Called after peers were asked.
+
+        `store_outdated`: they know a later state of this agent than its disk.
+        """
         if not (store_outdated or self._store_damaged):
             self._in_doubt_until = 0.0
 
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -1,8 +1,8 @@
-"""Shared state of a fleet's agents, over sockets: observations of backends, request counts of customers, backend uptimes, and the fleet's trials.
+"""Shared state of a fleet's agents, over sockets: observations, request counts, uptimes and trials.
 
-The pure modules of `fleet` make and bound the decisions; this module sends and receives their rows and hands the results to the balancer.
-It is only loaded with `fleet.share_ms`. Its cost: at most two datagrams of 256 bytes every `share_ms`, in a fleet of any size,
-and a request and an answer when trials run short.
+The pure modules of `fleet` make and bound the decisions; this module sends and receives their rows and hands
+the results to the balancer. It is only loaded with `fleet.share_ms`. Its cost: at most two datagrams of 256
+bytes every `share_ms`, in a fleet of any size, and a request and an answer when trials run short.
 """
 
 from __future__ import annotations
@@ -32,7 +32,9 @@
 OVER_SHARE_FACTOR = 1.5  # x its fraction of all calls: above it a customer is over its share
 HEALTHY_RELATIVE_LATENCY = 1.0  # x SLO: below it others have found a backend healthy
 TRIALS_BUDGET = 0  # number of the trials budget in datagrams
-TRIALS_PER_BACKEND = 2.0  # trials of a backend per ejection period, over the fleet; with one, 40 agents that had all received nothing recovered later
+# Trials of a backend per ejection period, over the fleet; with one, 40 agents that had all received nothing
+# recovered later.
+TRIALS_PER_BACKEND = 2.0
 
 
 class Freshness(Enum):
@@ -44,7 +46,10 @@
 
 
 class Sharing:
-    """One agent's shared state. Its tables are those of `Observations`, `Counts`, `Uptimes` and `Budget`, each bounded there."""
+    """One agent's shared state.
+
+    Its tables are those of `Observations`, `Counts`, `Uptimes` and `Budget`, each bounded there.
+    """
 
     def __init__(
         self,
@@ -55,7 +60,10 @@
         send: Callable[[int, int, dict[str, object]], None],
         draw: Callable[[], float],
     ) -> None:
-        """`me` returns this agent's incarnation number and whether a newer process has replaced it; `send` takes a peer, a kind and fields."""
+        """`me` returns this agent's incarnation number and whether a newer process has replaced it.
+
+        `send` takes a peer, a kind and fields.
+        """
         settings = agent.config.settings
         now = agent.clock.now()
         self._agent = agent
@@ -115,7 +123,7 @@
         return 1000 * held / self._ejection_ms
 
     def update(self) -> None:
-        """Adds this agent's own rows and gives the balancer the resulting estimates, once per sharing interval."""
+        """Adds this agent's own rows and gives the balancer the estimates, once per sharing interval."""
         now, balancer = self._agent.clock.now(), self._agent.balancer
         silent = now - self._last_update
         self.stage = (
@@ -222,7 +230,8 @@
                 self._send(peer, wire.UPDATE, self._update(now))
             if self.trials is not None and self._wants() > self.trials.usable(now):
                 self._queries_sent += 1
-                # Guards against a late answer to a request of the previous incarnation, which would outlast its owner's lease.
+                # Guards against a late answer to a request of the previous incarnation, which would outlast
+                # its owner's lease.
                 number = (self._self()[0] & 0xFFFF) << 16 | self._queries_sent & 0xFFFF
                 self.trials.ask(now, number)
                 self._send(
@@ -232,7 +241,7 @@
                 )
 
     def _update(self, now: float) -> dict[str, object]:
-        """The rows of one datagram: up to half of it for uptimes, and half of the rest each for counts and observations."""
+        """The rows of one datagram: up to half of it uptimes, the rest half counts, half observations."""
         stood = self.uptimes.digest(now, wire.UPDATE_ROW_BYTES // 2 // wire.UPTIME_ROW.size)
         room = wire.UPDATE_ROW_BYTES - len(stood) * wire.UPTIME_ROW.size
         counts = min(len(self.counts), room // 2 // wire.COUNT_ROW.size)
--- a/lupinreach/ops/snapshot.py
+++ b/lupinreach/ops/snapshot.py
@@ -1,7 +1,7 @@
 """The balancer's snapshot of backends, handed from one process to the next through the agent's store.
 
-The stored value says what it applies to: its format, its time, the SLOs and the kind of weights. If anything about it is invalid,
-the agent starts without it, as it does without a store, and the log says why.
+The stored value says what it applies to: its format, its time, the SLOs and the kind of weights. If anything
+about it is invalid, the agent starts without it, as it does without a store, and the log says why.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
         raise InvalidSnapshot("parts that don't fit together")
     if len(backends) > MAX_BACKENDS:
         raise InvalidSnapshot("too many backends")
-    return at, PolicySnapshot(slos, live, slo_latencies, backends)  # type: ignore[arg-type]  # rows of four, as just checked
+    return at, PolicySnapshot(slos, live, slo_latencies, backends)  # type: ignore[arg-type]  # rows of four
 
 
 def _parse_backend(
@@ -93,7 +93,8 @@
     def __init__(self, agent: Agent, store: Store, most_age: float | None) -> None:
         """A snapshot older than `most_age` ms by the wall clock is not used.
 
-        With None its age is not checked: an estimate applies to the same process of a backend, by its boot time, and to no other.
+        With None its age is not checked: an estimate applies to the same process of a backend, by its boot
+        time, and to no other.
         """
         self._agent = agent
         self._store = store
--- a/lupinreach/ops/succession.py
+++ b/lupinreach/ops/succession.py
@@ -1,4 +1,4 @@
-"""Which process serves under an agent's name: recorded in one small file in a folder that the old and the new process share."""
+"""Which process serves under an agent's name: recorded in a file that the old and the new process share."""
 
 from __future__ import annotations
 
--- a/lupinreach/store/records.py
+++ b/lupinreach/store/records.py
@@ -4,9 +4,10 @@
     record  = length (4 bytes, little endian), CRC-32 (4) of length and body, body
     body    = JSON: [key, value]; null as value deletes the key
 
-The first record has the empty key and identifies the file: {"form": 1, "agent": name}. Reading ends at the first
-record that is not complete, since what follows can't be delimited any more; it is ignored. Keys that a reader doesn't know
-are kept unchanged, so that an earlier and a later version can write the same file in turn.
+The first record has the empty key and identifies the file: {"form": 1, "agent": name}. Reading ends at the
+first record that is not complete, since what follows can't be delimited any more; it is ignored. Keys that a
+reader doesn't know are kept unchanged, so that an earlier and a later version can write the same file in
+turn.
 """
 
 from __future__ import annotations
@@ -81,7 +82,8 @@
             if key != "" or not isinstance(value, dict) or value.get("form") != FORMAT:
                 return FileContents(lost=len(text), why="another form")
             if value.get("agent") != agent:
-                # Guards against another agent's disk, whose incarnation number and drains don't apply to this one.
+                # Guards against another agent's disk, whose incarnation number and drains don't apply to this
+                # one.
                 return FileContents(lost=len(text), why="another agent's")
         elif value is None:
             found.state.pop(key, None)
--- a/lupinreach/store/store.py
+++ b/lupinreach/store/store.py
@@ -1,8 +1,9 @@
 """The store: one file in the agent's folder, read at the start and written in the background.
 
-Everything put between two writes is written at once. A write that hangs on its disk blocks nothing; of what is put
-meanwhile, the last value of each key counts. So a power loss costs what was put since the last completed write: one
-interval, or as long as the disk hangs. Callers that must not continue before their data is durable await `flush`.
+Everything put between two writes is written at once. A write that hangs on its disk blocks nothing; of what
+is put meanwhile, the last value of each key counts. So a power loss costs what was put since the last
+completed write: one interval, or as long as the disk hangs. Callers that must not continue before their data
+is durable await `flush`.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 class Store:
     """One process's access to its agent's file.
 
-    `on_failure` is called once when the disk can't be written; `writable` is whether the last write succeeded.
+    `on_failure` is called once when the disk can't be written; `writable` is whether the last write
+    succeeded.
     """
 
     def __init__(
@@ -56,7 +58,7 @@
         return found
 
     def put(self, key: str, value: Any) -> bool:
-        """Sets a key as of the next write; None deletes it. False, with nothing changed, if the store is full.
+        """Sets a key as of the next write; None deletes it. False, and no change, if the store is full.
 
         Raises ValueError if the value is too long for a record.
         """
--- a/lupinreach/store/trust.py
+++ b/lupinreach/store/trust.py
@@ -1,4 +1,4 @@
-"""What a new process restores of its predecessor's state, item by item: the table of docs/recovery.md as data. Pure.
+"""What a new process restores of its predecessor's state: the table of docs/recovery.md as data. Pure.
 
 A key of the store is an item's name, or that name, a slash and a name of its own.
 """
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -160,7 +160,10 @@
 
 
 class Net:
-    """A simulated network of membership tables; `passes` decides which datagrams arrive, `sleeps` which agents are suspended."""
+    """A simulated network of membership tables.
+
+    `passes` decides which datagrams arrive, `sleeps` which agents are suspended.
+    """
 
     def __init__(self, agents, passes=lambda now, a, b: True, sleeps=lambda now, a: False):
         self.now, self.passes, self.sleeps = 0.0, passes, sleeps
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -1,4 +1,4 @@
-"""What one agent does when power was lost: cold fleets, refusals, old lists, a registry that a crowd asks."""
+"""One agent after a power loss: cold fleets, refusals, old lists, and an overloaded registry."""
 
 from math import exp
 from random import Random
@@ -14,58 +14,63 @@
 
 
 def all_cold(bench, backends=4):
+    """Lists backends that have just started."""
     bench.list(UpdateKind.FULL, [Listing(i, READY, bench.now) for i in range(backends)])
 
 
-def answers(bench, seconds, a_second, took):
-    """Ask so often, each shot answered after `took` ms; the share of what was asked that was sent, by second."""
-    shares, out, seen = [], [], len(bench.port.sent)
+def share_sent(bench, seconds, calls_per_s, took):
+    """Submits calls at a rate, each attempt answered after `took` ms.
+
+    Returns the share of calls sent, by second.
+    """
+    shares, in_flight, seen = [], [], len(bench.port.sent)
     for _ in range(seconds):
         sent = 0
-        for _ in range(a_second):
-            bench.move(1000 / a_second)
-            for token, at in [o for o in out if o[1] <= bench.now]:
-                out.remove((token, at))
+        for _ in range(calls_per_s):
+            bench.move(1000 / calls_per_s)
+            for token, at in [o for o in in_flight if o[1] <= bench.now]:
+                in_flight.remove((token, at))
                 bench.answer(token, took)
             bench.submit(("asked", len(bench.calls)))
             for token, _, _ in bench.port.sent[seen:]:
                 sent += 1
-                out.append((token, bench.now + took))
+                in_flight.append((token, bench.now + took))
             seen = len(bench.port.sent)
-        shares.append(sent / a_second)
+        shares.append(sent / calls_per_s)
     return shares
 
 
-def test_a_fleet_without_a_warm_backend_gets_its_part_of_what_is_asked_and_more_with_age():
-    # Found on the trial `power`: with no warm backend there was no rate to earn by, and for as long as all were
-    # cold the fleet was turned away, 0.47 of the possible in the first 20 s.
+def test_fleet_without_a_warm_backend_gets_calls_by_age():
+    # On the trial `power`, without a warm backend there was no rate to earn credit by: while all were cold,
+    # calls were rejected, and 0.47 of the possible was served in the first 20 s.
     shares = []
     for seed in range(12):
         bench = Bench(settings(cold=COLD), seed=seed)
         all_cold(bench)
-        shares.append(answers(bench, 18, 30, 60.0))
+        shares.append(share_sent(bench, 18, 30, 60.0))
     by_second = [sum(s[i] for s in shares) / len(shares) for i in range(18)]
     for second, share in enumerate(by_second):
         part = 0.2 + 0.8 * (second + 0.5) * 1000 / COLD
-        # Half of the fall multiple (3) times each cold backend's part of what is asked, and what they begin with.
+        # Half of the fall multiple (3) times each cold backend's share of the calls, and the initial credit.
         assert share <= 1.5 * part + 0.1, (second, share)
     assert by_second[1] > 0.15 and by_second[4] > 0.25 and by_second[10] > 0.6 and by_second[17] > 0.9
 
 
-def test_cold_backends_tell_how_full_the_fleet_is_when_there_are_no_others():
-    # Found on the same trial: narrowed while backends were taken for warm, agents stayed narrow for 18 s, since what
-    # is cold said nothing: 500 API calls a second turned away by the bound with 50 shots out on 60 backends.
+def test_cold_backends_set_the_slow_share_when_there_are_no_others():
+    # On the same trial, agents that had lowered their limit while backends seemed warm kept it low for 18 s,
+    # since cold backends did not count: 500 API calls per s were rejected by the limit with 50 attempts in
+    # flight on 60 backends.
     bench = Bench(settings(cold=COLD))
     all_cold(bench)
     bench.agent._slow_share, bench.agent._limit = 0.7, 1.0
-    answers(bench, 12, 30, 0.3 * 400.0)
+    share_sent(bench, 12, 30, 0.3 * 400.0)
     assert bench.agent._slow_share < 0.2 and bench.agent._limit > 1.5
     bench.agent._slow_share = 0.0
-    answers(bench, 6, 30, 1.9 * 400.0)
+    share_sent(bench, 6, 30, 1.9 * 400.0)
     assert bench.agent._slow_share > 0.2
 
 
-def test_what_is_asked_is_measured_from_the_first_second():
+def test_demand_is_measured_from_the_first_second():
     bench = Bench(settings(cold=COLD))
     all_cold(bench)
     for n in range(20):
@@ -75,7 +80,7 @@
     assert bench.agent._demand / bench.agent._demand_ms == pytest.approx(20 / 1000, rel=0.05)
 
 
-def test_one_that_refused_is_cold_from_its_next_answer_until_the_list_knows_better():
+def test_backend_that_refused_is_cold_from_its_next_answer_until_the_list_updates_it():
     bench = Bench(settings(cold=COLD))
     bench.list(UpdateKind.FULL, [Listing(i, READY) for i in range(4)])
     b = bench.agent._backends[2]
@@ -94,14 +99,15 @@
     assert bench.agent._capacity(answered + COLD / 2, b) == pytest.approx(0.6)
     b.latency_ms[0] = 77.0
     bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered - 3000.0)])
-    assert b.started_at == answered - 3000.0 and b.latency_ms[0] == 77.0  # met since then already
+    assert b.started_at == answered - 3000.0 and b.latency_ms[0] == 77.0  # it has already answered since then
     bench.list(UpdateKind.CHANGES, [Listing(2, READY, answered + 9000.0)])
     assert b.latency_ms[0] is None
 
 
 @pytest.mark.parametrize("ending", [AttemptEnd.UNREACHABLE, AttemptEnd.TIMED_OUT, AttemptEnd.RESET])
-def test_one_that_is_cut_off_or_breaks_is_not_taken_for_a_fresh_process(ending):
-    # What can't be reached may be behind a cut: taken for cold, a healed zone would be starved for the cold time.
+def test_unreachable_or_broken_backend_is_not_treated_as_restarted(ending):
+    # An unreachable backend may be behind a partition: treated as cold, a healed zone would be starved for
+    # the cold time.
     bench = Bench(settings(cold=COLD))
     for n in range(12):
         bench.submit(n)
@@ -110,10 +116,11 @@
     assert not any(b.down or bench.agent._is_cold(bench.now, b) for b in bench.agent._backends.values())
 
 
-def refuse(bench, most):
+def refuse(bench, limit):
+    """Lets backends refuse attempts until `limit` of them have; returns their indices."""
     refused = set()
     for n in range(40):
-        if len(refused) == most:
+        if len(refused) == limit:
             break
         token = ("refused", n)
         bench.submit(token)
@@ -124,9 +131,9 @@
     return refused
 
 
-def test_an_old_list_by_which_most_restarted_is_believed_of_none_until_the_registry_speaks():
-    # Found on power-registry-first: 27 of 40 agents stood up with a list that had 35 of 60 cold, and sent all they had to
-    # the 25 others, which had started in the same second: 1.17 of what the rule allows.
+def test_old_list_with_mostly_restarted_backends_makes_all_cold_until_the_registry_answers():
+    # On power-registry-first, 27 of 40 agents started with a list that had 35 of 60 backends cold, and sent
+    # all calls to the 25 others, which had started in the same second: 1.17 of what the rule allows.
     bench = Bench(
         settings(cold=COLD),
         entries=[Listing(i, READY, boot_time=999_500.0 if i < 4 else 0.0) for i in range(7)],
@@ -141,26 +148,28 @@
     assert sum(few.agent._is_cold(few.now, b) for b in few.agent._ready) == 3
 
 
-def test_an_agent_that_stands_up_among_the_down_trusts_no_old_list_for_the_rest():
-    # Found on the trial power-one-by-one: three backends pushed over in the first second after their start, by agents
-    # whose list was from before the loss and who had met others down, but not these.
+def test_agent_that_starts_among_refusing_backends_treats_all_as_down():
+    # On the trial power-one-by-one, three backends were overloaded in the first second after their start by
+    # agents with a list from before the loss that had found other backends down, but not these.
     bench = Bench(settings(cold=COLD, kinds=((Idempotency.IDEMPOTENT, DedupScope.ALL),)), backends=8)
     refused = refuse(bench, 3)
     assert len(refused) >= 2 and all(b.down for b in bench.agent._ready)
-    # Nor the registry's word, which knows of no death for seconds (seed 2004 of drawn losses: 78 shots in one second, by
-    # agents that had a list of the registry's by then, to a backend that had started meanwhile).
+    # Nor does the registry's list change that, since it doesn't know of failures for seconds (seed 2004 of
+    # drawn losses: 78 attempts in one second at a backend that had just started, by agents that already had
+    # the registry's list).
     bench.list(UpdateKind.CHANGES, [])
     assert all(b.down for b in bench.agent._ready)
-    met = Bench(settings(cold=COLD), backends=8)
+    answering = Bench(settings(cold=COLD), backends=8)
     for n in range(8):
-        met.serve(n, 20.0)
-    refused = refuse(met, 1)
-    assert {b.index for b in met.agent._ready if b.down} == refused  # most of what it met answers
+        answering.serve(n, 20.0)
+    refused = refuse(answering, 1)
+    assert {b.index for b in answering.agent._ready if b.down} == refused  # most backends it tried answer
 
 
-def test_no_order_of_returns_gives_a_cold_backend_more_than_its_part_of_what_all_agents_are_asked():
-    # The bound: over all agents that use it, asked / size of those they use x its size x the part of its age x half of the
-    # fall multiple x MOST_EARNS, and one shot of each. Twenty agents on one list, asked unevenly.
+def test_cold_backend_gets_no_more_than_its_share_of_all_agents_calls():
+    # The bound: over all agents that use it, calls / weight of the backends they use x its weight x the part
+    # of its age x half of the fall multiple x MAX_CREDIT, and one attempt of each. Ten agents on one list,
+    # with uneven load.
     start, asked = 1_000_000.0, [4, 4, 4, 8, 8, 16, 16, 30, 30, 60]
     benches = []
     for n, _ in enumerate(asked):
@@ -169,7 +178,7 @@
         benches.append(bench)
     came = {}
     for bench, many in zip(benches, asked, strict=True):
-        answers(bench, 3, many, 120.0)
+        share_sent(bench, 3, many, 120.0)
         for _, b, _ in bench.port.sent:
             came[b] = came.get(b, 0) + 1
     users = [[b.index for b in bench.agent._ready[: bench.agent._subset_size()]] for bench in benches]
@@ -180,45 +189,46 @@
     assert sum(came.values()) > 0.2 * 0.5 * 3 * sum(asked) and start < benches[0].now
 
 
-def test_the_first_of_a_fleet_to_be_listed_gets_no_more_in_flight_than_it_may_hold_whatever_is_asked():
-    # Found on power-one-by-one (seed 44): the one backend that stood was all that agents had a list of, and so earned what all
-    # of them were asked: 1.154 of what the rule allows. The bound (Little's law): what all agents earn there, times what a
-    # shot takes, is under `lanes`; and the lanes grow no faster than WIDEN allows.
+def test_first_listed_backend_gets_no_more_in_flight_than_the_cold_limit_whatever_the_demand():
+    # On power-one-by-one (seed 44), agents had a list of the one backend that was up, which thus earned
+    # credit for the calls of all agents: 1.154 of what the rule allows. The bound (Little's law): the credit
+    # rate of all agents there, times the duration of an attempt, is below the cold limit, which grows no
+    # faster than LIMIT_GROWTH allows.
     took, agents = 400.0, 20
     benches = [Bench(settings(cold=COLD, agents=agents), seed=n) for n in range(agents)]
     for bench in benches:
         all_cold(bench, 1)
-        answers(bench, 3, 30, took)
+        share_sent(bench, 3, 30, took)
         grown = exp(LIMIT_GROWTH * 3000.0 / bench.agent._fall_ms)
         assert INITIAL_LIMIT <= bench.agent._cold_limit <= INITIAL_LIMIT * grown
     earned = sum(sum(bench.agent._cold_credit_rates(bench.now, 0.0).values()) for bench in benches)
     asked = sum(bench.agent._demand / bench.agent._demand_ms for bench in benches)
-    assert earned * took <= max(bench.agent._cold_limit for bench in benches) * 1.3  # figures are smoothed
+    assert earned * took <= max(bench.agent._cold_limit for bench in benches) * 1.3  # estimates are smoothed
     assert (
         sum(len(bench.port.sent) for bench in benches) <= grown * INITIAL_LIMIT * 3000.0 / took + agents / 2
     )
     assert earned < 0.1 * asked
 
 
-def test_a_fleet_seen_to_hold_more_gets_more_and_a_full_one_less():
+def test_cold_limit_grows_with_headroom_and_shrinks_under_load():
     bench = Bench(settings(cold=COLD, agents=20))
     all_cold(bench, 1)
-    answers(bench, 1, 10, 60.0)
-    bench.agent._cold_limit, lanes = INITIAL_LIMIT, []
-    for fullness, times in ((0.0, 3), (0.25, 1), (0.9, 9)):
-        bench.agent._slow_share = fullness
+    share_sent(bench, 1, 10, 60.0)
+    bench.agent._cold_limit, limits = INITIAL_LIMIT, []
+    for slow_share, times in ((0.0, 3), (0.25, 1), (0.9, 9)):
+        bench.agent._slow_share = slow_share
         for _ in range(times):
             bench.agent._cold_credit_rates(bench.now, 300.0)
-        lanes.append(bench.agent._cold_limit)
+        limits.append(bench.agent._cold_limit)
     grown = 1 + LIMIT_GROWTH * 300.0 / bench.agent._fall_ms
-    assert lanes == pytest.approx([INITIAL_LIMIT * grown**3, INITIAL_LIMIT * grown**3, INITIAL_LIMIT])
+    assert limits == pytest.approx([INITIAL_LIMIT * grown**3, INITIAL_LIMIT * grown**3, INITIAL_LIMIT])
 
 
-def test_an_agent_that_is_asked_now_and_then_earns_more_once_the_fleet_is_seen_to_hold_it():
-    # Found on `power` with 500 agents of 1.2 API calls a second: half of what each earned lapsed between two of them, and 45%
-    # was turned away with backends idle that had been up for most of their cold time.
-    def served(a_second, seconds=12):
-        """Share of what is asked in the second half of so many s that is sent, asked at drawn times."""
+def test_agent_with_few_calls_earns_more_once_the_fleet_has_headroom():
+    # On `power` with 500 agents of 1.2 API calls per s, half of the credit lapsed between two calls, and 45%
+    # of the calls were rejected while backends that had been up for most of their cold time were idle.
+    def served(calls_per_s, seconds=12):
+        """Share of the calls of the second half of `seconds` that is sent, at random call times."""
         asked = sent = 0
         for seed in range(16):
             bench, chance = Bench(settings(agents=8, cold=COLD), seed=seed), Random(seed)
@@ -227,7 +237,7 @@
                 bench.move(50.0)
                 if step == 10 * seconds:
                     asked, sent = asked - len(bench.calls), sent - len(bench.port.sent)
-                if chance.random() < a_second / 20:
+                if chance.random() < calls_per_s / 20:
                     before = len(bench.port.sent)
                     bench.submit(("asked", len(bench.calls)))
                     bench.move(40.0)
@@ -239,9 +249,9 @@
     assert served(0.7) > 0.7 and served(10.0) < 1.5 * (0.2 + 0.8 * 12_000 / COLD)
 
 
-def test_the_shot_that_finds_out_that_a_backend_stands_is_not_unspent_by_its_answer():
-    # Found on reading, after a drawn history in which seven agents pushed a backend over with two shots each: credit was drawn anew
-    # with the first answer, so that the shot before it cost nothing.
+def test_attempt_that_finds_a_backend_up_still_costs_credit_after_its_answer():
+    # In a drawn history seven agents overloaded a backend with two attempts each: credit was drawn anew with
+    # the first answer, so that the attempt before it cost nothing.
     for seed in range(30):
         bench = Bench(settings(cold=COLD), seed=seed)
         all_cold(bench, 1)
@@ -254,8 +264,9 @@
         assert not b.down and b.credit <= -0.5, token
 
 
-def test_nobody_saves_up_for_a_backend_that_is_down():
-    # Found on power-old-list (seed 41): agents that stood a second before the backends had all saved up for each: 1.18.
+def test_credit_does_not_accumulate_for_a_backend_that_is_down():
+    # On power-old-list (seed 41), agents that started a second before the backends had accumulated credit for
+    # each: 1.18 of what the rule allows.
     bench = Bench(settings(cold=COLD))
     all_cold(bench)
     bench.agent._mark_down(bench.now, bench.agent._backends[0])
@@ -266,14 +277,14 @@
     assert bench.agent._mostly_cold and credit[0] <= 0.5
 
 
-def test_a_quick_backend_earns_more_than_its_part_and_a_slow_one_less_of_the_same_sum():
+def test_fast_backend_earns_more_credit_and_slow_one_less_of_the_same_sum():
     bench = Bench(settings(cold=COLD))
     all_cold(bench)
-    answers(bench, 3, 30, 100.0)
+    share_sent(bench, 3, 30, 100.0)
     agent = bench.agent
     agent._cold_limit = 1e3
-    for b, figure in zip(agent._ready, (50.0, 100.0, 100.0, 400.0), strict=True):
-        b.latency_ms[0] = figure
+    for b, latency in zip(agent._ready, (50.0, 100.0, 100.0, 400.0), strict=True):
+        b.latency_ms[0] = latency
     earns = list(agent._cold_credit_rates(bench.now, 0.0).values())
     asked = agent._demand / agent._demand_ms
     even = (
@@ -283,22 +294,25 @@
         * agent._capacity(bench.now, agent._ready[0])
         * agent._when_few
     )
-    assert earns[0] == pytest.approx(MAX_CREDIT * even)  # 0.47 of the paces, no more than that
+    assert earns[0] == pytest.approx(
+        MAX_CREDIT * even
+    )  # its share by speed would be 0.47, capped by MAX_CREDIT
     assert earns[3] == pytest.approx(4 * even * 0.25 / 4.25) and sum(earns) <= 4 * even
 
 
-def test_a_crowd_that_a_registry_cannot_get_through_in_time_spreads_until_all_have_heard():
-    # Found on power-registry-first: 40 agents, 150 ms a call, all back in one instant. Asking again within 4 s they kept
-    # the registry busy with calls that it had turned away: 10 of 40 had heard after 20 s, and no more after that.
+def test_calls_to_an_overloaded_registry_spread_until_all_agents_are_answered():
+    # On power-registry-first, 40 agents with 150 ms per call started at the same instant. Retrying within 4
+    # s, they kept the registry busy with calls that it had rejected: 10 of 40 had an answer after 20 s, and
+    # no more after that.
     chance, agents = Random(3), 40
-    got, turned = crowd([50 * chance.random() for _ in range(agents)], 150.0, 2000.0, 40_000.0)
-    # Never as long without asking as counts as told.
-    assert all(at < again <= at + 10_000.0 for at, again in turned)
-    assert len(got) == agents and max(got.values()) < 30_000
+    answered, rejected = crowd([50 * chance.random() for _ in range(agents)], 150.0, 2000.0, 40_000.0)
+    # After a rejection each agent calls again within the time in which it has to ask the registry (10 s).
+    assert all(at < again <= at + 10_000.0 for at, again in rejected)
+    assert len(answered) == agents and max(answered.values()) < 30_000
 
 
 def drawn(number: int) -> spec.Trial:
-    """A power loss nobody thought of, on a small fleet."""
+    """A random power loss on a small fleet."""
     chance = Random(number)
     slow = [chance.uniform(0.5, 0.8), chance.uniform(0.9, 1.6)]
     return spec.read(
@@ -340,6 +354,6 @@
     )
 
 
-def test_drawn_power_losses_keep_the_rules():
+def test_random_power_losses_keep_the_rules():
     runs = [play.run(drawn(n), n) for n in range(12)]
     assert [(i, b) for i, p in enumerate(runs) for b in p.result.breaches] == []
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -66,7 +66,8 @@
 
 
 def test_older_disk_is_detected_by_heartbeats_that_witnesses_store(monkeypatch):
-    # All agents lost power, half of the disks came back in a state two seconds old, and without witnesses a payment ran twice.
+    # All agents lost power, half of the disks came back in a state two seconds old, and without witnesses a
+    # payment ran twice.
     trial = spec.read(drawn(5027, True, False))
     assert play.run(trial, 5027).verdict == play.KEPT
     monkeypatch.setattr(fleet_agent, "WITNESSES", 0)
@@ -82,7 +83,7 @@
 
 
 def test_extra_heartbeat_is_synced_before_it_is_sent_and_exceeds_any_older_disk():
-    """Heartbeat numbers sent after payments are never above the disk's, and always above those of the disk before the payment."""
+    """Heartbeats sent after a payment are not above the disk's, but above the disk's before the payment."""
     sent, stored = [], []
 
     class Disk(MemoryDisk):
@@ -141,7 +142,8 @@
 
 
 def test_sync_longer_than_a_client_s_remaining_timeout_leaves_no_client_without_an_answer():
-    # Campaign seed 11, history 68: an agent resumed from suspension with payments that had 88 ms left, and its disk hung.
+    # Campaign seed 11, history 68: an agent resumed from suspension with payments that had 88 ms left, and
+    # its disk hung.
     async def work():
         async with Site(target("s-1", "127.0.0.1:9")) as site:
             kept = asyncio.Event()
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -1,4 +1,4 @@
-"""Startup of fleet members after a power loss: in virtual time, with processes, and beside faulty or lying agents."""
+"""Startup of fleet members after a power loss: in virtual time, with processes, beside lying agents."""
 
 import asyncio
 import os
@@ -295,7 +295,8 @@
         (news, [e.backend for e in entries if e.state is ListedState.DRAINING], len(entries))
         for news, entries in agent.listed
     ] == [(UpdateKind.CACHED, [1], 8)]
-    # Claims end after three times the time to ask the registry, if the registry's own list is as new as the fleet's by then.
+    # Claims end after three times the time to ask the registry, if the registry's own list is as new as the
+    # fleet's by then.
     agent.directory.age = 5.0
     part._advance_startup()
     agent.clock.now = lambda: 6_000.0 + 3 * 10_000.0
@@ -325,7 +326,8 @@
 
 @pytest.mark.parametrize("state", [{}, {"life": 4}])
 def test_agent_serves_by_no_cached_list_until_its_query_is_over(state):
-    # Drawn losses 130 (another agent's disk) and 1874 (an older copy): an old list led to 0.3 s of attempts at a draining backend.
+    # Drawn losses 130 (another agent's disk) and 1874 (an older copy): an old list led to 0.3 s of attempts
+    # at a draining backend.
     agent, part = one(state, config=FleetConfig(50.0, 10.0))
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
     assert (
@@ -393,7 +395,8 @@
 
 
 def test_superseded_process_logs_it_once_and_stops_sending():
-    # The log's `event` has a parameter called self: a field of that name ended the agent's task with a TypeError on a drawn loss.
+    # The log's `event` has a parameter called self: a field of that name ended the agent's task with a
+    # TypeError on a drawn loss.
     agent, part = one(config=FleetConfig(50.0, 10.0))
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
     part.startup._since = agent.clock.now()
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,7 @@
-"""Shared state of agents: merges, bounds, and every history of a small instance of lending; without sockets."""
+"""Shared state of agents: merges, bounds, and every history of a small instance of lending.
+
+Without sockets.
+"""
 
 from random import Random
 
@@ -352,7 +355,10 @@
 
 
 def rates_exceed_bound(seed, of):
-    """Six agents with lost, duplicated and late messages, restarts and silence; true if any rate ever exceeded the bound."""
+    """Six agents with lost, duplicated and late messages, restarts and silence.
+
+    True if any rate ever exceeded the bound.
+    """
     chance, window, now = Random(seed), 1000.0, 0.0
     agents = [of(n, 3, window, chance.random) for n in range(6)]
     lives, born, true = [1] * 6, [0.0] * 6, {}
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Fleets whose agents share state: bounds checked at every agent under faults, in virtual time and with processes."""
+"""Fleets that share state: bounds checked at every agent under faults, in virtual time and processes."""
 
 import pytest
 from test_rig import SMALL as RIG
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: every cut of its file, every sync that can be lost, two processes on one disk, and failing disks."""
+"""The store: its file cut at any byte, lost syncs, two processes on one disk, and failing disks."""
 
 import asyncio
 from collections import Counter
@@ -122,7 +122,8 @@
         for text in disk.outcomes(CARRIED):
             found = records.decode_file(text, "a").state if text is not None else {}
             assert found.get("life", 0) >= safe.get("life", 0)
-            # A record is complete or absent: after a power loss during a flush any prefix of its records may be there.
+            # A record is complete or absent: after a power loss during a flush any prefix of its records may
+            # be there.
             assert found in put or any(
                 found == (a | {"life": b["life"]}) for a, b in zip(put, put[1:], strict=False)
             )
--- a/tests/upgrading.py
+++ b/tests/upgrading.py
@@ -1,4 +1,4 @@
-"""A test platform that upgrades real agents on a shared listening socket, with clients that send continuously."""
+"""Upgrades real agents on a shared listening socket, under clients that send continuously."""
 
 from __future__ import annotations
 
