--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -53,7 +53,7 @@
 
 @dataclass
 class _Row:
-    met: Observation
+    observation: Observation
     at: float  # ms, by this agent's clock: time of its last sample
     times_sent: int = 0  # since the row was received
 
@@ -145,12 +145,17 @@
     def digest(self, now: float, limit: int) -> tuple[Observation, ...]:
         """At most `limit` rows for one datagram: those sent least often first, and own ones first among equals."""
         rows = [row for each in self._rows.values() for row in each.values() if now - row.at < self.max_age]
-        rows.sort(key=lambda row: (row.times_sent, row.met.reporter != self.me, self._draw()))
+        rows.sort(key=lambda row: (row.times_sent, row.observation.reporter != self.me, self._draw()))
         for row in rows[:limit]:
             row.times_sent += 1
         return tuple(
             Observation(
-                r.met.reporter, r.met.zone, r.met.backend, r.met.boot, r.met.relative_latency, now - r.at
+                r.observation.reporter,
+                r.observation.zone,
+                r.observation.backend,
+                r.observation.boot,
+                r.observation.relative_latency,
+                now - r.at,
             )
             for r in rows[:limit]
         )
@@ -167,13 +172,17 @@
         """
         found = {}
         for key, (_, met_at) in own.items():
-            rows = [r for t, r in self._rows.get(key, {}).items() if t != self.me and r.met.zone == self.zone]
+            rows = [
+                r
+                for t, r in self._rows.get(key, {}).items()
+                if t != self.me and r.observation.zone == self.zone
+            ]
             if len(rows) < QUORUM or sum(r.at > met_at for r in rows) < QUORUM:
                 continue
             rows = [r for r in rows if r.at > met_at]
-            median = sorted(rows, key=lambda r: r.met.relative_latency)[(len(rows) - 1) // 2]
+            median = sorted(rows, key=lambda r: r.observation.relative_latency)[(len(rows) - 1) // 2]
             newest = sorted((r.at for r in rows), reverse=True)[QUORUM - 1]
-            found[key] = median.met.relative_latency, max(0.0, 1 - (now - newest) / self.max_age)
+            found[key] = median.observation.relative_latency, max(0.0, 1 - (now - newest) / self.max_age)
         return found
 
     def cost_factors(
@@ -181,9 +190,9 @@
     ) -> dict[tuple[int, int], float]:
         """Cost factors by backend and boot, for at most `MAX_AFFECTED_SHARE` of those in `own`."""
         slower = []
-        for key, (figure, fade) in self.estimates(now, own).items():
+        for key, (latency, fade) in self.estimates(now, own).items():
             own_latency = own[key][0]
-            excess = min(MAX_COST_FACTOR, figure / own_latency) - 1 if own_latency > 0 else 0.0
+            excess = min(MAX_COST_FACTOR, latency / own_latency) - 1 if own_latency > 0 else 0.0
             if excess * fade > 0:
                 follow = 0.5 + 0.5 * (crc32(b"%d:%d:%d" % (self.me, *key)) * 2654435761 % 2**32 / 2**32)
                 slower.append((excess * fade, key, 1 + follow * fade * excess))
--- a/lupinreach/fleet/uptimes.py
+++ b/lupinreach/fleet/uptimes.py
@@ -63,12 +63,12 @@
         self._rows: dict[int, dict[int, _Row]] = {}  # by backend and reporter
         self.rejected = 0  # invalid rows
 
-    def record_own(self, now: float, met: Mapping[int, tuple[float, float]]) -> None:
+    def record_own(self, now: float, answers: Mapping[int, tuple[float, float]]) -> None:
         """Takes this agent's own first and last answers (ms) of the backends that it considers cold."""
-        for backend, (first, last) in met.items():
+        for backend, (first, last) in answers.items():
             self._merge(now, backend, self.me, first, last)
         for backend, rows in self._rows.items():
-            if backend not in met:
+            if backend not in answers:
                 rows.pop(self.me, None)  # the backend restarted or refused
 
     def receive(self, now: float, rows: Iterable[Uptime]) -> None:
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -64,7 +64,7 @@
         self,
         agent: Agent,
         store: Store,
-        found: FileContents,
+        contents: FileContents,
         config: FleetConfig,
         token: int | None = None,
         on_peers_asked: Callable[[bool], None] = lambda _: None,
@@ -82,10 +82,12 @@
         self._seed = agent.config.seed
         self._draws = 0
         now = agent.clock.now()
-        stored = trust.restorable(found.state)
+        stored = trust.restorable(contents.state)
         self._token = token if token is not None else int.from_bytes(os.urandom(4), "big")
-        life = _valid_integer(stored.get("life"))
-        self.own = OwnIncarnation(life, self._token, _valid_heartbeat(stored.get("beat"), life))
+        stored_number = _valid_integer(stored.get("life"))
+        self.own = OwnIncarnation(
+            stored_number, self._token, _valid_heartbeat(stored.get("beat"), stored_number)
+        )
         self.members = Members(self._me, settings.agents, config.beat, self._draw)
         self.floor = RevisionFloor(_valid_integer(stored.get("floor")), settings.rules.ask_within)
         self.drains = DrainSet(_drains(stored))
@@ -254,8 +256,8 @@
         own_claims = [(e.incarnation, e.heartbeat) for e in m.members if e.agent == self._me]
         if m.kind == wire.REPLY and m.known.number:
             own_claims.append((m.known, m.known_heartbeat))
-        for life, beat in own_claims:
-            if self.own.observe(sender, life, beat):
+        for incarnation, heartbeat in own_claims:
+            if self.own.observe(sender, incarnation, heartbeat):
                 self._store.put("life", self.own.incarnation.number)
                 self._store_heartbeat()
         if (
@@ -318,7 +320,8 @@
             "own": self.members.self_status(now).value,
             "standing": self.members.alive_count(now),
             "agents": {
-                str(n): [life.number, standing.value] for n, life, standing in self.members.statuses(now)
+                str(n): [incarnation.number, status.value]
+                for n, incarnation, status in self.members.statuses(now)
             },
             "floor": self.floor.revision,
             "list": self._agent.directory.version,
@@ -427,8 +430,8 @@
         self._store.put(
             "seen",
             [
-                [agent, life.number, life.token, beat]
-                for agent, (life, beat) in sorted(self._witnessed.items())
+                [agent, incarnation.number, incarnation.token, heartbeat]
+                for agent, (incarnation, heartbeat) in sorted(self._witnessed.items())
             ],
         )
 
@@ -482,16 +485,20 @@
 
 
 def _drain(e: Listing) -> Drain:
+    """The drain that a draining entry stands for."""
     return Drain(e.name, int(e.boot_time))
 
 
 def _valid_integer(value: object) -> int:
+    """A stored number, or 0 if it is not valid."""
     return value if type(value) is int and 0 <= value <= wire.MAX_REVISION else 0
 
 
-def _valid_heartbeat(value: object, life: int) -> int:
+def _valid_heartbeat(value: object, number: int) -> int:
     """The stored heartbeat number of that incarnation; 0 if it is another one's."""
-    return _valid_integer(value[1]) if isinstance(value, list) and len(value) == 2 and value[0] == life else 0
+    return (
+        _valid_integer(value[1]) if isinstance(value, list) and len(value) == 2 and value[0] == number else 0
+    )
 
 
 def _witnessed(value: object, agents: int) -> Iterable[tuple[int, tuple[Incarnation, int]]]:
--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -167,10 +167,12 @@
     def _vars(self) -> Response:
         agent = self._agent
         products = [product.name for product in agent.config.settings.products]
-        found = metrics.report(
+        metrics_report = metrics.report(
             products, agent.counters, agent.directory.listed, agent.balancer.avoided_count(agent.clock.now())
         )
-        return Response(200, metrics=found if agent.tells is None else found | {"fleet": agent.tells()})
+        return Response(
+            200, metrics=metrics_report if agent.tells is None else metrics_report | {"fleet": agent.tells()}
+        )
 
     def _drain(self, on: bool) -> Response:
         self._agent.drain(on)
--- a/lupinreach/ops/persistence.py
+++ b/lupinreach/ops/persistence.py
@@ -19,21 +19,21 @@
     if config.store is None:
         return None
     store = Store(config.store, config.name, disk, lambda why: agent.log.event("store failed", why=why))
-    found = store.open()
+    contents = store.open()
     snapshot = SnapshotStore(agent, store, config.carry_age)
-    snapshot.restore(found)
+    snapshot.restore(contents)
     agent.tasks.spawn("carry", snapshot.save_periodically())
     journal = None
     if config.ran:
         from lupinreach.ops.request_journal import RequestJournal  # loaded only where it is configured
 
-        journal = RequestJournal(agent, store, found)
+        journal = RequestJournal(agent, store, contents)
         agent.tasks.spawn("ran", journal.run())
     if config.fleet is not None:
         from lupinreach.ops.fleet_agent import FleetAgent  # loaded only by agents of a fleet
 
         part = FleetAgent(
-            agent, store, found, config.fleet, token, journal.peers_asked if journal else lambda _: None
+            agent, store, contents, config.fleet, token, journal.peers_asked if journal else lambda _: None
         )
         agent.tasks.spawn("returning", part.run())
         if journal is not None:
--- a/lupinreach/ops/request_journal.py
+++ b/lupinreach/ops/request_journal.py
@@ -34,10 +34,10 @@
     Its tables hold the ids of two of the longest client timeouts, and at most as many as the store has keys.
     """
 
-    def __init__(self, agent: Agent, store: Store, found: FileContents) -> None:
+    def __init__(self, agent: Agent, store: Store, contents: FileContents) -> None:
         self._agent = agent
         self._store = store
-        stored = [key for key in trust.restorable(found.state) if key.startswith(KEY_PREFIX)]
+        stored = [key for key in trust.restorable(contents.state) if key.startswith(KEY_PREFIX)]
         agent.serving.ids.recall(key.removeprefix(KEY_PREFIX).encode("latin-1") for key in stored)
         self._current: list[str] = stored  # keys put in the current period
         self._previous: list[str] = []  # keys put in the previous period
@@ -50,7 +50,7 @@
         # A repeated request arrives within a client timeout, so an unreliable disk is in doubt for as long:
         # one that was truncated or is another agent's. In a fleet every disk is, until peers were asked,
         # since an older copy looks valid.
-        self._store_damaged = found.lost > 0
+        self._store_damaged = contents.lost > 0
         in_doubt = self._store_damaged or agent.config.fleet is not None
         self._in_doubt_until = agent.clock.now() + agent.serving.longest_wait if in_doubt else 0.0
         if stored:
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -133,34 +133,34 @@
             if silent <= ALONE_INTERVALS * self._config.share
             else Freshness.ALONE
         )
-        met = balancer.relative_latencies()
-        known = {(b.name, boot_hash(b.boot_time)): (b, figure) for b, figure in met}
+        backend_latencies = balancer.relative_latencies()
+        known = {(b.name, boot_hash(b.boot_time)): (b, latency) for b, latency in backend_latencies}
         self.observations.record_own(
             now,
             [
                 Observation(
-                    self.observations.me, self.observations.zone, name, boot, figure, now - b.observed_at
+                    self.observations.me, self.observations.zone, name, boot, latency, now - b.observed_at
                 )
-                for (name, boot), (b, figure) in known.items()
+                for (name, boot), (b, latency) in known.items()
                 if b.latency_ms[0] is not None
             ],
         )
         self.observations.expire(now, known)
         self.counts.refresh(now, self._self()[0], now - self._began)
-        self._resize_budget(now, len(met))
+        self._resize_budget(now, len(backend_latencies))
         recently_started = {b.name: b for b in balancer.recently_started(now)}
         self.uptimes.record_own(
             now, {name: (b.up_since, b.observed_at) for name, b in recently_started.items() if b.up_since}
         )
         self.uptimes.expire(now, recently_started)
-        own = {key: (figure, b.observed_at) for key, (b, figure) in known.items()}
+        own = {key: (latency, b.observed_at) for key, (b, latency) in known.items()}
         cost_factors = {
             name: factor for (name, _), factor in self.observations.cost_factors(now, own).items()
         }
         due = frozenset(
             name
-            for (name, boot), (figure, _) in self.observations.estimates(now, own).items()
-            if figure < HEALTHY_RELATIVE_LATENCY and any(known[name, boot][0].ejected_until)
+            for (name, boot), (latency, _) in self.observations.estimates(now, own).items()
+            if latency < HEALTHY_RELATIVE_LATENCY and any(known[name, boot][0].ejected_until)
         )
         balancer.apply_shared(
             now,
@@ -198,14 +198,16 @@
     def metrics(self) -> dict[str, object]:
         """The `shared` object of the reported metrics."""
         now = self._agent.clock.now()
-        met = self._agent.balancer.relative_latencies()
+        backend_latencies = self._agent.balancer.relative_latencies()
         return {
             "stage": self.stage.value,
             "rows": len(self.observations),
             "counts": len(self.counts),
             "stood": len(self.uptimes),
             "refused": self.observations.rejected + self.counts.rejected + self.uptimes.rejected,
-            "dearer": {str(b.name): round(b.cost_factor, 2) for b, _ in met if b.cost_factor > 1},
+            "dearer": {
+                str(b.name): round(b.cost_factor, 2) for b, _ in backend_latencies if b.cost_factor > 1
+            },
             "customers_per_s": [round(rate, 2) for rate in self.counts.rates(now)],
             "over": sorted(self._over_share(now) or ()),
             "trials_per_s": None if self.trials is None else round(self.trials.usable(now), 4),
--- a/lupinreach/ops/snapshot.py
+++ b/lupinreach/ops/snapshot.py
@@ -100,13 +100,13 @@
         self._store = store
         self._most_age = most_age
 
-    def restore(self, found: FileContents) -> None:
+    def restore(self, contents: FileContents) -> None:
         """Restores the snapshot of the previous process, if it still applies."""
         log = self._agent.log
-        if found.lost:
-            log.event("store lost", bytes=found.lost, why=found.why)
+        if contents.lost:
+            log.event("store lost", bytes=contents.lost, why=contents.why)
         try:
-            snapshot, age = self._read(found)
+            snapshot, age = self._read(contents)
         except InvalidSnapshot as why:
             log.event("carried nothing", why=str(why))
             return
@@ -115,10 +115,10 @@
             return
         log.event("carried", backends=len(snapshot.backends), age_ms=round(age))
 
-    def _read(self, found: FileContents) -> tuple[PolicySnapshot, float]:
-        raw = trust.restorable(found.state).get(KEY)
+    def _read(self, contents: FileContents) -> tuple[PolicySnapshot, float]:
+        raw = trust.restorable(contents.state).get(KEY)
         if raw is None:
-            raise InvalidSnapshot(found.why or "nothing learnt")
+            raise InvalidSnapshot(contents.why or "nothing learnt")
         at, snapshot = parse_snapshot(raw)
         age = self._agent.clock.now() - at
         most = self._most_age
