--- a/lupinreach/mesh/model/disk.py
+++ b/lupinreach/mesh/model/disk.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Any
 
-from lupinreach.mesh.store.disk import DiskFailed
+from lupinreach.mesh.store.disk import DiskWriteError
 
 
 class Fate(Enum):
@@ -36,7 +36,7 @@
     def save(self, changes: Mapping[str, Any]) -> None:
         """Keep the values; raises as the disk's fate has it."""
         if self.fate is Fate.FULL:
-            raise DiskFailed("no space")
+            raise DiskWriteError("no space")
         if self.fate is Fate.DIES_BEFORE:
             raise ProcessDied
         self.values.update(changes)
--- a/lupinreach/mesh/model/mistakes.py
+++ b/lupinreach/mesh/model/mistakes.py
@@ -76,7 +76,7 @@
     def begin_round(self: Primary, now: float) -> None:
         try:
             original(self, now)
-        except replica_module.DiskFailed:
+        except replica_module.DiskWriteError:
             assert self.round is not None
             self.round.waiting.discard(self._state.identity)
 
--- a/lupinreach/mesh/store/disk.py
+++ b/lupinreach/mesh/store/disk.py
@@ -18,7 +18,7 @@
 SET_ASIDE = ".damaged"
 
 
-class DiskFailed(Exception):
+class DiskWriteError(Exception):
     """The disk did not take a write; what it holds is what it held before, or the whole write."""
 
 
@@ -28,7 +28,7 @@
     def load(self) -> dict[str, Any]: ...
 
     def save(self, changes: Mapping[str, Any]) -> None:
-        """Raises `DiskFailed` where the values may not be on disk."""
+        """Raises `DiskWriteError` where the values may not be on disk."""
 
 
 class SqliteRecord:
@@ -63,7 +63,7 @@
         return {key: msgpack.unpackb(value) for key, value in rows}
 
     def save(self, changes: Mapping[str, Any]) -> None:
-        """Write the values in one transaction and sync it; `DiskFailed` where that was not done."""
+        """Write the values in one transaction and sync it; `DiskWriteError` where that was not done."""
         connection = self._connection
         try:
             connection.execute("BEGIN IMMEDIATE")
@@ -74,7 +74,7 @@
             connection.execute("COMMIT")
         except sqlite3.Error as failed:
             self._roll_back()
-            raise DiskFailed(str(failed)) from failed
+            raise DiskWriteError(str(failed)) from failed
 
     def _roll_back(self) -> None:
         """End a transaction that failed; SQLite may have done so by itself."""
--- a/lupinreach/mesh/store/replica.py
+++ b/lupinreach/mesh/store/replica.py
@@ -31,7 +31,7 @@
     Write,
     Written,
 )
-from lupinreach.mesh.store.disk import DiskFailed, Record
+from lupinreach.mesh.store.disk import DiskWriteError, Record
 from lupinreach.mesh.store.document import Document
 from lupinreach.mesh.store.members import SUSPECT_S, Members
 from lupinreach.mesh.store.serving import PendingOrder, Primary, Reply, results, take_write
@@ -174,7 +174,7 @@
     def _guarded(self, work: Callable[..., None], *arguments: Any) -> None:
         try:
             work(*arguments)
-        except DiskFailed as failed:
+        except DiskWriteError as failed:
             self._disk_failed(failed)
 
     def _dispatch(self, sender: str, message: Message) -> None:
@@ -192,7 +192,7 @@
 
     # The disk.
 
-    def _disk_failed(self, failed: DiskFailed) -> None:
+    def _disk_failed(self, failed: DiskWriteError) -> None:
         """Nothing is promised from here on until the disk takes writes again."""
         if self.healthy:
             self._port.log(Event.DISK_FAILED, why=str(failed))
--- a/lupinreach/mesh/store/state.py
+++ b/lupinreach/mesh/store/state.py
@@ -1,6 +1,6 @@
 """The durable state of one store: one method for each change, which is on disk before it is in memory.
 
-Every method may raise `DiskFailed`; memory is then as before, so that nothing that is not on disk is ever
+Every method may raise `DiskWriteError`; memory is then as before, so that nothing that is not on disk is ever
 promised to another store.
 """
 
--- a/tests/mesh/test_store_disk.py
+++ b/tests/mesh/test_store_disk.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lupinreach.mesh.store.disk import FILE_NAME, DiskFailed, SqliteRecord
+from lupinreach.mesh.store.disk import FILE_NAME, DiskWriteError, SqliteRecord
 
 SECTOR = 512  # the least that a disk writes or loses as a whole
 WAL = FILE_NAME + "-wal"
@@ -92,7 +92,7 @@
     pages = record._connection.execute("PRAGMA page_count").fetchone()[0]
     record._connection.execute(f"PRAGMA max_page_count={pages}")
     for _ in range(2):
-        with pytest.raises(DiskFailed):
+        with pytest.raises(DiskWriteError):
             record.save({"document": b"x" * 90_000})
     assert record.load() == COMMITS[0]
     record._connection.execute("PRAGMA max_page_count=100000")
--- a/tests/mesh/world.py
+++ b/tests/mesh/world.py
@@ -18,7 +18,7 @@
 from lupinreach.mesh.registry.program import RegistryProgram
 from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer
 from lupinreach.mesh.settings import Bounds, FaultTolerance, Limits, Settings
-from lupinreach.mesh.store.disk import DiskFailed
+from lupinreach.mesh.store.disk import DiskWriteError
 from lupinreach.mesh.store.program import StoreProgram
 
 ONE_WAY_S = 0.001
@@ -166,7 +166,7 @@
 
     def save(self, changes: Any) -> None:
         if self._host in self._world.full_disks:
-            raise DiskFailed("no space")
+            raise DiskWriteError("no space")
         self._record.save(changes)
 
 
