--- a/benchmarks/order_cost.py
+++ b/benchmarks/order_cost.py
@@ -79,7 +79,7 @@
         for other in group.values():
             if other is not node:
                 member = Member(other.replica.identity, other.host, other.host)
-                node.replica.heard(member, True, 1.0)
+                node.replica.record_contact(member, True, 1.0)
     group["a"].replica.tick(1.0)
     deliver(group)
     assert group["a"].replica.serving
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -178,7 +178,7 @@
     def _hear(self, other: Store, living: Replica, source: Replica, store: Store) -> None:
         if other.replica is living and other.awake is not None:
             member = Member(source.identity, store.host, store.zone)
-            living.heard(member, source.born_first, self.now, source.healthy, source.leaving)
+            living.record_contact(member, source.born_first, self.now, source.healthy, source.leaving)
             self._run(other, living.learn, source.view)
 
     # Operators.
--- a/lupinreach/mesh/model/mistakes.py
+++ b/lupinreach/mesh/model/mistakes.py
@@ -48,7 +48,7 @@
 
 
 def _late_write(original: Any) -> Any:
-    def take_write(state: StoreState, message: Write) -> Message | None:
+    def apply_write(state: StoreState, message: Write) -> Message | None:
         if message.previous == WHOLE and (message.epoch, message.uid) == (state.view.epoch, state.view.uid):
             if state.sealed or state.identity not in state.view.copies:
                 return None
@@ -57,11 +57,11 @@
         answer: Message | None = original(state, message)
         return answer
 
-    return take_write
+    return apply_write
 
 
 def _unchecked_change(original: Any) -> Any:
-    def take_write(state: StoreState, message: Write) -> Message | None:
+    def apply_write(state: StoreState, message: Write) -> Message | None:
         same = (message.epoch, message.uid) == (state.view.epoch, state.view.uid)
         if same and message.previous != WHOLE and not state.sealed and state.identity in state.view.copies:
             state.write(Document.from_list(message.document, state.document), message.incarnation)
@@ -69,7 +69,7 @@
         answer: Message | None = original(state, message)
         return answer
 
-    return take_write
+    return apply_write
 
 
 def _own_disk_ignored(original: Any) -> Any:
@@ -259,14 +259,14 @@
         "late-write",
         "a whole write is taken whatever its sequence",
         replica_module,
-        "take_write",
+        "apply_write",
         _late_write,
     ),
     Mistake(
         "change-unchecked",
         "a change is applied to whatever is held",
         replica_module,
-        "take_write",
+        "apply_write",
         _unchecked_change,
     ),
     Mistake(
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -126,7 +126,7 @@
     def _meet(self, other: SmallStore) -> None:
         assert self.replica is not None and other.replica is not None
         member = Member(other.replica.identity, other.host, "z" + other.host)
-        self.replica.heard(member, other.replica.born_first, NOW)
+        self.replica.record_contact(member, other.replica.born_first, NOW)
 
     def send(self, identity: str, message: Message) -> None:
         assert self.replica is not None
--- a/lupinreach/mesh/store/members.py
+++ b/lupinreach/mesh/store/members.py
@@ -33,7 +33,7 @@
         self._now = 0.0
         self._began: float | None = None
 
-    def heard(
+    def record_contact(
         self, member: Member, born_first: bool, now: float, healthy: bool = True, leaving: bool = False
     ) -> None:
         """A store gave a sign of life; an earlier identity at its address is gone for good."""
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -159,7 +159,7 @@
         if known is not None:
             member = Member(known[0], known[1], known[2])
             now = asyncio.get_running_loop().time()
-            self.replica.heard(member, known[3], now, healthy, leaving)
+            self.replica.record_contact(member, known[3], now, healthy, leaving)
 
     def _on_status(self, link: Link, status: StoreStatus) -> None:
         if link.owner != status.identity:
--- a/lupinreach/mesh/store/replica.py
+++ b/lupinreach/mesh/store/replica.py
@@ -34,7 +34,7 @@
 from lupinreach.mesh.store.disk import DiskWriteError, Record
 from lupinreach.mesh.store.document import Document
 from lupinreach.mesh.store.members import SUSPECT_S, Members
-from lupinreach.mesh.store.serving import PendingOrder, Primary, Reply, results, take_write
+from lupinreach.mesh.store.serving import PendingOrder, Primary, Reply, apply_write, results
 from lupinreach.mesh.store.state import StoreState
 from lupinreach.mesh.store.view import Liveness, Member, RegionOf, Tolerance, View, next_copies, next_voters
 from lupinreach.mesh.store.voting import Acceptor, Phase, Proposal
@@ -137,11 +137,11 @@
 
     # What comes in. The disk may fail in any of these.
 
-    def heard(
+    def record_contact(
         self, member: Member, born_first: bool, now: float, healthy: bool = True, leaving: bool = False
     ) -> None:
         """A store gave a sign of life."""
-        self.members.heard(member, born_first, now, healthy, leaving)
+        self.members.record_contact(member, born_first, now, healthy, leaving)
 
     def link_up(self, identity: str) -> None:
         """A link to a store came up: what was sent on the one before may be lost."""
@@ -440,7 +440,7 @@
         self._finish_rounds()
 
     def _on_write(self, sender: str, message: Write) -> None:
-        self._reply(sender, take_write(self.state, message))
+        self._reply(sender, apply_write(self.state, message))
 
     def _on_written(self, sender: str, message: Written) -> None:
         self._primary.written(sender, message)
--- a/lupinreach/mesh/store/serving.py
+++ b/lupinreach/mesh/store/serving.py
@@ -181,7 +181,7 @@
     return answers
 
 
-def take_write(state: StoreState, message: Write) -> Message | None:
+def apply_write(state: StoreState, message: Write) -> Message | None:
     """A backup's answer to a write of its primary; None where it may give none."""
     view = state.view
     if (view.epoch, view.uid) != (message.epoch, message.uid):
