--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -251,7 +251,7 @@
         assert replica is not None
         for known in replica.members.others.values():
             other = self.stores[known.member.host]
-            known.heard_at = LONG_AGO if known.member.host == dead or other.replica is None else NOW
+            known.last_contact_at = LONG_AGO if known.member.host == dead or other.replica is None else NOW
             known.healthy = other.record.fate is not Fate.FULL
             known.shunned_until = 0.0
         replica._now = 0.0
--- a/lupinreach/mesh/store/members.py
+++ b/lupinreach/mesh/store/members.py
@@ -17,7 +17,7 @@
 
     member: Member
     born_first: bool  # its disk was first used at the first start of the system
-    heard_at: float
+    last_contact_at: float
     healthy: bool = True  # its disk takes writes
     leaving: bool = False  # its process was told to end
     shunned_until: float = 0.0
@@ -44,7 +44,7 @@
         if known is None:
             self.others[member.identity] = KnownMember(member, born_first, now, healthy, leaving)
             return
-        known.heard_at, known.healthy, known.leaving = now, healthy, leaving
+        known.last_contact_at, known.healthy, known.leaving = now, healthy, leaving
 
     def advance(self, now: float, stalled: bool) -> None:
         """Time has passed; a process that stood still has heard nobody for that reason."""
@@ -53,7 +53,7 @@
         self._now = now
         if stalled:
             for known in self.others.values():
-                known.heard_at = now
+                known.last_contact_at = now
 
     def age_s(self) -> float:
         """Seconds since this process began."""
@@ -64,7 +64,7 @@
         if identity == self.me.identity:
             return 0.0
         known = self.others.get(identity)
-        return self._now - known.heard_at if known is not None else self.age_s()
+        return self._now - known.last_contact_at if known is not None else self.age_s()
 
     def shun(self, identity: str) -> None:
         """Pass a store over for a while: it lives, but left a request unanswered."""
