--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -216,7 +216,7 @@
             replica = store.replica
             if replica is None or not self.ledger.views or replica.view.epoch < max(self.ledger.views):
                 continue
-            if replica.state.holds_all and replica.identity in replica.view.copies:
+            if replica.state.is_complete and replica.identity in replica.view.copies:
                 held = int(replica.document.version or "0", 16)
                 self.ledger.complete_copy(replica.identity, held)
 
--- a/lupinreach/mesh/store/replica.py
+++ b/lupinreach/mesh/store/replica.py
@@ -231,7 +231,7 @@
     @property
     def _may_propose(self) -> bool:
         """If this store holds all that was acknowledged up to the present view, as one of its copies."""
-        if not self.state.holds_all:
+        if not self.state.is_complete:
             return False
         if self.view.epoch == 0:
             return self.born_first and self.me.host in self._seeds
--- a/lupinreach/mesh/store/serving.py
+++ b/lupinreach/mesh/store/serving.py
@@ -189,7 +189,7 @@
         return Outdated(message.epoch, [], view.to_list()) if is_old else None
     if state.sealed or state.identity not in view.copies:
         return None
-    known = state.written_by == message.incarnation and state.holds_all
+    known = state.written_by == message.incarnation and state.is_complete
     held = state.document.sequence
     if state.written_by > message.incarnation or (known and message.sequence < held):
         return None  # late: a newer write of the same view is held
--- a/lupinreach/mesh/store/state.py
+++ b/lupinreach/mesh/store/state.py
@@ -81,7 +81,7 @@
         return self.sealed_epoch >= self.view.epoch
 
     @property
-    def holds_all(self) -> bool:
+    def is_complete(self) -> bool:
         """If the document holds all that was acknowledged up to the present view."""
         return self.view.uid in self.complete
 
