--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -253,7 +253,7 @@
             other = self.stores[known.member.host]
             known.last_contact_at = LONG_AGO if known.member.host == dead or other.replica is None else NOW
             known.healthy = other.record.fate is not Fate.FULL
-            known.shunned_until = 0.0
+            known.avoided_until = 0.0
         replica._now = 0.0
         replica._retry_at = 0.0
         replica._disk_check_at = 0.0
--- a/lupinreach/mesh/store/members.py
+++ b/lupinreach/mesh/store/members.py
@@ -8,7 +8,7 @@
 
 SUSPECT_S = 0.8  # a member not heard for so long counts as down
 LONG_DEAD_S = 1.5  # and after so long its vote may go to another
-SHUN_S = 3.0  # a member that left a write or an installation unanswered is passed over for so long
+AVOID_S = 3.0  # a member that left a write or an installation unanswered is passed over for so long
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
     last_contact_at: float
     healthy: bool = True  # its disk takes writes
     leaving: bool = False  # its process was told to end
-    shunned_until: float = 0.0
+    avoided_until: float = 0.0
 
 
 class Members:
@@ -66,11 +66,11 @@
         known = self.others.get(identity)
         return self._now - known.last_contact_at if known is not None else self.age_s()
 
-    def shun(self, identity: str) -> None:
+    def avoid(self, identity: str) -> None:
         """Pass a store over for a while: it lives, but left a request unanswered."""
         known = self.others.get(identity)
         if known is not None:
-            known.shunned_until = self._now + SHUN_S
+            known.avoided_until = self._now + AVOID_S
 
     def is_alive(self, identity: str) -> bool:
         """If the store was heard lately."""
@@ -83,7 +83,7 @@
         known = self.others.get(identity)
         if known is None:
             return not self.is_alive(identity)
-        return not self.is_alive(identity) or not known.healthy or known.shunned_until > self._now
+        return not self.is_alive(identity) or not known.healthy or known.avoided_until > self._now
 
     def is_leaving(self, identity: str) -> bool:
         """If the store's process was told to end."""
--- a/lupinreach/mesh/store/replica.py
+++ b/lupinreach/mesh/store/replica.py
@@ -261,7 +261,7 @@
             return
         if proposal.phase is Phase.INSTALL:
             for identity in proposal.waiting:
-                self.members.shun(identity)
+                self.members.avoid(identity)
         self._give_up_proposal()
 
     def _give_up_proposal(self) -> None:
@@ -302,7 +302,7 @@
 
     def _tick_primary(self, now: float) -> None:
         for identity in self._primary.unanswering(now):
-            self.members.shun(identity)
+            self.members.avoid(identity)
         if self._needs_new_view():
             self._propose(now)
         else:
