--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -257,9 +257,9 @@
         replica._now = 0.0
         replica._retry_at = 0.0
         replica._disk_check_at = 0.0
-        replica.members._began = LONG_AGO
+        replica.members._started_at = LONG_AGO
         if replica._proposal is not None:
-            replica._proposal.phase_began = LONG_AGO
+            replica._proposal.phase_started_at = LONG_AGO
         if replica._primary.round is not None:
             replica._primary.round.sent_at = LONG_AGO
         self.run(store, replica.tick, NOW)
--- a/lupinreach/mesh/store/members.py
+++ b/lupinreach/mesh/store/members.py
@@ -31,7 +31,7 @@
         self._born_first = born_first
         self.others: dict[str, KnownMember] = {}
         self._now = 0.0
-        self._began: float | None = None
+        self._started_at: float | None = None
 
     def record_contact(
         self, member: Member, born_first: bool, now: float, healthy: bool = True, leaving: bool = False
@@ -48,8 +48,8 @@
 
     def advance(self, now: float, stalled: bool) -> None:
         """Time has passed; a process that stood still has heard nobody for that reason."""
-        if self._began is None:
-            self._began = now
+        if self._started_at is None:
+            self._started_at = now
         self._now = now
         if stalled:
             for known in self.others.values():
@@ -57,7 +57,7 @@
 
     def age_s(self) -> float:
         """Seconds since this process began."""
-        return self._now - (self._began if self._began is not None else self._now)
+        return self._now - (self._started_at if self._started_at is not None else self._now)
 
     def silent_s(self, identity: str) -> float:
         """Seconds since a store was heard."""
--- a/lupinreach/mesh/store/replica.py
+++ b/lupinreach/mesh/store/replica.py
@@ -244,7 +244,7 @@
         self._now = now
         self.members.advance(now, stalled)
         if stalled and self._primary.round is not None:
-            self._primary.round.began = now
+            self._primary.round.started_at = now
         if not self.healthy:
             self._check_disk(now)
         elif self.role is Role.PROPOSING:
@@ -257,7 +257,7 @@
     def _tick_proposing(self, now: float) -> None:
         proposal = self._proposal
         assert proposal is not None
-        if now - proposal.phase_began <= PHASE_S:
+        if now - proposal.phase_started_at <= PHASE_S:
             return
         if proposal.phase is Phase.INSTALL:
             for identity in proposal.waiting:
--- a/lupinreach/mesh/store/serving.py
+++ b/lupinreach/mesh/store/serving.py
@@ -43,7 +43,7 @@
     document: Document
     waiting: set[str]  # copies, the primary itself among them
     orders: list[PendingOrder]
-    began: float
+    started_at: float
     sent_at: float = field(default=0.0)
 
 
@@ -155,7 +155,7 @@
     def unanswering(self, now: float) -> set[str]:
         """The backups that have left the present write unanswered for too long."""
         current = self.round
-        if current is None or now - current.began <= UNANSWERED_S:
+        if current is None or now - current.started_at <= UNANSWERED_S:
             return set()
         return current.waiting - {self._state.identity}
 
--- a/lupinreach/mesh/store/voting.py
+++ b/lupinreach/mesh/store/voting.py
@@ -82,7 +82,7 @@
     base: View
     view: View
     ballot: Ballot
-    phase_began: float
+    phase_started_at: float
     phase: Phase = Phase.INSTALL
     waiting: set[str] = field(default_factory=set)  # copies that do not hold the document yet
     promised: dict[str, Acceptance | None] = field(default_factory=dict)  # by voter
@@ -90,7 +90,7 @@
 
     def _enter(self, phase: Phase, now: float) -> None:
         self.phase = phase
-        self.phase_began = now
+        self.phase_started_at = now
 
     def installed(self, identity: str, now: float) -> Prepare | None:
         """A copy holds the document; voters are asked once all of them do."""
