--- a/lupinreach/mesh/model/mistakes.py
+++ b/lupinreach/mesh/model/mistakes.py
@@ -13,7 +13,7 @@
 from lupinreach.mesh.store.document import Document, Outcome
 from lupinreach.mesh.store.members import Members
 from lupinreach.mesh.store.replica import Replica
-from lupinreach.mesh.store.serving import WHOLE, Primary, _written
+from lupinreach.mesh.store.serving import FULL_DOCUMENT, Primary, _written
 from lupinreach.mesh.store.state import StoreState
 from lupinreach.mesh.store.view import View
 from lupinreach.mesh.store.voting import Acceptor, Phase, Proposal
@@ -49,7 +49,10 @@
 
 def _late_write(original: Any) -> Any:
     def apply_write(state: StoreState, message: Write) -> Message | None:
-        if message.previous == WHOLE and (message.epoch, message.uid) == (state.view.epoch, state.view.uid):
+        if message.previous == FULL_DOCUMENT and (message.epoch, message.uid) == (
+            state.view.epoch,
+            state.view.uid,
+        ):
             if state.sealed or state.identity not in state.view.copies:
                 return None
             state.write(Document.from_list(message.document), message.incarnation)
@@ -63,7 +66,12 @@
 def _unchecked_change(original: Any) -> Any:
     def apply_write(state: StoreState, message: Write) -> Message | None:
         same = (message.epoch, message.uid) == (state.view.epoch, state.view.uid)
-        if same and message.previous != WHOLE and not state.sealed and state.identity in state.view.copies:
+        if (
+            same
+            and message.previous != FULL_DOCUMENT
+            and not state.sealed
+            and state.identity in state.view.copies
+        ):
             state.write(Document.from_list(message.document, state.document), message.incarnation)
             return _written(message, message.sequence)
         answer: Message | None = original(state, message)
--- a/lupinreach/mesh/store/serving.py
+++ b/lupinreach/mesh/store/serving.py
@@ -17,7 +17,7 @@
 RESEND_S = 0.3  # a write that a backup has not answered within this is sent again
 UNANSWERED_S = 0.8  # and after so long the backup counts as failed
 ORDER_LIMIT = 256  # orders that wait for a write
-WHOLE = -1  # `Write.previous` of one that holds the whole document
+FULL_DOCUMENT = -1  # `Write.previous` of one that holds the whole document
 
 Reply = Callable[[OrderResult], None]
 
@@ -108,7 +108,7 @@
             base = previous.sequence
             values = document.to_list(with_config=document.version != previous.version)
         else:
-            base, values = WHOLE, document.to_list()
+            base, values = FULL_DOCUMENT, document.to_list()
         view = state.view
         self._send(
             identity,
@@ -195,7 +195,7 @@
         return None  # late: a newer write of the same view is held
     if known and message.sequence == held:
         return _written(message, held)
-    if message.previous == WHOLE:
+    if message.previous == FULL_DOCUMENT:
         state.write(Document.from_list(message.document), message.incarnation)
         return _written(message, message.sequence)
     if not known or message.previous != held:
