--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -60,7 +60,7 @@
             history.hosts[:3],
             first,
             history.tolerance,
-            chance=random.Random(history.chance.random()),
+            rng=random.Random(history.chance.random()),
         )
 
     @property
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -116,7 +116,7 @@
     def start(self, first: bool) -> None:
         """Begin a life of the process; it knows the other stores that run."""
         self.replica = Replica(
-            self.record, self, self.host, "z" + self.host, list(HOSTS), first, Tolerance(1), chance=self.names
+            self.record, self, self.host, "z" + self.host, list(HOSTS), first, Tolerance(1), rng=self.names
         )  # type: ignore[arg-type]
         for other in self.cluster.stores.values():
             if other is not self and other.replica is not None:
--- a/lupinreach/mesh/store/replica.py
+++ b/lupinreach/mesh/store/replica.py
@@ -79,14 +79,14 @@
         first_start: bool,
         tolerance: Tolerance,
         region_of: RegionOf = str,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._port = port
         self._seeds = seed_hosts
         self._tolerance = tolerance
         self._region_of = region_of
-        self._chance = chance or random.Random(random.getrandbits(64))
-        self.state = StoreState(record, seed_hosts, first_start, self._chance)
+        self._rng = rng or random.Random(random.getrandbits(64))
+        self.state = StoreState(record, seed_hosts, first_start, self._rng)
         if self.state.is_new:
             port.log(Event.IDENTITY_DRAWN, identity=self.state.identity, first_start=first_start)
         self.me = Member(self.state.identity, host, zone)
@@ -267,7 +267,7 @@
     def _give_up_proposal(self) -> None:
         self._proposal = None
         self.role = Role.FOLLOWING
-        self._retry_at = self._now + self._chance.uniform(0.1, 0.5)
+        self._retry_at = self._now + self._rng.uniform(0.1, 0.5)
 
     def _tick_following(self, now: float) -> None:
         if now < self._retry_at or not self._may_propose:
@@ -341,8 +341,8 @@
         return None
 
     def _propose(self, now: float) -> None:
-        self._retry_at = now + self._chance.uniform(0.2, 0.4)
-        uid = f"{self._chance.getrandbits(64):016x}"
+        self._retry_at = now + self._rng.uniform(0.2, 0.4)
+        uid = f"{self._rng.getrandbits(64):016x}"
         view = self._next_view(uid)
         if view is None:
             if self.role is Role.SERVING:
@@ -381,7 +381,7 @@
         if self.role in (Role.SERVING, Role.ACTIVATING):
             self._step_down()
         self.state.install(message.epoch, message.uid, Document.from_list(message.document))
-        self._retry_at = self._now + PHASE_S + self._chance.uniform(0.2, 0.6)
+        self._retry_at = self._now + PHASE_S + self._rng.uniform(0.2, 0.6)
         self._port.send(sender, Installed(message.epoch, message.uid))
 
     def _on_installed(self, sender: str, message: Installed) -> None:
--- a/lupinreach/mesh/store/state.py
+++ b/lupinreach/mesh/store/state.py
@@ -40,15 +40,13 @@
 class StoreState:
     """What a store must never forget. A disk that is empty makes a new identity."""
 
-    def __init__(
-        self, record: Record, seed_hosts: list[str], first_start: bool, chance: random.Random
-    ) -> None:
+    def __init__(self, record: Record, seed_hosts: list[str], first_start: bool, rng: random.Random) -> None:
         self._record = record
         values = record.load()
         self.is_new = "identity" not in values
         if self.is_new:
             values = {
-                "identity": f"{chance.getrandbits(64):016x}",
+                "identity": f"{rng.getrandbits(64):016x}",
                 "born_first": first_start,
                 "complete": {FOUNDING_UID: 0} if first_start else {},
             }
