--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -30,8 +30,8 @@
 )
 from lupinreach.mesh.metrics import Metric
 from lupinreach.mesh.registry.agents import AgentTable
-from lupinreach.mesh.registry.beats import BeatForwarder
 from lupinreach.mesh.registry.entry_feed import EntryFeed
+from lupinreach.mesh.registry.heartbeat_forwarder import BeatForwarder
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.registry.orders import OrderFailure, StoreLinks
 from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer, error_answer
