--- a/lupinreach/mesh/store/disk.py
+++ b/lupinreach/mesh/store/disk.py
@@ -15,7 +15,7 @@
 import msgpack
 
 FILE_NAME = "store.sqlite3"
-SET_ASIDE = ".damaged"
+DAMAGED_SUFFIX = ".damaged"
 
 
 class DiskWriteError(Exception):
@@ -39,7 +39,7 @@
         try:
             self._connection = self._open()
         except sqlite3.DatabaseError:
-            self._set_aside()
+            self._move_damaged_files()
             self._connection = self._open()
 
     def _open(self) -> sqlite3.Connection:
@@ -51,11 +51,11 @@
         connection.execute("CREATE TABLE IF NOT EXISTS record (key TEXT PRIMARY KEY, value BLOB NOT NULL)")
         return connection
 
-    def _set_aside(self) -> None:
+    def _move_damaged_files(self) -> None:
         for suffix in ("", "-wal", "-shm"):
             path = self._path + suffix
             if os.path.exists(path):
-                os.replace(path, path + SET_ASIDE)
+                os.replace(path, path + DAMAGED_SUFFIX)
 
     def load(self) -> dict[str, Any]:
         """All values."""
--- a/lupinreach/mesh/store/document.py
+++ b/lupinreach/mesh/store/document.py
@@ -47,7 +47,7 @@
             config = held.config if held is not None else b""
         return cls(sequence, version, config, dict(evacuations))
 
-    def after(self, order: Order) -> tuple[Document, Outcome]:
+    def apply_order(self, order: Order) -> tuple[Document, Outcome]:
         """The document once an order is carried out, itself where nothing changes; and how the order ends."""
         kind = OrderKind(order.kind)
         if kind is OrderKind.REPLACE_CONFIGURATION:
--- a/lupinreach/mesh/store/members.py
+++ b/lupinreach/mesh/store/members.py
@@ -6,9 +6,9 @@
 
 from lupinreach.mesh.store.view import Liveness, Member, View, seed_identity
 
-SUSPECT_S = 0.8  # a member not heard for so long counts as down
-LONG_DEAD_S = 1.5  # and after so long its vote may go to another
-AVOID_S = 3.0  # a member that left a write or an installation unanswered is passed over for so long
+SUSPECT_AFTER_S = 0.8  # a member not heard for so long counts as down
+PRESUMED_DEAD_AFTER_S = 1.5  # and after so long its vote may go to another
+AVOID_DURATION_S = 3.0  # a member that left a write or an installation unanswered is passed over for so long
 
 
 @dataclass(slots=True)
@@ -70,11 +70,11 @@
         """Pass a store over for a while: it lives, but left a request unanswered."""
         known = self.others.get(identity)
         if known is not None:
-            known.avoided_until = self._now + AVOID_S
+            known.avoided_until = self._now + AVOID_DURATION_S
 
     def is_alive(self, identity: str) -> bool:
         """If the store was heard lately."""
-        return self.silent_s(identity) <= SUSPECT_S
+        return self.silent_s(identity) <= SUSPECT_AFTER_S
 
     def has_failed(self, identity: str) -> bool:
         """If the store can't be counted on for a copy: silent, without a disk, or unresponsive."""
@@ -96,13 +96,15 @@
         alive |= {
             identity: known.member for identity, known in self.others.items() if self.is_alive(identity)
         }
-        sound = {identity for identity in alive if not self.has_failed(identity)}
-        voting = {
+        copy_candidates = {identity for identity in alive if not self.has_failed(identity)}
+        vote_candidates = {
             identity for identity in alive if identity not in self.others or self.others[identity].healthy
         }
-        dead = {voter.identity for voter in view.voters if self.silent_s(voter.identity) > LONG_DEAD_S}
+        presumed_dead = {
+            voter.identity for voter in view.voters if self.silent_s(voter.identity) > PRESUMED_DEAD_AFTER_S
+        }
         leaving = {identity for identity in self.others if self.is_leaving(identity)}
-        return Liveness(alive, sound, voting, dead, leaving)
+        return Liveness(alive, copy_candidates, vote_candidates, presumed_dead, leaving)
 
     def reaches_majority(self, view: View) -> bool:
         """If more than half of the voters were heard lately."""
@@ -122,10 +124,10 @@
             member, born_first = known.member, known.born_first
         return (identity, seed_identity(member.host)) if born_first else (identity,)
 
-    def vote_of(self, view: View, identity: str) -> str | None:
+    def voter_name_in(self, view: View, identity: str) -> str | None:
         """The voter of a view that a store is, if any."""
         return next((name for name in self.voter_names(identity) if view.voter(name)), None)
 
     def voters(self, view: View) -> list[str]:
         """Identities of the known stores that vote on the view after this one."""
-        return [name for name in (self.me.identity, *self.others) if self.vote_of(view, name)]
+        return [name for name in (self.me.identity, *self.others) if self.voter_name_in(view, name)]
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -28,11 +28,11 @@
 from lupinreach.mesh.store.view import Member, Tolerance, View
 from lupinreach.mesh.tasks import spawn
 
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 STATUS_TICKS = 2  # ticks between two heartbeats to other stores
-SUBSCRIBER_TICKS = 5  # and to registries
+SUBSCRIBER_STATUS_TICKS = 5  # and to registries
 GOSSIP_TICKS = 20  # and between two of them that name all known stores
-HAND_OVER_SHARE = 0.4  # of the grace period: the longest wait for others to take over
+HAND_OVER_GRACE_FRACTION = 0.4  # of the grace period: the longest wait for others to take over
 
 
 class StoreProgram:
@@ -57,9 +57,9 @@
         )
         self._dialers: dict[str, Dialer] = {}  # by host
         self._links: dict[str, Link] = {}  # dialled ones by the identity at the other end
-        self._accepted: dict[str, Link] = {}  # and those that were dialled from there
-        self._epochs: dict[str, int] = {}  # of the views that other stores know
-        self._stores: dict[str, list[Any]] = {}  # by identity: as in StoreStatus
+        self._accepted_links: dict[str, Link] = {}  # and those that were dialled from there
+        self._known_epochs: dict[str, int] = {}  # of the views that other stores know
+        self._known_stores: dict[str, list[Any]] = {}  # by identity: as in StoreStatus
         self._subscribers: dict[Link, NewsProgress] = {}  # registries that want news
         self._ticks = 0
         self._published = 0
@@ -68,7 +68,7 @@
         """Listen, and dial the seeds."""
         settings = self._settings
         address = (settings.ip_address, settings.store_port)
-        self._server = await listen(address, lambda: Link(self._message, self._closed))
+        self._server = await listen(address, lambda: Link(self._on_message, self._on_link_closed))
         for host in settings.seed_hosts:
             self._dial(host)
         self._ticker = spawn(self._run())
@@ -79,7 +79,7 @@
             self._ticks += 1
             self.replica.tick(loop.time())
             self._heartbeat()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def settings_changed(self, settings: Settings) -> None:
         """Seeds may have changed: dial what is new."""
@@ -89,11 +89,11 @@
     async def stop(self) -> None:
         """Let others take over what this store holds a copy of, then end; its disk may never come back."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._settings.bounds.grace_period_s * HAND_OVER_SHARE
+        deadline = loop.time() + self._settings.bounds.grace_period_s * HAND_OVER_GRACE_FRACTION
         self.replica.leave()
-        self._tell_stores([])
-        while not self.replica.handed_over and self._links and loop.time() < until:
-            await asyncio.sleep(TICK_S)
+        self._send_status_to_stores([])
+        while not self.replica.handed_over and self._links and loop.time() < deadline:
+            await asyncio.sleep(TICK_INTERVAL_S)
         self._log.write(Event.HANDED_OVER, done=self.replica.handed_over, epoch=self.replica.view.epoch)
         self._ticker.cancel()
         self._server.close()
@@ -105,28 +105,28 @@
         if host == self._settings.ip_address or host in self._dialers:
             return
         address = (host, self._settings.store_port)
-        self._dialers[host] = Dialer(address, self._up, self._message, self._down)
+        self._dialers[host] = Dialer(address, self._on_link_up, self._on_message, self._on_link_down)
 
     def _hello(self) -> StoreHello:
         me = self.replica.me
         return StoreHello(me.identity, me.host, me.zone, self.replica.born_first)
 
-    def _up(self, link: Link) -> None:
+    def _on_link_up(self, link: Link) -> None:
         link.send(self._hello())
 
-    def _down(self, link: Link) -> None:
+    def _on_link_down(self, link: Link) -> None:
         if link.owner is not None and self._links.get(link.owner) is link:
             del self._links[link.owner]
 
-    def _closed(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         self._subscribers.pop(link, None)
-        if link.owner is not None and self._accepted.get(link.owner) is link:
-            del self._accepted[link.owner]
+        if link.owner is not None and self._accepted_links.get(link.owner) is link:
+            del self._accepted_links[link.owner]
 
     def _is_dialled(self, link: Link) -> bool:
         return any(dialer.link is link for dialer in self._dialers.values())
 
-    def _message(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         if isinstance(message, StoreHello):
             self._on_hello(link, message)
         elif isinstance(message, StoreStatus):
@@ -144,18 +144,18 @@
 
     def _on_hello(self, link: Link, hello: StoreHello) -> None:
         link.owner = hello.identity
-        self._stores[hello.identity] = [hello.identity, hello.address, hello.zone, hello.born_first]
+        self._known_stores[hello.identity] = [hello.identity, hello.address, hello.zone, hello.born_first]
         self._dial(hello.address)
         if self._is_dialled(link):
             self._links[hello.identity] = link
-            self._heard(hello.identity)
-            self.replica.link_up(hello.identity)
+            self._record_contact(hello.identity)
+            self.replica.on_link_up(hello.identity)
         else:
-            self._accepted[hello.identity] = link
+            self._accepted_links[hello.identity] = link
             link.send(self._hello())
 
-    def _heard(self, identity: str, healthy: bool = True, leaving: bool = False) -> None:
-        known = self._stores.get(identity)
+    def _record_contact(self, identity: str, healthy: bool = True, leaving: bool = False) -> None:
+        known = self._known_stores.get(identity)
         if known is not None:
             member = Member(known[0], known[1], known[2])
             now = asyncio.get_running_loop().time()
@@ -164,33 +164,35 @@
     def _on_status(self, link: Link, status: StoreStatus) -> None:
         if link.owner != status.identity:
             return
-        self._epochs[status.identity] = status.epoch
-        self._heard(status.identity, status.healthy, status.leaving)
+        self._known_epochs[status.identity] = status.epoch
+        self._record_contact(status.identity, status.healthy, status.leaving)
         if status.view is not None:
             self.replica.learn(View.from_list(status.view))
         for identity, host, zone, born_first in status.stores:
-            self._stores.setdefault(identity, [identity, host, zone, born_first])
+            self._known_stores.setdefault(identity, [identity, host, zone, born_first])
             self._dial(host)
 
     def _heartbeat(self) -> None:
         replica = self.replica
         gossip = self._ticks % GOSSIP_TICKS == 0
         stores = (
-            [self._stores[identity] for identity in self._links if identity in self._stores] if gossip else []
+            [self._known_stores[identity] for identity in self._links if identity in self._known_stores]
+            if gossip
+            else []
         )
         if self._ticks % STATUS_TICKS == 0:
-            self._tell_stores(stores)
-        if self._ticks % SUBSCRIBER_TICKS == 0:
+            self._send_status_to_stores(stores)
+        if self._ticks % SUBSCRIBER_STATUS_TICKS == 0:
             hosts = [*stores, [replica.identity, replica.me.host, replica.me.zone, replica.born_first]]
             for link in self._subscribers:
                 link.send(self._status(None, hosts if gossip else []))
                 if replica.serving:
                     self._send_news(link)  # to those that subscribed while it did not serve
 
-    def _tell_stores(self, stores: list[list[Any]]) -> None:
+    def _send_status_to_stores(self, stores: list[list[Any]]) -> None:
         view = self.replica.view
         for identity, link in self._links.items():
-            behind = self._epochs.get(identity, -1) < view.epoch
+            behind = self._known_epochs.get(identity, -1) < view.epoch
             link.send(self._status(view.to_list() if behind else None, stores))
 
     def _status(self, view: list[Any] | None, stores: list[list[Any]]) -> StoreStatus:
@@ -245,7 +247,7 @@
         subscriber.config_version = message.config_version
         subscriber.acknowledges = message.acknowledges
         me = self.replica.me
-        hosts = [*self._stores.values(), [me.identity, me.host, me.zone, self.replica.born_first]]
+        hosts = [*self._known_stores.values(), [me.identity, me.host, me.zone, self.replica.born_first]]
         link.send(self._status(None, hosts))
         if self.replica.serving:
             self._send_news(link)
@@ -278,7 +280,7 @@
     # The replica's port.
 
     def send(self, identity: str, message: Message) -> None:
-        link = self._links.get(identity) or self._accepted.get(identity)
+        link = self._links.get(identity) or self._accepted_links.get(identity)
         if link is not None:
             link.send(message)
 
--- a/lupinreach/mesh/store/replica.py
+++ b/lupinreach/mesh/store/replica.py
@@ -33,18 +33,20 @@
 )
 from lupinreach.mesh.store.disk import DiskWriteError, Record
 from lupinreach.mesh.store.document import Document
-from lupinreach.mesh.store.members import SUSPECT_S, Members
-from lupinreach.mesh.store.serving import PendingOrder, Primary, Reply, apply_write, results
+from lupinreach.mesh.store.members import SUSPECT_AFTER_S, Members
+from lupinreach.mesh.store.serving import PendingOrder, Primary, Reply, apply_write, order_results
 from lupinreach.mesh.store.state import StoreState
 from lupinreach.mesh.store.view import Liveness, Member, RegionOf, Tolerance, View, next_copies, next_voters
 from lupinreach.mesh.store.voting import Acceptor, Phase, Proposal
 
 TAKEOVER_STEP_S = 0.4  # more patience for each place further back in the order of copies
-PHASE_S = 0.8  # a proposal that stands in one phase for so long is made again
-FOUNDING_S = 2.5  # the longest wait for as many members as the tolerance asks for
-FOUNDING_STEP_S = 0.6  # more patience for each place further back among the seeds
-STALL_S = 0.5  # a tick later than this: the process stood still, and has heard nobody for that reason
-DISK_CHECK_S = 0.5  # between two looks whether a disk that failed takes writes again
+PROPOSAL_PHASE_TIMEOUT_S = 0.8  # a proposal that stands in one phase for so long is made again
+BOOTSTRAP_TIMEOUT_S = 2.5  # the longest wait for as many members as the tolerance asks for
+BOOTSTRAP_STEP_S = 0.6  # more patience for each place further back among the seeds
+STALL_THRESHOLD_S = (
+    0.5  # a tick later than this: the process stood still, and has heard nobody for that reason
+)
+DISK_CHECK_INTERVAL_S = 0.5  # between two looks whether a disk that failed takes writes again
 
 
 class Role(Enum):
@@ -143,21 +145,21 @@
         """A store gave a sign of life."""
         self.members.record_contact(member, born_first, now, healthy, leaving)
 
-    def link_up(self, identity: str) -> None:
+    def on_link_up(self, identity: str) -> None:
         """A link to a store came up: what was sent on the one before may be lost."""
-        self._primary.link_up(identity)
+        self._primary.on_link_up(identity)
 
     def learn(self, view: View) -> None:
         """A view is known to be decided."""
-        self._guarded(self._learn, view)
+        self._handling_disk_errors(self._learn, view)
 
     def handle(self, sender: str, message: Message) -> None:
         """Take in a message of another store; `sender` is its identity."""
-        self._guarded(self._dispatch, sender, message)
+        self._handling_disk_errors(self._dispatch, sender, message)
 
     def tick(self, now: float) -> None:
         """To be called several times a second."""
-        self._guarded(self._tick, now)
+        self._handling_disk_errors(self._tick, now)
 
     def submit(self, order: Order, reply: Reply) -> None:
         """Take an order; the reply comes once it is on all copies, or can't be."""
@@ -165,13 +167,13 @@
         if not self.serving:
             pending.refuse(ErrorKind.NO_PRIMARY)
             return
-        self._guarded(self._submit, pending)
+        self._handling_disk_errors(self._submit, pending)
 
     def leave(self) -> None:
         """This process was told to end: others are to take over what it holds."""
         self.leaving = True
 
-    def _guarded(self, work: Callable[..., None], *arguments: Any) -> None:
+    def _handling_disk_errors(self, work: Callable[..., None], *arguments: Any) -> None:
         try:
             work(*arguments)
         except DiskWriteError as failed:
@@ -197,7 +199,7 @@
         if self.healthy:
             self._port.log(Event.DISK_FAILED, why=str(failed))
         self.healthy = False
-        self._disk_check_at = self._now + DISK_CHECK_S
+        self._disk_check_at = self._now + DISK_CHECK_INTERVAL_S
         self._step_down()
 
     def _check_disk(self, now: float) -> None:
@@ -240,7 +242,7 @@
     # Time.
 
     def _tick(self, now: float) -> None:
-        stalled = bool(self._now) and now - self._now > STALL_S
+        stalled = bool(self._now) and now - self._now > STALL_THRESHOLD_S
         self._now = now
         self.members.advance(now, stalled)
         if stalled and self._primary.round is not None:
@@ -257,14 +259,14 @@
     def _tick_proposing(self, now: float) -> None:
         proposal = self._proposal
         assert proposal is not None
-        if now - proposal.phase_started_at <= PHASE_S:
+        if now - proposal.phase_started_at <= PROPOSAL_PHASE_TIMEOUT_S:
             return
         if proposal.phase is Phase.INSTALL:
             for identity in proposal.waiting:
                 self.members.avoid(identity)
-        self._give_up_proposal()
+        self._abandon_proposal()
 
-    def _give_up_proposal(self) -> None:
+    def _abandon_proposal(self) -> None:
         self._proposal = None
         self.role = Role.FOLLOWING
         self._retry_at = self._now + self._rng.uniform(0.1, 0.5)
@@ -273,35 +275,35 @@
         if now < self._retry_at or not self._may_propose:
             return
         if self.view.epoch == 0:
-            self._tick_founding(now)
+            self._tick_bootstrap(now)
         elif self.state.sealed:
             self._propose(now)  # the view can acknowledge nothing any more: only a next one helps
         elif self.view.primary == self.identity:
             self._activate(now)
-        elif self._is_due():
+        elif self._is_takeover_due():
             self._port.log(Event.MEMBER_SUSPECTED, member=self.view.primary)
             self._propose(now)
 
-    def _is_due(self) -> bool:
+    def _is_takeover_due(self) -> bool:
         """If it is this backup's turn to take over: the first sound one, later ones with more patience."""
         primary = self.view.primary
         backups = self.view.copies[1:]
         place = len(list(takewhile(lambda identity: identity != self.identity, backups)))
-        if self.members.silent_s(primary) > SUSPECT_S + TAKEOVER_STEP_S * place:
+        if self.members.silent_s(primary) > SUSPECT_AFTER_S + TAKEOVER_STEP_S * place:
             return True
         if not self.members.has_failed(primary) and not self.members.is_leaving(primary):
             return False
         return self.members.is_alive(primary) and all(map(self.members.has_failed, backups[:place]))
 
-    def _tick_founding(self, now: float) -> None:
+    def _tick_bootstrap(self, now: float) -> None:
         place = self._seeds.index(self.me.host)
         known = len(self.members.liveness(self.view).alive)
-        enough = known >= max(self._tolerance.least_voters, len(self._seeds))
-        if place == 0 and enough or self.members.age_s() > FOUNDING_S + FOUNDING_STEP_S * place:
+        enough = known >= max(self._tolerance.min_voters, len(self._seeds))
+        if place == 0 and enough or self.members.age_s() > BOOTSTRAP_TIMEOUT_S + BOOTSTRAP_STEP_S * place:
             self._propose(now)
 
     def _tick_primary(self, now: float) -> None:
-        for identity in self._primary.unanswering(now):
+        for identity in self._primary.unresponsive_backups(now):
             self.members.avoid(identity)
         if self._needs_new_view():
             self._propose(now)
@@ -319,8 +321,10 @@
             return True
         if not any(self.members.is_leaving(identity) for identity in view.copies):
             return False
-        stay = self._choose_copies(liveness, view.voters, set(liveness.sound) - set(liveness.leaving))
-        return stay is not None
+        remaining_copies = self._choose_copies(
+            liveness, view.voters, set(liveness.copy_candidates) - set(liveness.leaving)
+        )
+        return remaining_copies is not None
 
     # Proposing a view.
 
@@ -333,8 +337,8 @@
         """The view to propose; None where too few stores are heard for its copies."""
         liveness = self.members.liveness(self.view)
         voters = next_voters(self.view, liveness, self._tolerance, self._region_of)
-        sound = set(liveness.sound)
-        for candidates in (sound - set(liveness.leaving), sound, set(liveness.alive)):
+        available = set(liveness.copy_candidates)
+        for candidates in (available - set(liveness.leaving), available, set(liveness.alive)):
             copies = self._choose_copies(liveness, voters, candidates)
             if copies is not None:
                 return View(self.view.epoch + 1, uid, self.identity, copies, voters)
@@ -381,7 +385,7 @@
         if self.role in (Role.SERVING, Role.ACTIVATING):
             self._step_down()
         self.state.install(message.epoch, message.uid, Document.from_list(message.document))
-        self._retry_at = self._now + PHASE_S + self._rng.uniform(0.2, 0.6)
+        self._retry_at = self._now + PROPOSAL_PHASE_TIMEOUT_S + self._rng.uniform(0.2, 0.6)
         self._port.send(sender, Installed(message.epoch, message.uid))
 
     def _on_installed(self, sender: str, message: Installed) -> None:
@@ -397,19 +401,19 @@
 
     def _on_promise(self, sender: str, message: Promise) -> None:
         proposal = self._proposal
-        vote = self.members.vote_of(self.view, sender)
+        vote = self.members.voter_name_in(self.view, sender)
         if proposal is not None and vote is not None:
             self._to_voters(proposal.promise(vote, message, self._now))
 
     def _on_accepted(self, sender: str, message: Accepted) -> None:
         proposal = self._proposal
-        vote = self.members.vote_of(self.view, sender)
+        vote = self.members.voter_name_in(self.view, sender)
         if proposal is None or vote is None or not proposal.vote(vote, message):
             return
         view = proposal.view
-        told = Decided(view.to_list())
+        decided = Decided(view.to_list())
         for identity in self.members.others:
-            self._port.send(identity, told)
+            self._port.send(identity, decided)
         self._learn(view)
         if view.primary == self.identity and self._may_propose:
             self._activate(self._now)
@@ -422,7 +426,7 @@
             return
         self._highest_round = max(self._highest_round, message.ballot[0])
         if self._proposal is not None and message.epoch == self._proposal.view.epoch:
-            self._give_up_proposal()
+            self._abandon_proposal()
 
     def _on_decided(self, sender: str, message: Decided) -> None:
         self._learn(View.from_list(message.view))
@@ -455,7 +459,7 @@
             if self.committed is not done.document:
                 self.committed = done.document
                 self._port.publish(self.stamp, done.document)
-            for pending, result in results(done):
+            for pending, result in order_results(done):
                 pending.reply(result)
             if self._primary.has_queued and self._primary.round is None and self.role is Role.SERVING:
                 self._primary.begin_round(self._now)
--- a/lupinreach/mesh/store/serving.py
+++ b/lupinreach/mesh/store/serving.py
@@ -14,9 +14,9 @@
 from lupinreach.mesh.store.document import Document, OrderKind, Outcome
 from lupinreach.mesh.store.state import StoreState
 
-RESEND_S = 0.3  # a write that a backup has not answered within this is sent again
-UNANSWERED_S = 0.8  # and after so long the backup counts as failed
-ORDER_LIMIT = 256  # orders that wait for a write
+RESEND_AFTER_S = 0.3  # a write that a backup has not answered within this is sent again
+BACKUP_TIMEOUT_S = 0.8  # and after so long the backup counts as failed
+MAX_QUEUED_ORDERS = 256  # orders that wait for a write
 FULL_DOCUMENT = -1  # `Write.previous` of one that holds the whole document
 
 Reply = Callable[[OrderResult], None]
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Round:
+class WriteRound:
     """One write to all copies, and the orders that are answered once it is done."""
 
     number: int
@@ -56,7 +56,7 @@
         self._held: dict[str, int] = {}  # sequence that each backup is known to hold
         self._queued: list[PendingOrder] = []
         self._rounds = 0
-        self.round: Round | None = None
+        self.round: WriteRound | None = None
 
     def start(self, now: float) -> None:
         """Bring all backups up to date under a new incarnation; the first round is done when they are."""
@@ -73,7 +73,7 @@
 
     def submit(self, pending: PendingOrder, now: float) -> None:
         """Take an order; it is answered once it is on all copies."""
-        if len(self._queued) >= ORDER_LIMIT:
+        if len(self._queued) >= MAX_QUEUED_ORDERS:
             pending.refuse(ErrorKind.STORE_UNAVAILABLE)
             return
         self._queued.append(pending)
@@ -90,10 +90,10 @@
         previous = self._state.document
         document = previous
         for pending in orders:
-            document, pending.outcome = document.after(pending.order)
+            document, pending.outcome = document.apply_order(pending.order)
         self._rounds += 1
         me = self._state.identity
-        self.round = Round(self._rounds, document, set(self._state.view.copies), orders, now, now)
+        self.round = WriteRound(self._rounds, document, set(self._state.view.copies), orders, now, now)
         for identity in self._state.view.copies:
             if identity != me:
                 self._send_write(identity, document, previous)
@@ -131,7 +131,7 @@
         self._held[sender] = message.sequence
         current.waiting.discard(sender)
 
-    def finish_round(self) -> Round | None:
+    def finish_round(self) -> WriteRound | None:
         """The present round if all copies hold its document."""
         current = self.round
         if current is None or current.waiting:
@@ -139,34 +139,34 @@
         self.round = None
         return current
 
-    def _send_whole(self, identity: str, current: Round) -> None:
+    def _send_whole(self, identity: str, current: WriteRound) -> None:
         self._held.pop(identity, None)
         self._send_write(identity, current.document, current.document)
 
     def resend(self, now: float) -> None:
         """Send the present write again, whole, to the backups that have long not answered."""
         current = self.round
-        if current is None or now - current.sent_at <= RESEND_S:
+        if current is None or now - current.sent_at <= RESEND_AFTER_S:
             return
         current.sent_at = now
         for identity in sorted(current.waiting - {self._state.identity}):
             self._send_whole(identity, current)
 
-    def unanswering(self, now: float) -> set[str]:
+    def unresponsive_backups(self, now: float) -> set[str]:
         """The backups that have left the present write unanswered for too long."""
         current = self.round
-        if current is None or now - current.started_at <= UNANSWERED_S:
+        if current is None or now - current.started_at <= BACKUP_TIMEOUT_S:
             return set()
         return current.waiting - {self._state.identity}
 
-    def link_up(self, identity: str) -> None:
+    def on_link_up(self, identity: str) -> None:
         """A link to a store came up: what was sent on the one before may be lost."""
         self._held.pop(identity, None)
         if self.round is not None and identity in self.round.waiting:
             self._send_whole(identity, self.round)
 
 
-def results(done: Round) -> list[tuple[PendingOrder, OrderResult]]:
+def order_results(done: WriteRound) -> list[tuple[PendingOrder, OrderResult]]:
     """What each order of a finished round is answered."""
     answers = []
     for pending in done.orders:
--- a/lupinreach/mesh/store/state.py
+++ b/lupinreach/mesh/store/state.py
@@ -12,9 +12,9 @@
 
 from lupinreach.mesh.store.disk import Record
 from lupinreach.mesh.store.document import Document
-from lupinreach.mesh.store.view import View, founding_view
+from lupinreach.mesh.store.view import View, bootstrap_view
 
-FOUNDING_UID = ""  # of the view before the first one
+BOOTSTRAP_UID = ""  # of the view before the first one
 
 Ballot = tuple[int, str]  # round, identity of the proposer
 
@@ -48,13 +48,13 @@
             values = {
                 "identity": f"{rng.getrandbits(64):016x}",
                 "born_first": first_start,
-                "complete": {FOUNDING_UID: 0} if first_start else {},
+                "complete": {BOOTSTRAP_UID: 0} if first_start else {},
             }
             record.save(values)
         self.identity: str = values["identity"]
         self.born_first = bool(values["born_first"])
         view = values.get("view")
-        self.view = View.from_list(view) if view else founding_view(seed_hosts)
+        self.view = View.from_list(view) if view else bootstrap_view(seed_hosts)
         promised = values.get("promised")
         self.promised: tuple[int, Ballot] = (
             (promised[0], (promised[1][0], promised[1][1])) if promised else (-1, (0, ""))
--- a/lupinreach/mesh/store/view.py
+++ b/lupinreach/mesh/store/view.py
@@ -46,7 +46,7 @@
         return next((voter for voter in self.voters if voter.identity == identity), None)
 
 
-def founding_view(seed_hosts: list[str]) -> View:
+def bootstrap_view(seed_hosts: list[str]) -> View:
     """The view before the first one: its voters are the seeds, named by host until their disks have identities."""
     return View(voters=tuple(Member(seed_identity(host), host, "") for host in seed_hosts))
 
@@ -65,7 +65,7 @@
     regions: int = 0
 
     @property
-    def least_voters(self) -> int:
+    def min_voters(self) -> int:
         return 2 * self.machines + 1
 
     @property
@@ -78,9 +78,9 @@
     """The stores as the proposer sees them, by identity."""
 
     alive: dict[str, Member] = field(default_factory=dict)  # heard lately, the proposer among them
-    sound: Collection[str] = ()  # of these, the ones that may hold copies
-    voting: Collection[str] = ()  # and those that may get a vote: slow ones too
-    long_dead: Collection[str] = ()
+    copy_candidates: Collection[str] = ()  # of these, the ones that may hold copies
+    vote_candidates: Collection[str] = ()  # and those that may get a vote: slow ones too
+    presumed_dead: Collection[str] = ()
     leaving: Collection[str] = ()
 
 
@@ -102,7 +102,7 @@
         voters = list(dict.fromkeys(by_host.get(voter.host, voter) for voter in view.voters))
     for newcomer in _newcomers(voters, liveness):
         voters = _with_newcomer(voters, newcomer, liveness, tolerance, region_of)
-    return tuple(_without_lost(voters, liveness, tolerance, region_of))
+    return tuple(_without_lost_voters(voters, liveness, tolerance, region_of))
 
 
 def _newcomers(voters: list[Member], liveness: Liveness) -> list[Member]:
@@ -111,7 +111,7 @@
     found = [
         member
         for identity, member in sorted(liveness.alive.items(), key=lambda item: item[1].host)
-        if identity not in held and identity in liveness.voting and identity not in liveness.leaving
+        if identity not in held and identity in liveness.vote_candidates and identity not in liveness.leaving
     ]
     taken = Counter(voter.zone for voter in voters)
     ranked = []
@@ -132,7 +132,7 @@
     lost = [
         voter
         for voter in voters
-        if voter.identity in liveness.long_dead or voter.identity in liveness.leaving
+        if voter.identity in liveness.presumed_dead or voter.identity in liveness.leaving
     ]
     for voter in sorted(lost, key=lambda voter: voter.zone != newcomer.zone):
         replaced = [newcomer if other is voter else other for other in voters]
@@ -140,18 +140,18 @@
             return replaced
     added = [*voters, newcomer]
     added_margin = majority_margin(added, tolerance, region_of)
-    if len(added) <= tolerance.least_voters or added_margin >= 0 or added_margin > margin:
+    if len(added) <= tolerance.min_voters or added_margin >= 0 or added_margin > margin:
         return added
     return voters
 
 
-def _without_lost(
+def _without_lost_voters(
     voters: list[Member], liveness: Liveness, tolerance: Tolerance, region_of: RegionOf
 ) -> list[Member]:
     for voter in list(voters):
-        lost = voter.identity in liveness.long_dead or voter.identity in liveness.leaving
+        lost = voter.identity in liveness.presumed_dead or voter.identity in liveness.leaving
         rest = [other for other in voters if other is not voter]
-        if lost and len(rest) >= tolerance.least_voters and majority_margin(rest, tolerance, region_of) >= 0:
+        if lost and len(rest) >= tolerance.min_voters and majority_margin(rest, tolerance, region_of) >= 0:
             voters = rest
     return voters
 
@@ -180,7 +180,7 @@
     """The primary and enough live voters, spread over zones and regions; None where there are too few."""
     chosen = [primary]
     free = [voter for voter in voters if voter.identity in alive and voter.identity != primary.identity]
-    while not _enough(chosen, tolerance, region_of):
+    while not _meets_tolerance(chosen, tolerance, region_of):
         if not free:
             return None
         zones = {member.zone for member in chosen}
@@ -196,7 +196,7 @@
     return tuple(member.identity for member in chosen)
 
 
-def _enough(chosen: list[Member], tolerance: Tolerance, region_of: RegionOf) -> bool:
+def _meets_tolerance(chosen: list[Member], tolerance: Tolerance, region_of: RegionOf) -> bool:
     return (
         len(chosen) >= tolerance.copies
         and len({member.zone for member in chosen}) > tolerance.zones
--- a/lupinreach/mesh/store/voting.py
+++ b/lupinreach/mesh/store/voting.py
@@ -56,7 +56,10 @@
 
     def _may_vote(self, epoch: int) -> bool:
         view = self._state.view
-        return view.epoch == epoch - 1 and self._members.vote_of(view, self._members.me.identity) is not None
+        return (
+            view.epoch == epoch - 1
+            and self._members.voter_name_in(view, self._members.me.identity) is not None
+        )
 
     def _refusal(self, epoch: int, ballot: Ballot) -> Outdated | None:
         """What a proposer is told that comes too late."""
