--- a/lupinreach/mesh/registry/agents.py
+++ b/lupinreach/mesh/registry/agents.py
@@ -7,11 +7,11 @@
 from lupinreach.mesh.link import Link
 from lupinreach.mesh.messages import AgentEntry
 
-EXPIRES_S = 5.0  # after the last registry that was connected to it lost it
+EXPIRE_AFTER_S = 5.0  # after the last registry that was connected to it lost it
 
 
 @dataclass(slots=True)
-class Known:
+class KnownProxy:
     """One proxy."""
 
     entry: AgentEntry
@@ -23,7 +23,7 @@
     """All proxies by address; the newest (life, sequence) of each holds."""
 
     def __init__(self) -> None:
-        self._by_address: dict[str, Known] = {}
+        self._by_address: dict[str, KnownProxy] = {}
 
     def __len__(self) -> int:
         return len(self._by_address)
@@ -31,14 +31,14 @@
     def entries(self) -> list[AgentEntry]:
         return [known.entry for known in self._by_address.values()]
 
-    def connected(self) -> list[Known]:
+    def connected(self) -> list[KnownProxy]:
         """Those with a link to this registry."""
         return [known for known in self._by_address.values() if known.link is not None]
 
-    def find(self, address: str) -> Known | None:
+    def find(self, address: str) -> KnownProxy | None:
         return self._by_address.get(address)
 
-    def address_beside(self, instance_id: str, host: str) -> str | None:
+    def local_proxy_address(self, instance_id: str, host: str) -> str | None:
         """The proxy beside a backend, by the backend's instance or else by its host."""
         on_host = None
         for address, known in self._by_address.items():
@@ -52,7 +52,7 @@
         """Take an entry in; false where a newer one is held."""
         known = self._by_address.get(entry.address)
         if known is None:
-            self._by_address[entry.address] = Known(entry, now)
+            self._by_address[entry.address] = KnownProxy(entry, now)
             return True
         known.alive_at = now
         if (entry.life, entry.sequence) <= (known.entry.life, known.entry.sequence):
@@ -64,7 +64,7 @@
         """A proxy has opened a link to this registry."""
         known = self._by_address.get(address)
         if known is None:
-            known = self._by_address[address] = Known(AgentEntry(address, life, -1), now)
+            known = self._by_address[address] = KnownProxy(AgentEntry(address, life, -1), now)
         known.link = link
         known.alive_at = now
 
@@ -75,7 +75,7 @@
                 known.link = None
                 known.alive_at = now
 
-    def alive(self, address: str, now: float) -> None:
+    def mark_alive(self, address: str, now: float) -> None:
         """Another registry is connected to it."""
         known = self._by_address.get(address)
         if known is not None:
@@ -83,12 +83,12 @@
 
     def expire(self, now: float) -> list[AgentEntry]:
         """Drop those that no registry has been connected to for long; as entries that say so."""
-        gone = []
+        expired = []
         for address, known in list(self._by_address.items()):
-            if known.link is None and now - known.alive_at > EXPIRES_S:
+            if known.link is None and now - known.alive_at > EXPIRE_AFTER_S:
                 del self._by_address[address]
                 entry = known.entry
-                gone.append(
+                expired.append(
                     AgentEntry(address, entry.life, entry.sequence, entry.service, entry.zone, removed=True)
                 )
-        return gone
+        return expired
--- a/lupinreach/mesh/registry/heartbeat_forwarder.py
+++ b/lupinreach/mesh/registry/heartbeat_forwarder.py
@@ -16,10 +16,10 @@
 from lupinreach.mesh.proxy.local_backend import Heartbeat
 from lupinreach.mesh.registry.agents import AgentTable
 
-PATIENCE_S = 0.8  # backends turn to another agent after a second
+FORWARD_TIMEOUT_S = 0.8  # backends turn to another agent after a second
 
 
-class BeatForwarder:
+class HeartbeatForwarder:
     """Implements `InstanceSink` for a registry."""
 
     def __init__(self, agents: AgentTable, control_port: int) -> None:
@@ -29,27 +29,27 @@
     async def heartbeat(self, instance_id: str, body: bytes, beat: Heartbeat) -> Result[str, ErrorKind]:
         """Hand a heartbeat on; Ok with the proxy's address for the later ones."""
         host = beat.address.rpartition(":")[0]
-        address = self._agents.address_beside(instance_id, host)
+        address = self._agents.local_proxy_address(instance_id, host)
         return await self._forward(address, ForwardedBeat(1, instance_id, body))
 
     async def sign_off(self, instance_id: str) -> Result[str, ErrorKind]:
         """Hand a sign-off on."""
-        address = self._agents.address_beside(instance_id, "")
+        address = self._agents.local_proxy_address(instance_id, "")
         return await self._forward(address, ForwardedBeat(1, instance_id, None))
 
     async def _forward(self, address: str | None, beat: ForwardedBeat) -> Result[str, ErrorKind]:
         if address is None:
             return Err(ErrorKind.PROXY_UNREACHABLE)
-        taken = asyncio.Event()
+        acknowledged = asyncio.Event()
 
         def on_message(link: Link, message: Message) -> None:
             if isinstance(message, BeatTaken) and message.number == beat.number:
-                taken.set()
+                acknowledged.set()
 
         dialer = Dialer(parse_address(address), lambda link: link.send(beat), on_message, lambda link: None)
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                await taken.wait()
+            async with asyncio.timeout(FORWARD_TIMEOUT_S):
+                await acknowledged.wait()
         except TimeoutError:
             return Err(ErrorKind.PROXY_UNREACHABLE)
         finally:
--- a/lupinreach/mesh/registry/news_feed.py
+++ b/lupinreach/mesh/registry/news_feed.py
@@ -12,7 +12,7 @@
 from lupinreach.mesh.messages import AgentHello, News, NewsAcknowledged, encode
 from lupinreach.mesh.send_window import NewsProgress
 
-LATE_S = 1.0  # a change that a proxy has not acknowledged for so long is logged
+LATE_AFTER_S = 1.0  # a change that a proxy has not acknowledged for so long is logged
 
 
 @dataclass(slots=True)
@@ -23,9 +23,9 @@
     address: str
     takes_updates: bool
     progress: NewsProgress
-    needs_whole: bool = False  # it could not use an update
+    needs_full: bool = False  # it could not use an update
     behind_since: float | None = None  # loop time from which on it has lacked the newest
-    told_late: bool = False
+    late_logged: bool = False
 
     def lag_s(self, now: float) -> float:
         """Seconds for which it has lacked the newest; 0: it has acknowledged all."""
@@ -57,7 +57,7 @@
         for receiver in self._receivers.values():
             if receiver.behind_since is None:
                 receiver.behind_since = now
-            self._offer(receiver)
+            self._send_if_behind(receiver)
 
     def join(self, link: Link, hello: AgentHello) -> None:
         """A proxy has opened a link, and says what it holds."""
@@ -66,13 +66,13 @@
         self._receivers[link] = receiver
         if self.stamp:
             receiver.behind_since = asyncio.get_running_loop().time()
-            self._offer(receiver)
+            self._send_if_behind(receiver)
 
     def leave(self, link: Link) -> None:
         """The link has ended."""
         self._receivers.pop(link, None)
 
-    def acknowledged(self, link: Link, message: NewsAcknowledged) -> None:
+    def on_acknowledged(self, link: Link, message: NewsAcknowledged) -> None:
         """A proxy has dealt with the oldest news that was out to it, and says what it holds."""
         receiver = self._receivers.get(link)
         if receiver is None:
@@ -82,24 +82,24 @@
         if progress.window.empty:
             progress.config_version = message.config_version
             if progress.stamp == self.stamp:
-                self._caught_up(receiver)
-        self._offer(receiver)
+                self._on_caught_up(receiver)
+        self._send_if_behind(receiver)
 
-    def pulled(self, link: Link) -> None:
+    def on_pull(self, link: Link) -> None:
         """A proxy could not use an update: it gets the whole."""
         receiver = self._receivers.get(link)
         if receiver is not None:
-            receiver.needs_whole, receiver.progress.stamp = True, []
-            self._offer(receiver)
+            receiver.needs_full, receiver.progress.stamp = True, []
+            self._send_if_behind(receiver)
 
-    def _offer(self, receiver: Receiver) -> None:
+    def _send_if_behind(self, receiver: Receiver) -> None:
         """Send what a proxy lacks, if its link has room for it."""
         progress = receiver.progress
         if progress.stamp >= self.stamp:
             return
         news = News(self.stamp, self.history.version, None, self.evacuations, self._in_contact())
         if progress.config_version != self.history.version and self.history.table is not None:
-            takes_update = receiver.takes_updates and not receiver.needs_whole
+            takes_update = receiver.takes_updates and not receiver.needs_full
             base = self.history.base_for(progress.config_version) if takes_update else ""
             news.base, news.config = self.history.packed_from(base)
         data = encode(news)
@@ -107,22 +107,22 @@
             return
         receiver.link.send_encoded(data)
         progress.sent(len(data), self.history.version, self.stamp)
-        receiver.needs_whole = False
+        receiver.needs_full = False
         self.sent += 1
         self.sent_bytes += len(data)
 
     # What operators see.
 
-    def _caught_up(self, receiver: Receiver) -> None:
-        if receiver.told_late:
+    def _on_caught_up(self, receiver: Receiver) -> None:
+        if receiver.late_logged:
             late_s = round(receiver.lag_s(asyncio.get_running_loop().time()), 2)
             self._log.write(Event.NEWS_CAUGHT_UP, agent=receiver.address, late_s=late_s)
         receiver.behind_since = None
-        receiver.told_late = False
+        receiver.late_logged = False
 
-    def tell_late(self, now: float) -> None:
+    def log_late_receivers(self, now: float) -> None:
         """Log the proxies that have lacked the newest for long, once each time."""
         for receiver in self._receivers.values():
-            if receiver.lag_s(now) > LATE_S and not receiver.told_late:
-                receiver.told_late = True
+            if receiver.lag_s(now) > LATE_AFTER_S and not receiver.late_logged:
+                receiver.late_logged = True
                 self._log.write(Event.NEWS_LATE, agent=receiver.address, unsent=receiver.link.unsent)
--- a/lupinreach/mesh/registry/orders.py
+++ b/lupinreach/mesh/registry/orders.py
@@ -21,9 +21,11 @@
 )
 from lupinreach.mesh.store.document import OrderKind
 
-PATIENCE_S = 0.9  # operators turn to another registry after a second of silence
-CUT_OFF_S = 2.5  # without a primary for so long, longer than a takeover takes, orders are refused at once
-RETRY_S = 0.05
+ORDER_TIMEOUT_S = 0.9  # operators turn to another registry after a second of silence
+CUT_OFF_AFTER_S = (
+    2.5  # without a primary for so long, longer than a takeover takes, orders are refused at once
+)
+RETRY_INTERVAL_S = 0.05
 SILENT_AFTER_S = 1.5
 
 
@@ -36,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class _Store:
+class _KnownStore:
     """A store as this registry sees it."""
 
     dialer: Dialer | None = None
@@ -50,24 +52,24 @@
 
     def __init__(self, port: int, version: Callable[[], str], on_news: Callable[[News], None]) -> None:
         self._port = port
-        self._stores: dict[str, _Store] = {}  # by host
-        self._numbers = 0
-        self._out: dict[int, asyncio.Future[OrderResult]] = {}
+        self._stores: dict[str, _KnownStore] = {}  # by host
+        self._last_number = 0
+        self._in_flight: dict[int, asyncio.Future[OrderResult]] = {}
         self._on_news = on_news
         self._version = version
-        self._primary_at = asyncio.get_running_loop().time()  # loop time at which one was last known
+        self._primary_seen_at = asyncio.get_running_loop().time()  # loop time at which one was last known
 
     def dial(self, host: str, zone: str = "") -> None:
         """Hold a link to the store on a machine."""
         if host in self._stores:
             self._stores[host].zone = zone or self._stores[host].zone
             return
-        store = self._stores[host] = _Store(zone=zone)
+        store = self._stores[host] = _KnownStore(zone=zone)
         store.dialer = Dialer(
             (host, self._port),
-            self._up,
-            lambda link, message: self._message(store, link, message),
-            lambda link: self._down(store),
+            self._on_link_up,
+            lambda link, message: self._on_message(store, link, message),
+            lambda link: self._on_link_down(store),
         )
 
     @property
@@ -79,19 +81,19 @@
     def hosts(self) -> list[str]:
         return list(self._stores)
 
-    def _up(self, link: Link) -> None:
+    def _on_link_up(self, link: Link) -> None:
         link.send(Subscribe(self._version(), acknowledges=True))
 
-    def _down(self, store: _Store) -> None:
+    def _on_link_down(self, store: _KnownStore) -> None:
         store.serving = False
 
-    def _message(self, store: _Store, link: Link, message: Message) -> None:
+    def _on_message(self, store: _KnownStore, link: Link, message: Message) -> None:
         if isinstance(message, StoreStatus):
             store.epoch, store.serving = message.epoch, message.serving
             for _, host, zone, _ in message.stores:
                 self.dial(host, zone)
         elif isinstance(message, OrderResult):
-            future = self._out.pop(message.number, None)
+            future = self._in_flight.pop(message.number, None)
             if future is not None and not future.done():
                 future.set_result(message)
         elif isinstance(message, News):
@@ -100,7 +102,7 @@
 
     def primary(self) -> Link | None:
         """The link to the store that serves under the highest epoch."""
-        best: _Store | None = None
+        best: _KnownStore | None = None
         for store in self._stores.values():
             link = store.dialer.link if store.dialer is not None else None
             if not store.serving or link is None or link.silent_s() > SILENT_AFTER_S:
@@ -113,7 +115,7 @@
         """If this registry hears a primary that serves; to be called now and then."""
         known = self.primary() is not None
         if known:
-            self._primary_at = asyncio.get_running_loop().time()
+            self._primary_seen_at = asyncio.get_running_loop().time()
         return known
 
     async def order(
@@ -124,31 +126,31 @@
         A registry that has been cut off for longer than a takeover takes refuses at once.
         """
         loop = asyncio.get_running_loop()
-        cut_off = not self.in_contact() and loop.time() - self._primary_at > CUT_OFF_S
-        until = loop.time() + (0.0 if cut_off else PATIENCE_S)
+        cut_off = not self.in_contact() and loop.time() - self._primary_seen_at > CUT_OFF_AFTER_S
+        deadline = loop.time() + (0.0 if cut_off else ORDER_TIMEOUT_S)
         failure = OrderFailure(ErrorKind.NO_PRIMARY)
-        while loop.time() < until:
+        while loop.time() < deadline:
             link = self.primary()
             if link is not None:
-                result = await self._ask(link, Order(0, int(kind), version, payload, zone), until)
+                result = await self._send_order(link, Order(0, int(kind), version, payload, zone), deadline)
                 if result is not None and not result.error:
                     return Ok(result.payload)
                 if result is not None and result.error == ErrorKind.VERSION_CONFLICT:
                     return Err(OrderFailure(ErrorKind.VERSION_CONFLICT, f"version {result.held}"))
                 failure = OrderFailure(ErrorKind.STORE_UNAVAILABLE)
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return Err(failure)
 
-    async def _ask(self, link: Link, order: Order, until: float) -> OrderResult | None:
-        self._numbers += 1
-        order.number = self._numbers
+    async def _send_order(self, link: Link, order: Order, deadline: float) -> OrderResult | None:
+        self._last_number += 1
+        order.number = self._last_number
         future: asyncio.Future[OrderResult] = asyncio.get_running_loop().create_future()
-        self._out[order.number] = future
+        self._in_flight[order.number] = future
         link.send(order)
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 return await future
         except TimeoutError:
             return None
         finally:
-            self._out.pop(order.number, None)
+            self._in_flight.pop(order.number, None)
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -31,7 +31,7 @@
 from lupinreach.mesh.metrics import Metric
 from lupinreach.mesh.registry.agents import AgentTable
 from lupinreach.mesh.registry.entry_feed import EntryFeed
-from lupinreach.mesh.registry.heartbeat_forwarder import BeatForwarder
+from lupinreach.mesh.registry.heartbeat_forwarder import HeartbeatForwarder
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.registry.orders import OrderFailure, StoreLinks
 from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer, error_answer
@@ -39,9 +39,9 @@
 from lupinreach.mesh.store.document import OrderKind
 from lupinreach.mesh.tasks import spawn
 
-HEARTBEAT_S = 0.5
-ORDER_RETRY_MS = 200.0  # when an operator whose order was not confirmed may come back
-ALIVE_EVERY = 2  # heartbeats between two lists of connected proxies for the other registries
+HEARTBEAT_INTERVAL_S = 0.5
+ORDER_RETRY_AFTER_MS = 200.0  # when an operator whose order was not confirmed may come back
+ALIVE_AGENTS_HEARTBEATS = 2  # heartbeats between two lists of connected proxies for the other registries
 
 
 class RegistryProgram:
@@ -61,7 +61,7 @@
         calls.add("POST", "evacuations", ANY, "start", call=self._start_evacuation)
         calls.add("POST", "evacuations", ANY, "stop", call=self._stop_evacuation)
         control_port = settings.listen_address("control_plane")[1]
-        add_instance_calls(calls, BeatForwarder(self.agents, control_port))
+        add_instance_calls(calls, HeartbeatForwarder(self.agents, control_port))
         self._server = HttpServer(
             calls.handle, on_fault=lambda fault: log.write(Event.FAULT, fault=repr(fault))
         )
@@ -70,7 +70,7 @@
         """Listen, and dial the stores and registries on the seeds."""
         settings = self._settings
         address = (settings.ip_address, settings.registry_port)
-        self._links = await listen(address, lambda: Link(self._message, self._closed))
+        self._links = await listen(address, lambda: Link(self._on_message, self._on_link_closed))
         await self._server.listen(settings.listen_address("control_plane"))
         self._stores.dial(settings.ip_address)
         for host in settings.seed_hosts:
@@ -91,14 +91,14 @@
         loop = asyncio.get_running_loop()
         ticks = 0
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             ticks += 1
             for host in self._stores.hosts:
                 self._dial_registry(host)
-            self.feed.tell_late(loop.time())
+            self.feed.log_late_receivers(loop.time())
             self._heartbeat(with_registries=ticks % 8 == 1)
-            if ticks % ALIVE_EVERY == 0:
-                self._tell_alive()
+            if ticks % ALIVE_AGENTS_HEARTBEATS == 0:
+                self._send_alive_agents()
             for entry in self.agents.expire(loop.time()):
                 self._log.write(Event.AGENT_REMOVED, agent=entry.address)
                 self._entries.changed(entry)
@@ -109,42 +109,44 @@
         if host == self._settings.ip_address or host in self._registries:
             return
         address = (host, self._settings.registry_port)
-        self._registries[host] = Dialer(address, self._registry_up, self._message, lambda link: None)
+        self._registries[host] = Dialer(
+            address, self._on_registry_link_up, self._on_message, lambda link: None
+        )
 
-    def _registry_up(self, link: Link) -> None:
+    def _on_registry_link_up(self, link: Link) -> None:
         link.send(RegistryHello(f"{self._settings.ip_address}:{self._settings.registry_port}"))
         for known in self.agents.connected():
             link.send(known.entry)
 
-    def _to_registries(self, message: Message) -> None:
+    def _send_to_registries(self, message: Message) -> None:
         data = encode(message)
         for dialer in self._registries.values():
             if dialer.link is not None:
                 dialer.link.send_encoded(data)
 
-    def _tell_alive(self) -> None:
+    def _send_alive_agents(self) -> None:
         connected = [[known.entry.address, known.entry.life] for known in self.agents.connected()]
-        self._to_registries(AliveAgents(connected))
+        self._send_to_registries(AliveAgents(connected))
 
     # Proxies.
 
-    def _message(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         now = asyncio.get_running_loop().time()
         if isinstance(message, AgentHello):
             self._on_agent(link, message, now)
         elif isinstance(message, AgentEntry):
             self._on_entry(link, message, now)
         elif isinstance(message, NewsAcknowledged):
-            self.feed.acknowledged(link, message)
+            self.feed.on_acknowledged(link, message)
         elif isinstance(message, NewsPull):
-            self.feed.pulled(link)
+            self.feed.on_pull(link)
         elif isinstance(message, Describe):
             link.send(Description(self.describe()))
         elif isinstance(message, AliveAgents):
             for address, _ in message.agents:
-                self.agents.alive(address, now)
+                self.agents.mark_alive(address, now)
 
-    def _closed(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         self.agents.disconnect(link, asyncio.get_running_loop().time())
         self.feed.leave(link)
         self._entries.leave(link)
@@ -162,7 +164,7 @@
             return
         self._entries.changed(entry)
         if link.owner is not None:
-            self._to_registries(entry)
+            self._send_to_registries(entry)
 
     def _status(self, with_registries: bool) -> RegistryStatus:
         port = self._settings.registry_port
@@ -233,7 +235,7 @@
     async def _describe_configuration(self, request: HttpRequest) -> HttpAnswer:
         result = await self._stores.order(OrderKind.READ_CONFIGURATION)
         if isinstance(result, Err):
-            return self._refused(result.err_value)
+            return self._rejection(result.err_value)
         if not result.ok_value:
             return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=500)
         return HttpAnswer(200, JSON_TYPE, result.ok_value)
@@ -254,10 +256,10 @@
     ) -> HttpAnswer:
         result = await self._stores.order(kind, version, payload, zone)
         if isinstance(result, Err):
-            return self._refused(result.err_value)
+            return self._rejection(result.err_value)
         self._log.write(Event.ORDER_TAKEN, kind=kind.name.lower(), version=version or "-", zone=zone or "-")
         return HttpAnswer(200, JSON_TYPE, b"{}")
 
-    def _refused(self, failure: OrderFailure) -> HttpAnswer:
+    def _rejection(self, failure: OrderFailure) -> HttpAnswer:
         self._log.write(Event.ORDER_REFUSED, why=failure.kind.name.lower(), detail=failure.detail or "-")
-        return error_answer(failure.kind, failure.detail, retry_ms=ORDER_RETRY_MS)
+        return error_answer(failure.kind, failure.detail, retry_ms=ORDER_RETRY_AFTER_MS)
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -139,8 +139,8 @@
             assert isinstance(message, News)
             wire = wires[number]
             if holder.apply(message) is Applied.UNFIT:
-                feed.pulled(wire)
-            feed.acknowledged(wire, NewsAcknowledged(list(holder.stamp), holder.version))
+                feed.on_pull(wire)
+            feed.on_acknowledged(wire, NewsAcknowledged(list(holder.stamp), holder.version))
 
         wire: Any = _Wire(deliver)
         feeds.append(feed)
@@ -194,7 +194,7 @@
             feed.history.take(_configuration(number, {key: float(number) for key in routes}))
             feed.publish([1, number], {})
         assert len(wire.queued) == 1
-        feed.acknowledged(wire, NewsAcknowledged([1, 1], "00000001"))
+        feed.on_acknowledged(wire, NewsAcknowledged([1, 1], "00000001"))
         assert len(wire.queued) == 2 and feed.receivers[0].progress.config_version == f"{49:08x}"
 
     asyncio.run(play())
--- a/tests/mesh/test_entry_feed.py
+++ b/tests/mesh/test_entry_feed.py
@@ -10,7 +10,7 @@
 from lupinreach.bed.ways.loop import VirtualLoop
 from lupinreach.mesh.messages import AgentEntry, decode
 from lupinreach.mesh.registry.agents import AgentTable
-from lupinreach.mesh.registry.entry_feed import MOST_UNSENT, EntryFeed
+from lupinreach.mesh.registry.entry_feed import MAX_UNSENT_BYTES, EntryFeed
 from lupinreach.mesh.send_window import NewsProgress
 
 
@@ -40,7 +40,7 @@
         feed.join(link)
     await asyncio.sleep(0.1)
     assert [entry.address for entry in slow.got] == ["s0:1", "s1:1"] == [entry.address for entry in quick.got]
-    slow.unsent = MOST_UNSENT + 1
+    slow.unsent = MAX_UNSENT_BYTES + 1
     for sequence in range(2, 102):
         agents.apply(_entry(0, sequence), 0.0)
         feed.changed(_entry(0, sequence))
@@ -81,7 +81,7 @@
     link: Any = _Link()
     agents.apply(_entry(0, 1), 0.0)
     agents.connect("s0:1", 1, link, 0.0)
-    link.unsent = MOST_UNSENT + 1
+    link.unsent = MAX_UNSENT_BYTES + 1
     feed.join(link)
     await asyncio.sleep(3.0)
     assert agents.reads == 0 and link.got == []
