--- a/lupinreach/mesh/registry/__main__.py
+++ b/lupinreach/mesh/registry/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-import lupinreach.mesh.without_tls  # noqa: F401  # before anything that would import ssl
+import lupinreach.mesh.without_tls  # noqa: F401  # must precede every import of ssl
 from lupinreach.mesh.process import serve
 from lupinreach.mesh.registry.program import RegistryProgram
 
--- a/lupinreach/mesh/store/__init__.py
+++ b/lupinreach/mesh/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store of configuration: primary, backups and witnesses on the core machines."""
+"""The replicated configuration store: one primary, its backups and witnesses, on the core machines."""
--- a/lupinreach/mesh/store/__main__.py
+++ b/lupinreach/mesh/store/__main__.py
@@ -1,8 +1,8 @@
-"""Entry point of the store."""
+"""Entry point of the store process."""
 
 import sys
 
-import lupinreach.mesh.without_tls  # noqa: F401  # before anything that would import ssl
+import lupinreach.mesh.without_tls  # noqa: F401  # must precede every import of ssl
 from lupinreach.mesh.process import serve
 from lupinreach.mesh.store.program import StoreProgram
 
--- a/lupinreach/mesh/store/disk.py
+++ b/lupinreach/mesh/store/disk.py
@@ -1,6 +1,6 @@
-"""The store's durable record, in one SQLite file.
+"""Durable key-value record of a store, in one SQLite file.
 
-Write-ahead log with a sync at each commit (`synchronous=FULL`): a commit survives a loss of power as soon as
+The write-ahead log is synced at each commit (`synchronous=FULL`): a commit survives a power loss as soon as
 it returns, and costs one sync. The file is used by one process (`locking_mode=EXCLUSIVE`), which also keeps
 SQLite from using shared memory.
 """
@@ -19,20 +19,22 @@
 
 
 class DiskWriteError(Exception):
-    """The disk did not take a write; what it holds is what it held before, or the whole write."""
+    """A write to disk failed; the disk holds either the state before the write or the complete write."""
 
 
 class Record(Protocol):
-    """What a replica needs of a disk: values by key, saved together and for good before `save` returns."""
+    """Storage interface of a replica: a key-value map whose `save` is atomic and durable when it returns."""
 
-    def load(self) -> dict[str, Any]: ...
+    def load(self) -> dict[str, Any]:
+        """Return all stored values by key."""
+        ...
 
     def save(self, changes: Mapping[str, Any]) -> None:
-        """Raises `DiskWriteError` where the values may not be on disk."""
+        """Store the values; raises `DiskWriteError` if they may not be on disk."""
 
 
 class SqliteRecord:
-    """A record in a folder. A damaged file counts as a lost disk: it is set aside, and the record is empty."""
+    """A record in a directory. A damaged file is treated as a lost disk: it is renamed, and the record is empty."""
 
     def __init__(self, folder: str) -> None:
         self._path = os.path.join(folder, FILE_NAME)
@@ -58,12 +60,12 @@
                 os.replace(path, path + DAMAGED_SUFFIX)
 
     def load(self) -> dict[str, Any]:
-        """All values."""
+        """Return all stored values by key."""
         rows = self._connection.execute("SELECT key, value FROM record").fetchall()
         return {key: msgpack.unpackb(value) for key, value in rows}
 
     def save(self, changes: Mapping[str, Any]) -> None:
-        """Write the values in one transaction and sync it; `DiskWriteError` where that was not done."""
+        """Write the values in one synced transaction; raises `DiskWriteError` if it fails."""
         connection = self._connection
         try:
             connection.execute("BEGIN IMMEDIATE")
@@ -77,13 +79,14 @@
             raise DiskWriteError(str(failed)) from failed
 
     def _roll_back(self) -> None:
-        """End a transaction that failed; SQLite may have done so by itself."""
+        """Roll back a failed transaction, unless SQLite has already done so."""
         if not self._connection.in_transaction:
             return
         try:
             self._connection.execute("ROLLBACK")
         except sqlite3.Error:
-            pass  # the next save fails on its BEGIN and is reported in its turn
+            pass  # the next save fails at BEGIN and reports the error
 
     def close(self) -> None:
+        """Close the database file."""
         self._connection.close()
--- a/lupinreach/mesh/store/document.py
+++ b/lupinreach/mesh/store/document.py
@@ -1,4 +1,4 @@
-"""What the store keeps for the operator: the newest configuration and the evacuations."""
+"""The replicated document: the newest configuration and the evacuations ordered by operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OrderKind(IntEnum):
-    """What an order asks for. Numbers are part of the wire format."""
+    """Kind of an operator's order. The numbers are part of the wire format."""
 
     REPLACE_CONFIGURATION = 1
     START_EVACUATION = 2
@@ -20,15 +20,15 @@
 
 
 class Outcome(Enum):
-    """How an order ends once the document that it led to is on all copies."""
+    """Result of an order once the resulting document is on all copies."""
 
-    DONE = "done"  # carried out now or before, or overtaken by a higher version
-    CONFLICT = "conflict"  # the held version has another content
+    DONE = "done"  # applied now or earlier, or superseded by a higher version
+    CONFLICT = "conflict"  # the document holds the same version with different content
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """One state of all that operators have ordered; `sequence` grows with each change."""
+    """One state of the replicated data; `sequence` increases by one with each change."""
 
     sequence: int = 0
     version: str = ""
@@ -36,19 +36,19 @@
     evacuations: dict[str, bool] = field(default_factory=dict)
 
     def to_list(self, with_config: bool = True) -> list[Any]:
-        """As plain values; without the configuration where the receiver holds it."""
+        """Serialize to plain values, without the configuration if the receiver already holds it."""
         return [self.sequence, self.version, self.config if with_config else None, self.evacuations]
 
     @classmethod
     def from_list(cls, values: list[Any], held: Document | None = None) -> Document:
-        """The inverse of `to_list`; the configuration that is left out is the held one's."""
+        """Inverse of `to_list`; a configuration that was left out is taken from `held`."""
         sequence, version, config, evacuations = values[:4]
         if config is None:
             config = held.config if held is not None else b""
         return cls(sequence, version, config, dict(evacuations))
 
     def apply_order(self, order: Order) -> tuple[Document, Outcome]:
-        """The document once an order is carried out, itself where nothing changes; and how the order ends."""
+        """Return the document after an order (`self` if nothing changes) and the order's outcome."""
         kind = OrderKind(order.kind)
         if kind is OrderKind.REPLACE_CONFIGURATION:
             return self._with_configuration(order.version, order.payload)
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -1,4 +1,4 @@
-"""The store program: a replica with its disk, its links to the other stores, and the registries it serves."""
+"""The store process: a replica with its disk, its links to other stores, and its registry subscribers."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 TICK_INTERVAL_S = 0.1
 STATUS_TICKS = 2  # ticks between two heartbeats to other stores
-SUBSCRIBER_STATUS_TICKS = 5  # and to registries
-GOSSIP_TICKS = 20  # and between two of them that name all known stores
-HAND_OVER_GRACE_FRACTION = 0.4  # of the grace period: the longest wait for others to take over
+SUBSCRIBER_STATUS_TICKS = 5  # ticks between two heartbeats to registries
+GOSSIP_TICKS = 20  # ticks between two heartbeats that list the linked stores
+HAND_OVER_GRACE_FRACTION = 0.4  # share of the grace period to wait at most for other stores to take over
 
 
 class StoreProgram:
-    """One store."""
+    """The process of one store, and the port of its replica."""
 
     def __init__(self, settings: Settings, log: EventLog) -> None:
         assert settings.data_directory is not None
@@ -56,16 +56,16 @@
             region_of=lambda zone: zones.get(zone, ""),
         )
         self._dialers: dict[str, Dialer] = {}  # by host
-        self._links: dict[str, Link] = {}  # dialled ones by the identity at the other end
-        self._accepted_links: dict[str, Link] = {}  # and those that were dialled from there
-        self._known_epochs: dict[str, int] = {}  # of the views that other stores know
-        self._known_stores: dict[str, list[Any]] = {}  # by identity: as in StoreStatus
-        self._subscribers: dict[Link, NewsProgress] = {}  # registries that want news
+        self._links: dict[str, Link] = {}  # outgoing links by the peer's identity
+        self._accepted_links: dict[str, Link] = {}  # incoming links by the peer's identity
+        self._known_epochs: dict[str, int] = {}  # by identity: the epoch that a store last reported
+        self._known_stores: dict[str, list[Any]] = {}  # by identity, as in StoreStatus.stores
+        self._subscribers: dict[Link, NewsProgress] = {}  # registries by their link
         self._ticks = 0
         self._published = 0
 
     async def start(self) -> None:
-        """Listen, and dial the seeds."""
+        """Listen for links, and dial the seeds."""
         settings = self._settings
         address = (settings.ip_address, settings.store_port)
         self._server = await listen(address, lambda: Link(self._on_message, self._on_link_closed))
@@ -82,12 +82,12 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def settings_changed(self, settings: Settings) -> None:
-        """Seeds may have changed: dial what is new."""
+        """Dial seeds that are new in changed settings."""
         for host in settings.seed_hosts:
             self._dial(host)
 
     async def stop(self) -> None:
-        """Let others take over what this store holds a copy of, then end; its disk may never come back."""
+        """Wait for other stores to take over this one's copy, then end: its disk may never come back."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._settings.bounds.grace_period_s * HAND_OVER_GRACE_FRACTION
         self.replica.leave()
@@ -187,7 +187,7 @@
             for link in self._subscribers:
                 link.send(self._status(None, hosts if gossip else []))
                 if replica.serving:
-                    self._send_news(link)  # to those that subscribed while it did not serve
+                    self._send_news(link)  # for registries that subscribed while this store was not serving
 
     def _send_status_to_stores(self, stores: list[list[Any]]) -> None:
         view = self.replica.view
@@ -209,7 +209,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """What this store holds, for operators."""
+        """State of this store, for operators."""
         replica = self.replica
         return {
             "role": "store",
@@ -227,14 +227,18 @@
         }
 
     def metrics(self) -> list[Metric]:
-        """Figures of this store."""
+        """Metrics of this store."""
         replica = self.replica
         subscribers = [link.unsent for link in self._subscribers] or [0]
         stores = [link.unsent for link in self._links.values()] or [0]
         return [
             Metric("store_epoch", replica.view.epoch, "of the view that it knows"),
             Metric("store_serving", replica.serving, "1: it is the primary and takes orders"),
-            Metric("store_committed_total", self._published, "documents that all copies hold, in this life"),
+            Metric(
+                "store_committed_total",
+                self._published,
+                "documents that all copies hold, in this life",
+            ),
             Metric("store_subscribers", len(self._subscribers), "registries that it tells"),
             Metric("store_unsent_bytes", sum(stores), "that wait on links to other stores"),
             Metric("store_unsent_news_bytes", sum(subscribers), "that wait on links to registries"),
@@ -259,9 +263,9 @@
             self._send_news(link)
 
     def _send_news(self, link: Link) -> None:
-        """Send the newest committed state to a registry, unless one is on its way there: then it follows that.
+        """Send the newest committed state to a registry, as its send window allows.
 
-        Its stamp is that of the committed document: the replica's own may be of one that is still being written.
+        The stamp is that of the committed document; `Replica.stamp` may belong to one that is still being written.
         """
         document = self.replica.committed
         if document is None:
@@ -277,17 +281,20 @@
         subscriber.sent(len(data), document.version, stamp)
         link.send_encoded(data)
 
-    # The replica's port.
+    # Implementation of the replica's `Port`.
 
     def send(self, identity: str, message: Message) -> None:
+        """Send a message to another store, if there is a link to it."""
         link = self._links.get(identity) or self._accepted_links.get(identity)
         if link is not None:
             link.send(message)
 
     def log(self, event: Event, **facts: Any) -> None:
+        """Write an event to the log."""
         self._log.write(event, **facts)
 
     def publish(self, stamp: list[int], document: Document) -> None:
+        """Log a newly committed document and send it to the subscribed registries."""
         self._published += 1
         self._log.write(
             Event.ORDER_COMMITTED, stamp=f"{stamp[0]}.{stamp[1]}", version=document.version or "none"
--- a/lupinreach/mesh/store/replica.py
+++ b/lupinreach/mesh/store/replica.py
@@ -1,10 +1,10 @@
-"""The state machine of one store. Pure: time, messages and the disk come in and go out through ports.
+"""The state machine of one store, without I/O: time and messages are passed in, and `Record` and `Port` are injected.
 
-Orders are written to every copy of the view before they are acknowledged; voters never see them. What voters
-decide, one epoch after the other, is the next view (`voting.py`). Only a copy that is complete for the present
-view may propose the next, so whatever was acknowledged is in its hands; it seals itself first, after which the
-primary can acknowledge nothing more, and brings the new copies up to date before the view is decided.
-`docs/control.md` lists the invariants and what keeps them.
+Orders are written to every copy of the view before they are acknowledged; voters never see them. Voters only
+decide the next view, one epoch after the other (`voting.py`). Only a copy that is complete for the current view
+may propose the next, so that the proposer holds everything that was acknowledged. It seals itself first, after
+which the primary can acknowledge nothing more, and brings the new copies up to date before the view is decided.
+`docs/control.md` lists the invariants and how they are enforced.
 """
 
 from __future__ import annotations
@@ -39,37 +39,41 @@
 from lupinreach.mesh.store.view import Liveness, Member, RegionOf, Tolerance, View, next_copies, next_voters
 from lupinreach.mesh.store.voting import Acceptor, Phase, Proposal
 
-TAKEOVER_STEP_S = 0.4  # more patience for each place further back in the order of copies
-PROPOSAL_PHASE_TIMEOUT_S = 0.8  # a proposal that stands in one phase for so long is made again
-BOOTSTRAP_TIMEOUT_S = 2.5  # the longest wait for as many members as the tolerance asks for
-BOOTSTRAP_STEP_S = 0.6  # more patience for each place further back among the seeds
-STALL_THRESHOLD_S = (
-    0.5  # a tick later than this: the process stood still, and has heard nobody for that reason
-)
-DISK_CHECK_INTERVAL_S = 0.5  # between two looks whether a disk that failed takes writes again
+TAKEOVER_STEP_S = 0.4  # additional takeover delay for each earlier backup in the order of copies
+PROPOSAL_PHASE_TIMEOUT_S = 0.8  # a proposal that stays in one phase for this long is abandoned and made anew
+BOOTSTRAP_TIMEOUT_S = 2.5  # longest wait for all seeds and the voters that the tolerance needs
+BOOTSTRAP_STEP_S = 0.6  # additional wait for each earlier seed in the list
+STALL_THRESHOLD_S = 0.5  # a longer gap between ticks is a stall of this process; peers don't count as silent
+DISK_CHECK_INTERVAL_S = 0.5  # between two test writes to a failed disk
 
 
 class Role(Enum):
-    """What a store is doing."""
+    """Current role of a store."""
 
     FOLLOWING = "following"  # backup, witness or newcomer
-    PROPOSING = "proposing"
-    ACTIVATING = "activating"  # primary of a decided view, bringing its backups up to date
+    PROPOSING = "proposing"  # proposer of a next view
+    ACTIVATING = "activating"  # primary of a decided view that brings its backups up to date
     SERVING = "serving"
 
 
 class Port(Protocol):
-    """The world of a replica."""
+    """Outgoing interface of a replica."""
 
-    def send(self, identity: str, message: Message) -> None: ...
+    def send(self, identity: str, message: Message) -> None:
+        """Send a message to another store, if there is a link to it."""
+        ...
 
-    def log(self, event: Event, **facts: Any) -> None: ...
+    def log(self, event: Event, **facts: Any) -> None:
+        """Write an event to the log."""
+        ...
 
-    def publish(self, stamp: list[int], document: Document) -> None: ...
+    def publish(self, stamp: list[int], document: Document) -> None:
+        """Announce a newly committed document."""
+        ...
 
 
 class Replica:
-    """One store."""
+    """State machine of one store, whether it is primary, backup or witness."""
 
     def __init__(
         self,
@@ -95,17 +99,17 @@
         self.members = Members(self.me, self.state.born_first)
         self.role = Role.FOLLOWING
         self.healthy = True  # the disk takes writes
-        self.leaving = False  # this process was told to end
-        self.committed: Document | None = None  # as primary: the newest acknowledged document
+        self.leaving = False  # this process is shutting down
+        self.committed: Document | None = None  # as primary: the newest document that all copies hold
         self._acceptor = Acceptor(self.state, self.members, self._learn)
         self._primary = Primary(self.state, port.send)
         self._proposal: Proposal | None = None
-        self._highest_round = self.state.round  # of any ballot that this store has heard of
+        self._highest_round = self.state.round  # of all ballots known to this store
         self._now = 0.0
         self._retry_at = 0.0
         self._disk_check_at = 0.0
 
-    # What others see of it.
+    # Public state.
 
     @property
     def identity(self) -> str:
@@ -125,44 +129,45 @@
 
     @property
     def serving(self) -> bool:
-        """If it takes orders and reads: primary of its view, and in contact with a majority."""
+        """Whether it accepts orders and reads: primary of its view, and in contact with a majority."""
         return self.role is Role.SERVING and self.members.reaches_majority(self.view)
 
     @property
     def stamp(self) -> list[int]:
+        """Epoch of the view and sequence of the document."""
         return [self.view.epoch, self.document.sequence]
 
     @property
     def handed_over(self) -> bool:
-        """If the system holds all without this store: it is no copy of the present view."""
+        """Whether no data depends on this store any more: it is not a copy of the current view."""
         return self.view.epoch > 0 and self.identity not in self.view.copies
 
-    # What comes in. The disk may fail in any of these.
+    # Inputs. The disk may fail during any of these.
 
     def record_contact(
         self, member: Member, born_first: bool, now: float, healthy: bool = True, leaving: bool = False
     ) -> None:
-        """A store gave a sign of life."""
+        """Record a hello or heartbeat of a store."""
         self.members.record_contact(member, born_first, now, healthy, leaving)
 
     def on_link_up(self, identity: str) -> None:
-        """A link to a store came up: what was sent on the one before may be lost."""
+        """A new link to a store is up: messages sent on the previous one may be lost."""
         self._primary.on_link_up(identity)
 
     def learn(self, view: View) -> None:
-        """A view is known to be decided."""
+        """Adopt a view that is known to be decided, if it is newer."""
         self._handling_disk_errors(self._learn, view)
 
     def handle(self, sender: str, message: Message) -> None:
-        """Take in a message of another store; `sender` is its identity."""
+        """Process a message of another store; `sender` is its identity."""
         self._handling_disk_errors(self._dispatch, sender, message)
 
     def tick(self, now: float) -> None:
-        """To be called several times a second."""
+        """Advance timers; to be called several times a second."""
         self._handling_disk_errors(self._tick, now)
 
     def submit(self, order: Order, reply: Reply) -> None:
-        """Take an order; the reply comes once it is on all copies, or can't be."""
+        """Execute an order; the reply follows once it is on all copies, or has failed."""
         pending = PendingOrder(order, reply)
         if not self.serving:
             pending.refuse(ErrorKind.NO_PRIMARY)
@@ -170,7 +175,7 @@
         self._handling_disk_errors(self._submit, pending)
 
     def leave(self) -> None:
-        """This process was told to end: others are to take over what it holds."""
+        """This process is shutting down: other stores are to take over its copy and its roles."""
         self.leaving = True
 
     def _handling_disk_errors(self, work: Callable[..., None], *arguments: Any) -> None:
@@ -195,7 +200,7 @@
     # The disk.
 
     def _disk_failed(self, failed: DiskWriteError) -> None:
-        """Nothing is promised from here on until the disk takes writes again."""
+        """Step down; this store promises nothing to others until the disk takes writes again."""
         if self.healthy:
             self._port.log(Event.DISK_FAILED, why=str(failed))
         self.healthy = False
@@ -221,7 +226,7 @@
         self._step_down()
 
     def _step_down(self) -> None:
-        """Follow: whatever was under way here as primary or proposer is over."""
+        """Become a follower: drop any proposal, and reject unanswered orders."""
         if self.role is Role.SERVING:
             self._port.log(Event.PRIMARY_STEPPED_DOWN, epoch=self.view.epoch)
         self.role = Role.FOLLOWING
@@ -232,7 +237,7 @@
 
     @property
     def _may_propose(self) -> bool:
-        """If this store holds all that was acknowledged up to the present view, as one of its copies."""
+        """Whether this store is a copy of the current view and holds everything that was acknowledged up to it."""
         if not self.state.is_complete:
             return False
         if self.view.epoch == 0:
@@ -277,7 +282,7 @@
         if self.view.epoch == 0:
             self._tick_bootstrap(now)
         elif self.state.sealed:
-            self._propose(now)  # the view can acknowledge nothing any more: only a next one helps
+            self._propose(now)  # a sealed view can't acknowledge orders any more: a new view is needed
         elif self.view.primary == self.identity:
             self._activate(now)
         elif self._is_takeover_due():
@@ -285,7 +290,7 @@
             self._propose(now)
 
     def _is_takeover_due(self) -> bool:
-        """If it is this backup's turn to take over: the first sound one, later ones with more patience."""
+        """Whether this backup should take over: the first fit one at once, later ones after a longer silence."""
         primary = self.view.primary
         backups = self.view.copies[1:]
         place = len(list(takewhile(lambda identity: identity != self.identity, backups)))
@@ -315,7 +320,7 @@
         if any(self.members.has_failed(identity) for identity in view.copies):
             return True
         if self.leaving:
-            return False  # a backup takes over
+            return False  # a backup takes over and proposes the next view
         liveness = self.members.liveness(view)
         if set(next_voters(view, liveness, self._tolerance, self._region_of)) != set(view.voters):
             return True
@@ -334,7 +339,7 @@
         return next_copies(self.me, self.view.copies, voters, candidates, self._tolerance, self._region_of)
 
     def _next_view(self, uid: str) -> View | None:
-        """The view to propose; None where too few stores are heard for its copies."""
+        """The view to propose; None if too few stores are alive to hold its copies."""
         liveness = self.members.liveness(self.view)
         voters = next_voters(self.view, liveness, self._tolerance, self._region_of)
         available = set(liveness.copy_candidates)
@@ -369,7 +374,7 @@
             self._to_voters(proposal.installed(self.identity, now))
 
     def _to_voters(self, message: Message | None) -> None:
-        """Send to all voters of the present view, itself among them."""
+        """Send to all voters of the current view, this store included."""
         if message is None:
             return
         for identity in self.members.voters(self.view):
@@ -431,10 +436,10 @@
     def _on_decided(self, sender: str, message: Decided) -> None:
         self._learn(View.from_list(message.view))
 
-    # Serving as primary, and as its backup.
+    # Replication, as primary and as backup.
 
     def _activate(self, now: float) -> None:
-        """Primary of a decided view: bring the backups up to date, then serve."""
+        """As primary of a decided view, bring the backups up to date before serving."""
         self.role = Role.ACTIVATING
         self._primary.start(now)
         self._finish_rounds()
@@ -451,7 +456,7 @@
         self._finish_rounds()
 
     def _finish_rounds(self) -> None:
-        """Answer what is on all copies, and go on with what was queued meanwhile."""
+        """Answer the orders that are on all copies, and begin a round for those queued meanwhile."""
         while (done := self._primary.finish_round()) is not None:
             if self.role is Role.ACTIVATING:
                 self.role = Role.SERVING
--- a/lupinreach/mesh/store/serving.py
+++ b/lupinreach/mesh/store/serving.py
@@ -1,7 +1,7 @@
-"""Writes of a primary to all copies of its view, and the backup's side of them.
+"""Replication of the document: the primary's writes to all copies of its view, and how backups apply them.
 
-A write is fenced by the view's epoch and uid, by the incarnation of the primary and by the sequence of the
-document: whatever comes late, twice or out of order changes nothing.
+A write is fenced by the view's epoch and uid, the primary's incarnation and the document's sequence, so that
+late, duplicate and reordered writes change nothing.
 """
 
 from __future__ import annotations
@@ -14,65 +14,65 @@
 from lupinreach.mesh.store.document import Document, OrderKind, Outcome
 from lupinreach.mesh.store.state import StoreState
 
-RESEND_AFTER_S = 0.3  # a write that a backup has not answered within this is sent again
-BACKUP_TIMEOUT_S = 0.8  # and after so long the backup counts as failed
-MAX_QUEUED_ORDERS = 256  # orders that wait for a write
-FULL_DOCUMENT = -1  # `Write.previous` of one that holds the whole document
+RESEND_AFTER_S = 0.3  # a write that a backup has not answered for this long is sent again
+BACKUP_TIMEOUT_S = 0.8  # a backup that has not answered a write for this long counts as failed
+MAX_QUEUED_ORDERS = 256  # orders that wait for the next write
+FULL_DOCUMENT = -1  # `Write.previous` of a write that contains the complete document
 
 Reply = Callable[[OrderResult], None]
 
 
 @dataclass(slots=True)
 class PendingOrder:
-    """An order and the way its result goes back."""
+    """An order that is not answered yet, with the callback for its result."""
 
     order: Order
     reply: Reply
     outcome: Outcome = Outcome.DONE
 
     def refuse(self, kind: ErrorKind) -> None:
-        """It was not carried out, as far as this store knows."""
+        """Answer with an error: as far as this store knows, the order was not executed."""
         self.reply(OrderResult(self.order.number, int(kind)))
 
 
 @dataclass(slots=True)
 class WriteRound:
-    """One write to all copies, and the orders that are answered once it is done."""
+    """One write to all copies, and the orders that are answered when all have confirmed it."""
 
     number: int
     document: Document
-    waiting: set[str]  # copies, the primary itself among them
+    waiting: set[str]  # copies that have not confirmed it, the primary itself included
     orders: list[PendingOrder]
     started_at: float
     sent_at: float = field(default=0.0)
 
 
 class Primary:
-    """Rounds of one store while it is the primary of a view. Ended by `stop`, begun anew by `start`."""
+    """The write rounds of a store while it is the primary of a view, between `start` and `stop`."""
 
     def __init__(self, state: StoreState, send: Callable[[str, Message], None]) -> None:
         self._state = state
         self._send = send
-        self._held: dict[str, int] = {}  # sequence that each backup is known to hold
+        self._held: dict[str, int] = {}  # by backup: the sequence of the document that it last confirmed
         self._queued: list[PendingOrder] = []
         self._rounds = 0
         self.round: WriteRound | None = None
 
     def start(self, now: float) -> None:
-        """Bring all backups up to date under a new incarnation; the first round is done when they are."""
+        """Begin a new incarnation with a round that brings all backups up to date."""
         self._held = {}
         self._state.begin_incarnation()
         self.begin_round(now)
 
     def stop(self) -> list[PendingOrder]:
-        """Forget what is under way; the orders that were not answered."""
+        """Drop the current round and the queue; returns the unanswered orders."""
         unanswered = self._queued + (self.round.orders if self.round is not None else [])
         self.round = None
         self._queued = []
         return unanswered
 
     def submit(self, pending: PendingOrder, now: float) -> None:
-        """Take an order; it is answered once it is on all copies."""
+        """Queue an order; it is answered once it is on all copies."""
         if len(self._queued) >= MAX_QUEUED_ORDERS:
             pending.refuse(ErrorKind.STORE_UNAVAILABLE)
             return
@@ -82,10 +82,11 @@
 
     @property
     def has_queued(self) -> bool:
+        """Whether orders wait for the next round."""
         return bool(self._queued)
 
     def begin_round(self, now: float) -> None:
-        """Write what the queued orders make of the document to all copies."""
+        """Apply the queued orders to the document and write the result to all copies."""
         orders, self._queued = self._queued, []
         previous = self._state.document
         document = previous
@@ -118,7 +119,7 @@
         )
 
     def written(self, sender: str, message: Written) -> None:
-        """A backup holds a round's document, or asks for the whole of it."""
+        """A backup confirms a round's document, or requests the complete document."""
         current = self.round
         if current is None or (message.incarnation, message.round) != (
             self._state.incarnation,
@@ -132,7 +133,7 @@
         current.waiting.discard(sender)
 
     def finish_round(self) -> WriteRound | None:
-        """The present round if all copies hold its document."""
+        """End and return the current round if all copies hold its document; else None."""
         current = self.round
         if current is None or current.waiting:
             return None
@@ -144,7 +145,7 @@
         self._send_write(identity, current.document, current.document)
 
     def resend(self, now: float) -> None:
-        """Send the present write again, whole, to the backups that have long not answered."""
+        """Send the complete document again to backups that have not answered for `RESEND_AFTER_S`."""
         current = self.round
         if current is None or now - current.sent_at <= RESEND_AFTER_S:
             return
@@ -153,21 +154,21 @@
             self._send_whole(identity, current)
 
     def unresponsive_backups(self, now: float) -> set[str]:
-        """The backups that have left the present write unanswered for too long."""
+        """The backups that have not answered the current write for `BACKUP_TIMEOUT_S`."""
         current = self.round
         if current is None or now - current.started_at <= BACKUP_TIMEOUT_S:
             return set()
         return current.waiting - {self._state.identity}
 
     def on_link_up(self, identity: str) -> None:
-        """A link to a store came up: what was sent on the one before may be lost."""
+        """A new link to a store is up: messages sent on the previous one may be lost."""
         self._held.pop(identity, None)
         if self.round is not None and identity in self.round.waiting:
             self._send_whole(identity, self.round)
 
 
 def order_results(done: WriteRound) -> list[tuple[PendingOrder, OrderResult]]:
-    """What each order of a finished round is answered."""
+    """The results to send for the orders of a finished round."""
     answers = []
     for pending in done.orders:
         order = pending.order
@@ -182,7 +183,7 @@
 
 
 def apply_write(state: StoreState, message: Write) -> Message | None:
-    """A backup's answer to a write of its primary; None where it may give none."""
+    """Apply a write of the primary at a backup; returns the answer, or None if it must not answer."""
     view = state.view
     if (view.epoch, view.uid) != (message.epoch, message.uid):
         is_old = view.epoch > message.epoch
@@ -192,7 +193,7 @@
     known = state.written_by == message.incarnation and state.is_complete
     held = state.document.sequence
     if state.written_by > message.incarnation or (known and message.sequence < held):
-        return None  # late: a newer write of the same view is held
+        return None  # late: a newer write of the same view is already stored
     if known and message.sequence == held:
         return _written(message, held)
     if message.previous == FULL_DOCUMENT:
--- a/lupinreach/mesh/store/state.py
+++ b/lupinreach/mesh/store/state.py
@@ -1,7 +1,7 @@
-"""The durable state of one store: one method for each change, which is on disk before it is in memory.
+"""The durable state of one store: each method makes one change, on disk first and then in memory.
 
-Every method may raise `DiskWriteError`; memory is then as before, so that nothing that is not on disk is ever
-promised to another store.
+Every method may raise `DiskWriteError` and then leaves the memory unchanged, so that a store never promises
+anything to another store that is not on its disk.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from lupinreach.mesh.store.document import Document
 from lupinreach.mesh.store.view import View, bootstrap_view
 
-BOOTSTRAP_UID = ""  # of the view before the first one
+BOOTSTRAP_UID = ""  # uid of the bootstrap view
 
 Ballot = tuple[int, str]  # round, identity of the proposer
 
 
 @dataclass(frozen=True, slots=True)
 class Acceptance:
-    """The view that this store accepted last, and under which ballot."""
+    """The last view that this store accepted, and the ballot of that vote."""
 
     epoch: int
     ballot: Ballot
     view: View
 
     def to_list(self) -> list[Any]:
-        """As plain values, for the disk."""
+        """Serialize to plain values, for the disk."""
         return [self.epoch, list(self.ballot), self.view.to_list()]
 
     @classmethod
     def from_list(cls, values: list[Any]) -> Acceptance:
-        """The inverse of `to_list`."""
+        """Inverse of `to_list`."""
         return cls(values[0], (values[1][0], values[1][1]), View.from_list(values[2]))
 
 
 class StoreState:
-    """What a store must never forget. A disk that is empty makes a new identity."""
+    """State that must survive restarts. An empty disk gets a new identity."""
 
     def __init__(self, record: Record, seed_hosts: list[str], first_start: bool, rng: random.Random) -> None:
         self._record = record
@@ -61,30 +61,32 @@
         )
         accepted = values.get("accepted")
         self.accepted = Acceptance.from_list(accepted) if accepted else None
-        self.sealed_epoch = int(values.get("sealed", -1))  # views up to this one: nothing is written any more
+        self.sealed_epoch = int(values.get("sealed", -1))  # writes of views up to this epoch are rejected
         document = values.get("document")
         self.document = Document.from_list(document) if document else Document()
-        # Views, decided or proposed, for which the document holds all: their epochs by uid.
+        # Epochs by uid of the views, decided or proposed, whose acknowledged data the document includes in full.
         complete = values.get("complete", {})
-        if isinstance(complete, list):  # written before 0.3.0: uids alone
+        if isinstance(complete, list):  # format before 0.3.0: uids only
             complete = dict.fromkeys(complete, self.view.epoch)
         self.complete: dict[str, int] = complete
-        self.incarnation = int(values.get("incarnation", 0))  # of this store as a primary
-        self.written_by = int(values.get("written_by", 0))  # incarnation whose write was taken last
-        self.round = int(values.get("round", 0))  # of the newest ballot of its own
+        self.incarnation = int(values.get("incarnation", 0))  # of this store as primary
+        self.written_by = int(
+            values.get("written_by", 0)
+        )  # the primary's incarnation in the last applied write
+        self.round = int(values.get("round", 0))  # of this store's last own ballot
 
     @property
     def sealed(self) -> bool:
-        """If this store takes no write of its present view any more."""
+        """Whether this store rejects all further writes of its current view."""
         return self.sealed_epoch >= self.view.epoch
 
     @property
     def is_complete(self) -> bool:
-        """If the document holds all that was acknowledged up to the present view."""
+        """Whether the document includes everything that was acknowledged up to the current view."""
         return self.view.uid in self.complete
 
     def learn(self, view: View) -> None:
-        """A view above the present one is known to be decided; what later ones count on is kept."""
+        """Adopt a decided view with a higher epoch; completeness marks for it and for later views are kept."""
         complete = {
             uid: epoch for uid, epoch in self.complete.items() if uid == view.uid or epoch > view.epoch
         }
@@ -94,7 +96,7 @@
         self.written_by = 0
 
     def seal(self, uid: str, ballot_round: int) -> None:
-        """Propose a view: nothing more is written in the present one with this store's help."""
+        """Begin to propose a view: from here on this store rejects writes of the current one."""
         complete = self.complete | {uid: self.view.epoch + 1}
         self._record.save({"sealed": self.view.epoch, "complete": complete, "round": ballot_round})
         self.sealed_epoch = self.view.epoch
@@ -102,7 +104,7 @@
         self.round = ballot_round
 
     def install(self, epoch: int, uid: str, document: Document) -> None:
-        """Hold the document of a proposed view; the views before it are sealed, as they are at its proposer."""
+        """Store the document of a proposed view and, as its proposer did, seal the views before it."""
         complete = self.complete | {uid: epoch}
         sealed = max(self.sealed_epoch, epoch - 1)
         self._record.save({"document": document.to_list(), "complete": complete, "sealed": sealed})
@@ -111,7 +113,7 @@
         self.sealed_epoch = sealed
 
     def promise(self, epoch: int, ballot: Ballot) -> None:
-        """Take part in no lower ballot on the view of an epoch."""
+        """Promise to take part in no lower ballot for the view of an epoch."""
         self._record.save({"promised": [epoch, list(ballot)]})
         self.promised = (epoch, ballot)
 
@@ -123,12 +125,12 @@
         self.accepted = acceptance
 
     def begin_incarnation(self) -> None:
-        """Start to write as primary: what an earlier start of it sent is older from now on."""
+        """Start to write as primary: writes of earlier incarnations count as older from now on."""
         self._record.save({"incarnation": self.incarnation + 1})
         self.incarnation += 1
 
     def write(self, document: Document, incarnation: int) -> None:
-        """Hold a document written in the present view by an incarnation of its primary."""
+        """Store a document that an incarnation of the current view's primary has written."""
         complete = {self.view.uid: self.view.epoch}
         changes: dict[str, Any] = {"document": document.to_list()}
         if complete != self.complete or incarnation != self.written_by:
@@ -139,5 +141,5 @@
         self.written_by = incarnation
 
     def check_disk(self) -> None:
-        """Write something that changes nothing."""
+        """Test the disk with a write that changes nothing."""
         self._record.save({"identity": self.identity})
--- a/lupinreach/mesh/store/view.py
+++ b/lupinreach/mesh/store/view.py
@@ -1,4 +1,4 @@
-"""Views: who is primary, who holds copies, who votes on the next view; and the choice of a next one."""
+"""Views: which store is primary, which hold copies and which vote on the next view; and the choice of a next view."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One store. Its identity is that of its disk: a new disk is a new member."""
+    """One store. The identity belongs to its disk: a store with a new disk is a new member."""
 
     identity: str
     host: str
@@ -19,46 +19,48 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """One configuration of the group of stores, decided by the voters of the view before it."""
+    """One configuration of the store group, decided by the voters of the previous view."""
 
     epoch: int = 0
     uid: str = ""
     primary: str = ""
-    copies: tuple[str, ...] = ()  # identities, the primary first
+    copies: tuple[str, ...] = ()  # identities of the stores that hold the document, the primary first
     voters: tuple[Member, ...] = ()
 
     def to_list(self) -> list[Any]:
-        """As plain values, for messages and the disk."""
+        """Serialize to plain values, for messages and the disk."""
         voters = [[voter.identity, voter.host, voter.zone] for voter in self.voters]
         return [self.epoch, self.uid, self.primary, list(self.copies), voters]
 
     @classmethod
     def from_list(cls, values: list[Any]) -> View:
-        """The inverse of `to_list`."""
+        """Inverse of `to_list`."""
         epoch, uid, primary, copies, voters = values[:5]
         return cls(epoch, uid, primary, tuple(copies), tuple(Member(*voter[:3]) for voter in voters))
 
     @property
     def majority(self) -> int:
+        """The number of voters that decides the next view."""
         return len(self.voters) // 2 + 1
 
     def voter(self, identity: str) -> Member | None:
+        """The voter with this name, if there is one."""
         return next((voter for voter in self.voters if voter.identity == identity), None)
 
 
 def bootstrap_view(seed_hosts: list[str]) -> View:
-    """The view before the first one: its voters are the seeds, named by host until their disks have identities."""
+    """The view of epoch 0: its voters are the seeds, named by host since their identities are not known yet."""
     return View(voters=tuple(Member(seed_identity(host), host, "") for host in seed_hosts))
 
 
 def seed_identity(host: str) -> str:
-    """The name under which a seed whose disk was first used at the first start votes on the first view."""
+    """The voter name in the bootstrap view of a seed whose disk was first used at the first start of the system."""
     return "@" + host
 
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """What may be lost at once with nothing acknowledged lost."""
+    """How many machines, zones and regions may fail at once without loss of acknowledged data."""
 
     machines: int = 0
     zones: int = 0
@@ -66,20 +68,22 @@
 
     @property
     def min_voters(self) -> int:
+        """The least number of voters that keeps a majority when the tolerated machines fail."""
         return 2 * self.machines + 1
 
     @property
     def copies(self) -> int:
+        """The number of copies of which one survives any tolerated failure."""
         return max(self.machines, self.zones, self.regions) + 1
 
 
 @dataclass(slots=True)
 class Liveness:
-    """The stores as the proposer sees them, by identity."""
+    """State of the stores as the proposer sees them; collections hold identities."""
 
-    alive: dict[str, Member] = field(default_factory=dict)  # heard lately, the proposer among them
-    copy_candidates: Collection[str] = ()  # of these, the ones that may hold copies
-    vote_candidates: Collection[str] = ()  # and those that may get a vote: slow ones too
+    alive: dict[str, Member] = field(default_factory=dict)  # in recent contact, including the proposer
+    copy_candidates: Collection[str] = ()  # alive and fit to hold a copy
+    vote_candidates: Collection[str] = ()  # alive with a working disk, even if slow: may become voters
     presumed_dead: Collection[str] = ()
     leaving: Collection[str] = ()
 
@@ -90,11 +94,12 @@
 def next_voters(
     view: View, liveness: Liveness, tolerance: Tolerance, region_of: RegionOf
 ) -> tuple[Member, ...]:
-    """The voters of a next view.
+    """Choose the voters of a next view.
 
-    A new disk takes the place of the old one on its machine. A newcomer takes the place of a voter that is
-    long dead or leaves; it is added beside the others only where every loss that the tolerance allows still
-    leaves a majority. Dead and leaving voters go while enough others are left.
+    A new disk replaces the old one on its machine. A newcomer replaces a voter that is presumed dead or
+    leaving. Otherwise it becomes an additional voter only if there are fewer voters than the tolerance needs,
+    if every tolerated failure still leaves a majority, or if it improves that margin. Dead and leaving voters
+    are removed as long as enough others remain.
     """
     by_host = {member.host: member for member in liveness.alive.values()}
     voters = []
@@ -106,7 +111,7 @@
 
 
 def _newcomers(voters: list[Member], liveness: Liveness) -> list[Member]:
-    """Sound members without a vote; those of zones with few voters first."""
+    """Vote candidates that are no voters yet, ordered so that zones with few voters come first."""
     held = {voter.identity for voter in voters}
     found = [
         member
@@ -157,7 +162,7 @@
 
 
 def majority_margin(voters: Collection[Member], tolerance: Tolerance, region_of: RegionOf) -> int:
-    """By how many voters the survivors of the worst loss that is tolerated exceed a bare majority."""
+    """Number of voters beyond a majority that survive the worst tolerated failure; negative: no majority."""
     majority = len(voters) // 2 + 1
     by_zone = Counter(voter.zone for voter in voters)
     by_region = Counter(region_of(voter.zone) for voter in voters)
@@ -177,7 +182,7 @@
     tolerance: Tolerance,
     region_of: RegionOf,
 ) -> tuple[str, ...] | None:
-    """The primary and enough live voters, spread over zones and regions; None where there are too few."""
+    """Choose the primary and enough live voters, spread over zones and regions; None if there are too few."""
     chosen = [primary]
     free = [voter for voter in voters if voter.identity in alive and voter.identity != primary.identity]
     while not _meets_tolerance(chosen, tolerance, region_of):
--- a/lupinreach/mesh/store/voting.py
+++ b/lupinreach/mesh/store/voting.py
@@ -1,7 +1,7 @@
-"""Agreement on the next view: one register for each epoch, decided by a majority of the present voters.
+"""Agreement on the next view: single-decree Paxos for each epoch among the voters of the current view.
 
-Prepare and accept with ballots, as in Paxos: a proposer that finds an accepted view adopts it. Ballots are
-unique for ever, since the round is on disk before it is used. All methods return the message to send.
+A proposer that finds an already accepted view adopts it. Ballots are never reused, since the round is on disk
+before it is used. Methods return the message to send.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Acceptor:
-    """Votes of one store."""
+    """The Paxos acceptor of one store."""
 
     def __init__(self, state: StoreState, members: Members, learn: Callable[[View], None]) -> None:
         self._state = state
@@ -25,7 +25,7 @@
         self._learn = learn
 
     def prepare(self, message: Prepare) -> Message | None:
-        """The promise, a refusal, or None where this store has no vote."""
+        """Return a promise, a rejection, or None if this store has no vote."""
         base = View.from_list(message.base)
         if self._state.view.epoch < base.epoch:
             self._learn(base)
@@ -44,7 +44,7 @@
         return promise
 
     def accept(self, message: Accept) -> Message | None:
-        """The vote, a refusal, or None where this store has no vote."""
+        """Return the vote, a rejection, or None if this store has no vote."""
         ballot: Ballot = (message.ballot[0], message.ballot[1])
         refusal = self._refusal(message.epoch, ballot)
         if refusal is not None:
@@ -62,7 +62,7 @@
         )
 
     def _refusal(self, epoch: int, ballot: Ballot) -> Outdated | None:
-        """What a proposer is told that comes too late."""
+        """The rejection for a proposer whose view is already decided or whose ballot is outbid; else None."""
         if self._state.view.epoch >= epoch:
             return Outdated(epoch, [], self._state.view.to_list())
         if self._state.promised > (epoch, ballot):
@@ -71,7 +71,7 @@
 
 
 class Phase(Enum):
-    """Steps of a proposal."""
+    """Phase of a proposal."""
 
     INSTALL = 1
     PREPARE = 2
@@ -80,23 +80,25 @@
 
 @dataclass(slots=True)
 class Proposal:
-    """One attempt at deciding a next view."""
+    """One attempt to have a next view decided."""
 
     base: View
     view: View
     ballot: Ballot
     phase_started_at: float
     phase: Phase = Phase.INSTALL
-    waiting: set[str] = field(default_factory=set)  # copies that do not hold the document yet
-    promised: dict[str, Acceptance | None] = field(default_factory=dict)  # by voter
-    accepted: set[str] = field(default_factory=set)
+    waiting: set[str] = field(default_factory=set)  # copies that have not confirmed the document yet
+    promised: dict[str, Acceptance | None] = field(
+        default_factory=dict
+    )  # by voter: what it had accepted before
+    accepted: set[str] = field(default_factory=set)  # voters that accepted the view
 
     def _enter(self, phase: Phase, now: float) -> None:
         self.phase = phase
         self.phase_started_at = now
 
     def installed(self, identity: str, now: float) -> Prepare | None:
-        """A copy holds the document; voters are asked once all of them do."""
+        """A copy holds the document; returns the `Prepare` for the voters once all copies do."""
         self.waiting.discard(identity)
         if self.waiting or self.phase is not Phase.INSTALL:
             return None
@@ -104,7 +106,7 @@
         return Prepare(self.view.epoch, list(self.ballot), self.base.to_list())
 
     def promise(self, voter: str, message: Promise, now: float) -> Accept | None:
-        """A voter promised; with a majority of them the view, or one accepted before, is put to the vote."""
+        """A voter promised; with a majority, returns the `Accept` for the view or for one accepted before."""
         if self.phase is not Phase.PREPARE or not self._is_answer(message.epoch, message.ballot):
             return None
         accepted = None
@@ -121,7 +123,7 @@
         return Accept(self.view.epoch, list(self.ballot), self.view.to_list())
 
     def vote(self, voter: str, message: Accepted) -> bool:
-        """A voter accepted; true once a majority has, and the view is decided."""
+        """A voter accepted; returns whether a majority has, which decides the view."""
         if self.phase is not Phase.ACCEPT or not self._is_answer(message.epoch, message.ballot):
             return False
         self.accepted.add(voter)
