--- a/lupinreach/mesh/registry/__init__.py
+++ b/lupinreach/mesh/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: knows the proxies, pushes news to them, and takes the calls of operators."""
+"""The registry: tracks the proxies, pushes configuration news to them, and serves the operators' calls."""
--- a/lupinreach/mesh/registry/__main__.py
+++ b/lupinreach/mesh/registry/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the registry."""
+"""Entry point of the registry process."""
 
 import sys
 
--- a/lupinreach/mesh/registry/agents.py
+++ b/lupinreach/mesh/registry/agents.py
@@ -1,4 +1,4 @@
-"""The registry's table of proxies: rebuilt from what the proxies themselves tell."""
+"""The registry's table of proxies, kept in memory only and rebuilt from what the proxies report."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from lupinreach.mesh.link import Link
 from lupinreach.mesh.messages import AgentEntry
 
-EXPIRE_AFTER_S = 5.0  # after the last registry that was connected to it lost it
+EXPIRE_AFTER_S = 5.0  # since a proxy was last connected to any registry
 
 
 @dataclass(slots=True)
 class KnownProxy:
-    """One proxy."""
+    """A proxy in the table."""
 
     entry: AgentEntry
-    alive_at: float  # loop time at which some registry was last connected to it
-    link: Link | None = None  # to this registry
+    alive_at: float  # loop time at which the proxy was last known to be connected to any registry
+    link: Link | None = None  # its link to this registry
 
 
 class AgentTable:
-    """All proxies by address; the newest (life, sequence) of each holds."""
+    """All proxies by address, each with its entry of the highest (life, sequence)."""
 
     def __init__(self) -> None:
         self._by_address: dict[str, KnownProxy] = {}
@@ -29,17 +29,19 @@
         return len(self._by_address)
 
     def entries(self) -> list[AgentEntry]:
+        """The entries of all proxies."""
         return [known.entry for known in self._by_address.values()]
 
     def connected(self) -> list[KnownProxy]:
-        """Those with a link to this registry."""
+        """The proxies with a link to this registry."""
         return [known for known in self._by_address.values() if known.link is not None]
 
     def find(self, address: str) -> KnownProxy | None:
+        """The proxy with this address, if it is in the table."""
         return self._by_address.get(address)
 
     def local_proxy_address(self, instance_id: str, host: str) -> str | None:
-        """The proxy beside a backend, by the backend's instance or else by its host."""
+        """Address of the proxy beside a backend, found by the backend's instance or else by its host."""
         on_host = None
         for address, known in self._by_address.items():
             if instance_id and known.entry.instance_id == instance_id:
@@ -49,7 +51,7 @@
         return on_host
 
     def apply(self, entry: AgentEntry, now: float) -> bool:
-        """Take an entry in; false where a newer one is held."""
+        """Store an entry; returns False if it is not newer than the stored one."""
         known = self._by_address.get(entry.address)
         if known is None:
             self._by_address[entry.address] = KnownProxy(entry, now)
@@ -61,7 +63,7 @@
         return True
 
     def connect(self, address: str, life: int, link: Link, now: float) -> None:
-        """A proxy has opened a link to this registry."""
+        """Record that a proxy has opened a link to this registry."""
         known = self._by_address.get(address)
         if known is None:
             known = self._by_address[address] = KnownProxy(AgentEntry(address, life, -1), now)
@@ -69,20 +71,20 @@
         known.alive_at = now
 
     def disconnect(self, link: Link, now: float) -> None:
-        """A link has ended."""
+        """Record that a link was closed."""
         for known in self._by_address.values():
             if known.link is link:
                 known.link = None
                 known.alive_at = now
 
     def mark_alive(self, address: str, now: float) -> None:
-        """Another registry is connected to it."""
+        """Record that the proxy is connected to another registry."""
         known = self._by_address.get(address)
         if known is not None:
             known.alive_at = now
 
     def expire(self, now: float) -> list[AgentEntry]:
-        """Drop those that no registry has been connected to for long; as entries that say so."""
+        """Delete proxies not connected to any registry for `EXPIRE_AFTER_S`; returns entries with `removed` set."""
         expired = []
         for address, known in list(self._by_address.items()):
             if known.link is None and now - known.alive_at > EXPIRE_AFTER_S:
--- a/lupinreach/mesh/registry/entry_feed.py
+++ b/lupinreach/mesh/registry/entry_feed.py
@@ -1,4 +1,4 @@
-"""Entries of proxies for the connected proxies, in batches; on a slow link the newest of each proxy only."""
+"""Sends changed proxy entries to the connected proxies in batches; a slow link gets only the newest entry of each."""
 
 from __future__ import annotations
 
@@ -10,38 +10,40 @@
 from lupinreach.mesh.registry.agents import AgentTable
 
 FLUSH_INTERVAL_S = 0.03  # between two batches
-MAX_UNSENT_BYTES = 16 << 10  # bytes that wait on a link: beyond that it gets no batch until they are sent
+MAX_UNSENT_BYTES = 16 << 10  # a link with more bytes buffered gets no batch until it has sent them
 
 
 @dataclass(slots=True)
 class _PendingEntries:
-    """What a proxy was not sent yet."""
+    """What still has to be sent on one link."""
 
-    full_table: bool = False  # the whole table
-    entries: dict[str, AgentEntry] = field(default_factory=dict)  # changed since, by address
+    full_table: bool = False  # the complete table, before `entries`
+    entries: dict[str, AgentEntry] = field(default_factory=dict)  # changed entries by address
 
 
 class EntryFeed:
-    """Collects changes of the table and sends them on."""
+    """Collects changes of the table and sends them to all connected proxies."""
 
     def __init__(self, agents: AgentTable) -> None:
         self._agents = agents
         self._changed: dict[str, AgentEntry] = {}  # since the last batch
-        self._pending: dict[Link, _PendingEntries] = {}  # by links that joined, or that have no room
+        self._pending: dict[
+            Link, _PendingEntries
+        ] = {}  # for links that have just joined or have a full buffer
         self._flushing: asyncio.TimerHandle | None = None
-        self._full_table = b""  # encoded for this flush; empty: no link asked for it yet
+        self._full_table = b""  # encoded once per flush; empty until a link needs it
 
     def join(self, link: Link) -> None:
-        """A proxy wants the whole table."""
+        """Add a link; its proxy gets the complete table."""
         self._pending[link] = _PendingEntries(full_table=True)
         self._flush_soon()
 
     def leave(self, link: Link) -> None:
-        """A link has ended."""
+        """Remove a closed link."""
         self._pending.pop(link, None)
 
     def changed(self, entry: AgentEntry) -> None:
-        """An entry is new, or another than before."""
+        """Queue a new or changed entry for all connected proxies."""
         self._changed[entry.address] = entry
         self._flush_soon()
 
@@ -50,7 +52,7 @@
             self._flushing = asyncio.get_running_loop().call_later(FLUSH_INTERVAL_S, self._flush)
 
     def _flush(self) -> None:
-        """Each batch is encoded once for all that get the same, the whole table only for a link that has room."""
+        """Send pending entries. A batch is encoded once for all links, the complete table only when it can be sent."""
         self._flushing = None
         changed, self._changed = self._changed, {}
         batch = _encoded(changed)
@@ -62,7 +64,7 @@
             self._flush_soon()
 
     def _encoded_full_table(self) -> bytes:
-        """The whole table, encoded once a flush."""
+        """The complete table, encoded once per flush."""
         if not self._full_table:
             announced = {entry.address: entry for entry in self._agents.entries() if entry.sequence >= 0}
             self._full_table = _encoded(announced)
--- a/lupinreach/mesh/registry/heartbeat_forwarder.py
+++ b/lupinreach/mesh/registry/heartbeat_forwarder.py
@@ -1,7 +1,7 @@
-"""Heartbeats and sign-offs of backends that reach a registry: handed to the proxy beside the backend.
+"""Forwards heartbeats and deregistrations that backends send to a registry to the proxy beside the backend.
 
-Nothing is acknowledged that the proxy has not put in force, since a backend that was acknowledged as draining
-counts on getting no more requests. The answer names the proxy's own address for later heartbeats.
+They are acknowledged only once the proxy has applied them, since a backend whose draining was acknowledged
+relies on getting no more requests. The answer names the proxy's own address for later heartbeats.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from lupinreach.mesh.proxy.local_backend import Heartbeat
 from lupinreach.mesh.registry.agents import AgentTable
 
-FORWARD_TIMEOUT_S = 0.8  # backends turn to another agent after a second
+FORWARD_TIMEOUT_S = 0.8  # below the one second after which backends turn to another agent
 
 
 class HeartbeatForwarder:
-    """Implements `InstanceSink` for a registry."""
+    """The registry's implementation of `InstanceSink`."""
 
     def __init__(self, agents: AgentTable, control_port: int) -> None:
         self._agents = agents
         self._control_port = control_port
 
     async def heartbeat(self, instance_id: str, body: bytes, beat: Heartbeat) -> Result[str, ErrorKind]:
-        """Hand a heartbeat on; Ok with the proxy's address for the later ones."""
+        """Forward a heartbeat; Ok with the proxy's address for later heartbeats."""
         host = beat.address.rpartition(":")[0]
         address = self._agents.local_proxy_address(instance_id, host)
         return await self._forward(address, ForwardedBeat(1, instance_id, body))
 
     async def sign_off(self, instance_id: str) -> Result[str, ErrorKind]:
-        """Hand a sign-off on."""
+        """Forward a deregistration; Ok with the proxy's address."""
         address = self._agents.local_proxy_address(instance_id, "")
         return await self._forward(address, ForwardedBeat(1, instance_id, None))
 
--- a/lupinreach/mesh/registry/news_feed.py
+++ b/lupinreach/mesh/registry/news_feed.py
@@ -1,4 +1,4 @@
-"""News for the connected proxies: each gets what it lacks of the newest state, never what was overtaken."""
+"""Sends news to the connected proxies: each gets what it lacks of the newest state, never a superseded one."""
 
 from __future__ import annotations
 
@@ -12,45 +12,46 @@
 from lupinreach.mesh.messages import AgentHello, News, NewsAcknowledged, encode
 from lupinreach.mesh.send_window import NewsProgress
 
-LATE_AFTER_S = 1.0  # a change that a proxy has not acknowledged for so long is logged
+LATE_AFTER_S = 1.0  # a proxy that has not acknowledged a change for this long is logged
 
 
 @dataclass(slots=True)
 class Receiver:
-    """A proxy on its link."""
+    """A connected proxy and the state of its updates."""
 
     link: Link
     address: str
     takes_updates: bool
     progress: NewsProgress
-    needs_full: bool = False  # it could not use an update
-    behind_since: float | None = None  # loop time from which on it has lacked the newest
-    late_logged: bool = False
+    needs_full: bool = False  # it could not apply an update and needs the complete configuration
+    behind_since: float | None = None  # loop time since which it has not acknowledged the newest state
+    late_logged: bool = False  # NEWS_LATE was logged and NEWS_CAUGHT_UP not yet
 
     def lag_s(self, now: float) -> float:
-        """Seconds for which it has lacked the newest; 0: it has acknowledged all."""
+        """Seconds since it fell behind the newest state; 0 if it has acknowledged that state."""
         return now - self.behind_since if self.behind_since is not None else 0.0
 
 
 class NewsFeed:
-    """The newest state and its receivers."""
+    """The newest committed state and the proxies that receive it."""
 
     def __init__(self, in_contact: Callable[[], bool], log: EventLog) -> None:
         self._in_contact = in_contact
         self._log = log
         self._receivers: dict[Link, Receiver] = {}
         self.history = ConfigurationHistory()
-        self.stamp: list[int] = []  # empty: nothing is known
+        self.stamp: list[int] = []  # epoch and sequence; empty until a state is known
         self.evacuations: dict[str, bool] = {}
         self.sent = 0
         self.sent_bytes = 0
 
     @property
     def receivers(self) -> list[Receiver]:
+        """All connected proxies."""
         return list(self._receivers.values())
 
     def publish(self, stamp: list[int], evacuations: dict[str, bool]) -> None:
-        """A newer state; its configuration, where that is newer, is in `history` already."""
+        """Send a newer state to all receivers; a newer configuration must be in `history` already."""
         self.stamp = stamp
         self.evacuations = evacuations
         now = asyncio.get_running_loop().time()
@@ -60,7 +61,7 @@
             self._send_if_behind(receiver)
 
     def join(self, link: Link, hello: AgentHello) -> None:
-        """A proxy has opened a link, and says what it holds."""
+        """Add a proxy that has opened a link; its hello says which configuration it holds."""
         progress = NewsProgress(hello.config_version)
         receiver = Receiver(link, hello.address, hello.takes_updates, progress)
         self._receivers[link] = receiver
@@ -69,11 +70,11 @@
             self._send_if_behind(receiver)
 
     def leave(self, link: Link) -> None:
-        """The link has ended."""
+        """Remove the proxy of a closed link."""
         self._receivers.pop(link, None)
 
     def on_acknowledged(self, link: Link, message: NewsAcknowledged) -> None:
-        """A proxy has dealt with the oldest news that was out to it, and says what it holds."""
+        """A proxy has processed the oldest unacknowledged news, and reports which version it holds."""
         receiver = self._receivers.get(link)
         if receiver is None:
             return
@@ -86,14 +87,14 @@
         self._send_if_behind(receiver)
 
     def on_pull(self, link: Link) -> None:
-        """A proxy could not use an update: it gets the whole."""
+        """A proxy could not apply an update: send it the complete configuration."""
         receiver = self._receivers.get(link)
         if receiver is not None:
             receiver.needs_full, receiver.progress.stamp = True, []
             self._send_if_behind(receiver)
 
     def _send_if_behind(self, receiver: Receiver) -> None:
-        """Send what a proxy lacks, if its link has room for it."""
+        """Send a proxy the newest state if it lacks it and its send window has room."""
         progress = receiver.progress
         if progress.stamp >= self.stamp:
             return
@@ -111,7 +112,7 @@
         self.sent += 1
         self.sent_bytes += len(data)
 
-    # What operators see.
+    # Log events for operators.
 
     def _on_caught_up(self, receiver: Receiver) -> None:
         if receiver.late_logged:
@@ -121,7 +122,7 @@
         receiver.late_logged = False
 
     def log_late_receivers(self, now: float) -> None:
-        """Log the proxies that have lacked the newest for long, once each time."""
+        """Log each proxy that has been behind for `LATE_AFTER_S`, once until it has caught up."""
         for receiver in self._receivers.values():
             if receiver.lag_s(now) > LATE_AFTER_S and not receiver.late_logged:
                 receiver.late_logged = True
--- a/lupinreach/mesh/registry/orders.py
+++ b/lupinreach/mesh/registry/orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators on their way to the primary store."""
+"""Links to the stores, over which operators' orders are sent to the primary."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 )
 from lupinreach.mesh.store.document import OrderKind
 
-ORDER_TIMEOUT_S = 0.9  # operators turn to another registry after a second of silence
+ORDER_TIMEOUT_S = 0.9  # below the one second of silence after which operators turn to another registry
 CUT_OFF_AFTER_S = (
-    2.5  # without a primary for so long, longer than a takeover takes, orders are refused at once
+    2.5  # without a primary for this long, more than a takeover takes, orders are rejected at once
 )
 RETRY_INTERVAL_S = 0.05
-SILENT_AFTER_S = 1.5
+SILENT_AFTER_S = 1.5  # a store whose link has been silent for this long is not used as primary
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,11 +44,11 @@
     dialer: Dialer | None = None
     epoch: int = -1
     serving: bool = False
-    zone: str = ""  # of its machine; empty until a store has told it
+    zone: str = ""  # of its machine; empty until a store has reported it
 
 
 class StoreLinks:
-    """Held links to all known stores, and the orders that are out on them."""
+    """Links to all known stores, and the orders in flight on them."""
 
     def __init__(self, port: int, version: Callable[[], str], on_news: Callable[[News], None]) -> None:
         self._port = port
@@ -57,10 +57,12 @@
         self._in_flight: dict[int, asyncio.Future[OrderResult]] = {}
         self._on_news = on_news
         self._version = version
-        self._primary_seen_at = asyncio.get_running_loop().time()  # loop time at which one was last known
+        self._primary_seen_at = (
+            asyncio.get_running_loop().time()
+        )  # loop time of the last contact with a primary
 
     def dial(self, host: str, zone: str = "") -> None:
-        """Hold a link to the store on a machine."""
+        """Keep a link to the store on a machine; for a known machine, update its zone."""
         if host in self._stores:
             self._stores[host].zone = zone or self._stores[host].zone
             return
@@ -74,11 +76,12 @@
 
     @property
     def zones(self) -> dict[str, str]:
-        """The zone of each machine that holds a store, by host; empty where it is not known yet."""
+        """Zones of all store machines by host; empty where not known yet."""
         return {host: store.zone for host, store in self._stores.items()}
 
     @property
     def hosts(self) -> list[str]:
+        """Hosts of all known store machines."""
         return list(self._stores)
 
     def _on_link_up(self, link: Link) -> None:
@@ -101,7 +104,7 @@
             link.send(NewsAcknowledged(message.stamp, self._version()))
 
     def primary(self) -> Link | None:
-        """The link to the store that serves under the highest epoch."""
+        """The link to the serving store with the highest epoch, if there is one."""
         best: _KnownStore | None = None
         for store in self._stores.values():
             link = store.dialer.link if store.dialer is not None else None
@@ -112,7 +115,7 @@
         return best.dialer.link if best is not None and best.dialer is not None else None
 
     def in_contact(self) -> bool:
-        """If this registry hears a primary that serves; to be called now and then."""
+        """Whether a serving primary is connected. Call it regularly: it also records the time of contact."""
         known = self.primary() is not None
         if known:
             self._primary_seen_at = asyncio.get_running_loop().time()
@@ -121,9 +124,9 @@
     async def order(
         self, kind: OrderKind, version: str = "", payload: bytes = b"", zone: str = ""
     ) -> Result[bytes, OrderFailure]:
-        """Send an order to the primary and wait for its result, within an operator's patience.
+        """Send an order to the primary and wait for its result, retrying for `ORDER_TIMEOUT_S`.
 
-        A registry that has been cut off for longer than a takeover takes refuses at once.
+        A registry without a primary for longer than `CUT_OFF_AFTER_S` rejects the order at once.
         """
         loop = asyncio.get_running_loop()
         cut_off = not self.in_contact() and loop.time() - self._primary_seen_at > CUT_OFF_AFTER_S
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -1,4 +1,4 @@
-"""The registry program: links of proxies and of other registries, news from the store, operators' calls."""
+"""The registry process: links to proxies and other registries, news from the store, and operators' calls."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 from lupinreach.mesh.tasks import spawn
 
 HEARTBEAT_INTERVAL_S = 0.5
-ORDER_RETRY_AFTER_MS = 200.0  # when an operator whose order was not confirmed may come back
-ALIVE_AGENTS_HEARTBEATS = 2  # heartbeats between two lists of connected proxies for the other registries
+ORDER_RETRY_AFTER_MS = 200.0  # sent to operators whose order was not confirmed: when to retry
+ALIVE_AGENTS_HEARTBEATS = 2  # heartbeats between two lists of connected proxies to the other registries
 
 
 class RegistryProgram:
-    """One registry."""
+    """The process of one registry."""
 
     def __init__(self, settings: Settings, log: EventLog) -> None:
         self._settings = settings
@@ -67,7 +67,7 @@
         )
 
     async def start(self) -> None:
-        """Listen, and dial the stores and registries on the seeds."""
+        """Listen, and dial the stores on this machine and on the seeds; registries follow with the heartbeats."""
         settings = self._settings
         address = (settings.ip_address, settings.registry_port)
         self._links = await listen(address, lambda: Link(self._on_message, self._on_link_closed))
@@ -78,12 +78,12 @@
         self._ticker = spawn(self._run())
 
     def settings_changed(self, settings: Settings) -> None:
-        """Seeds may have changed: dial what is new."""
+        """Dial seeds that are new in changed settings."""
         for host in settings.seed_hosts:
             self._stores.dial(host)
 
     async def stop(self) -> None:
-        """End at once: proxies and operators turn to another registry."""
+        """End at once: proxies and operators use another registry."""
         self._server.close()
         self._links.close()
 
@@ -179,7 +179,7 @@
                 known.link.send_encoded(data)
 
     def describe(self) -> dict[str, Any]:
-        """What this registry holds, for operators."""
+        """State of this registry, for operators."""
         return {
             "role": "registry",
             "node": self._settings.node_name,
@@ -195,7 +195,7 @@
         }
 
     def metrics(self) -> list[Metric]:
-        """Figures of this registry."""
+        """Metrics of this registry."""
         now = asyncio.get_running_loop().time()
         receivers = self.feed.receivers
         unsent = [receiver.link.unsent for receiver in receivers] or [0]
@@ -210,19 +210,19 @@
             Metric("registry_news_sent_bytes_total", self.feed.sent_bytes, "their bytes"),
         ]
 
-    # News.
+    # News from the store.
 
     def _on_news(self, news: News) -> None:
-        """A primary store tells a committed state."""
+        """Publish a committed state that a primary store has sent, if it is newer."""
         if news.stamp <= self.feed.stamp:
             return
         if news.config is not None and is_newer(news.config_version, self.feed.history.version):
-            parsed = parse_configuration(news.config)  # it was checked before the store took it
+            parsed = parse_configuration(news.config)  # already validated before it was sent to the store
             if isinstance(parsed, Ok):
                 self.feed.history.take(parsed.ok_value)
         self.feed.publish(news.stamp, news.evacuations)
 
-    # Calls.
+    # Operators' calls.
 
     async def _replace_configuration(self, request: HttpRequest) -> HttpAnswer:
         parsed = parse_configuration(request.body)
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -234,11 +234,7 @@
         return [
             Metric("store_epoch", replica.view.epoch, "of the view that it knows"),
             Metric("store_serving", replica.serving, "1: it is the primary and takes orders"),
-            Metric(
-                "store_committed_total",
-                self._published,
-                "documents that all copies hold, in this life",
-            ),
+            Metric("store_committed_total", self._published, "documents that all copies hold, in this life"),
             Metric("store_subscribers", len(self._subscribers), "registries that it tells"),
             Metric("store_unsent_bytes", sum(stores), "that wait on links to other stores"),
             Metric("store_unsent_news_bytes", sum(subscribers), "that wait on links to registries"),
