--- a/lupinreach/mesh/registry/entry_feed.py
+++ b/lupinreach/mesh/registry/entry_feed.py
@@ -27,9 +27,7 @@
     def __init__(self, agents: AgentTable) -> None:
         self._agents = agents
         self._changed: dict[str, AgentEntry] = {}  # since the last batch
-        self._pending: dict[
-            Link, _PendingEntries
-        ] = {}  # for links that have just joined or have a full buffer
+        self._pending: dict[Link, _PendingEntries] = {}  # of links that just joined or have a full buffer
         self._flushing: asyncio.TimerHandle | None = None
         self._full_table = b""  # encoded once per flush; empty until a link needs it
 
--- a/lupinreach/mesh/registry/orders.py
+++ b/lupinreach/mesh/registry/orders.py
@@ -22,9 +22,7 @@
 from lupinreach.mesh.store.document import OrderKind
 
 ORDER_TIMEOUT_S = 0.9  # below the one second of silence after which operators turn to another registry
-CUT_OFF_AFTER_S = (
-    2.5  # without a primary for this long, more than a takeover takes, orders are rejected at once
-)
+CUT_OFF_AFTER_S = 2.5  # longer than a takeover; without a primary for this long orders are rejected at once
 RETRY_INTERVAL_S = 0.05
 SILENT_AFTER_S = 1.5  # a store whose link has been silent for this long is not used as primary
 
@@ -57,9 +55,7 @@
         self._in_flight: dict[int, asyncio.Future[OrderResult]] = {}
         self._on_news = on_news
         self._version = version
-        self._primary_seen_at = (
-            asyncio.get_running_loop().time()
-        )  # loop time of the last contact with a primary
+        self._primary_seen_at = asyncio.get_running_loop().time()  # loop time of last contact with a primary
 
     def dial(self, host: str, zone: str = "") -> None:
         """Keep a link to the store on a machine; for a known machine, update its zone."""
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -1,4 +1,4 @@
-"""Updates lead every receiver to the sender's content, or are found unfit."""
+"""Configuration updates: applying one yields exactly the sender's configuration, or it is rejected as unfit."""
 
 from __future__ import annotations
 
@@ -39,29 +39,29 @@
     )
 
 
-def _drawn(chance: random.Random, count: int) -> list[Configuration]:
-    """Versions in which routes are added, changed and removed, and services now and then."""
+def _random_versions(rng: random.Random, count: int) -> list[Configuration]:
+    """Random versions: each adds, changes or removes routes, and some add services."""
     routes = {(f"h{number % 5}.example", f"/p{number}/"): 1000.0 for number in range(200)}
     versions = []
     for number in range(1, count + 1):
-        for _ in range(chance.randrange(4)):
-            key = (f"h{chance.randrange(5)}.example", f"/p{chance.randrange(250)}/")
-            if chance.random() < 0.3:
+        for _ in range(rng.randrange(4)):
+            key = (f"h{rng.randrange(5)}.example", f"/p{rng.randrange(250)}/")
+            if rng.random() < 0.3:
                 routes.pop(key, None)
             else:
-                routes[key] = float(chance.randrange(1, 5000))
+                routes[key] = float(rng.randrange(1, 5000))
         versions.append(_configuration(7 * number, dict(routes), 1 + number // 15))
     return versions
 
 
-def _same(table: RouteTable, wanted: Configuration) -> bool:
+def _has_content_of(table: RouteTable, wanted: Configuration) -> bool:
     other = RouteTable(wanted)
     return (table.version, table.hosts, table.services) == (other.version, other.hosts, other.services)
 
 
-def test_an_update_leads_from_every_version_between_its_base_and_its_own() -> None:
-    chance = random.Random(5)
-    versions = _drawn(chance, 40)
+def test_update_applies_to_every_version_from_its_base_up_to_its_own() -> None:
+    rng = random.Random(5)
+    versions = _random_versions(rng, 40)
     history = ConfigurationHistory()
     for version in versions:
         history.take(version)
@@ -71,14 +71,14 @@
         for held in range(first, 40):
             applied, table = ConfigurationUpdate.unpack(packed).apply(RouteTable(versions[held]))
             assert applied is (Applied.IN_FORCE if held < 39 else Applied.NOT_NEWER)
-            assert table is not None and _same(table, versions[39])
+            assert table is not None and _has_content_of(table, versions[39])
         if first:
             assert (
                 ConfigurationUpdate.unpack(packed).apply(RouteTable(versions[first - 1]))[0] is Applied.UNFIT
             )
 
 
-def test_what_changed_and_changed_back_in_a_version_the_sender_missed_is_unfit() -> None:
+def test_update_is_unfit_if_the_sender_missed_a_change_that_was_reverted() -> None:
     routes = {("h.example", f"/p{number}/"): 1000.0 for number in range(10)}
     key = ("h.example", "/p3/")
     before, missed = _configuration(1, routes), _configuration(2, routes | {key: 5.0})
@@ -89,11 +89,11 @@
     _, packed = history.packed_from(history.base_for(missed.version))
     assert ConfigurationUpdate.unpack(packed).apply(RouteTable(missed))[0] is Applied.UNFIT
     applied, table = ConfigurationUpdate.unpack(packed).apply(RouteTable(before))
-    assert applied is Applied.IN_FORCE and table is not None and _same(table, after)
+    assert applied is Applied.IN_FORCE and table is not None and _has_content_of(table, after)
 
 
-def test_versions_too_old_to_remember_and_large_changes_get_the_whole() -> None:
-    versions = _drawn(random.Random(6), MOST_VERSIONS + 5)
+def test_forgotten_versions_and_large_changes_get_the_full_configuration() -> None:
+    versions = _random_versions(random.Random(6), MOST_VERSIONS + 5)
     history = ConfigurationHistory()
     for version in versions:
         history.take(version)
@@ -104,8 +104,8 @@
     assert base == "" and unpack_whole(packed).version == "0000ffff"
 
 
-class _Wire:
-    """A link that hands messages over when it is told to."""
+class _QueuedLink:
+    """A link that delivers queued messages on `flush`."""
 
     def __init__(self, deliver: Callable[[Any], None]) -> None:
         self.queued: list[bytes] = []
@@ -121,61 +121,63 @@
             self._deliver(decode(msgpack.unpackb(data)))
 
 
-class _Quiet:
+class _NullLog:
+    """An event log that discards all events."""
+
     def write(self, event: Any, **facts: Any) -> None:
         pass
 
 
-def _play(seed: int) -> None:
-    """Two registries that each miss versions tell a proxy over links that deliver at drawn moments."""
-    chance = random.Random(seed)
-    versions = _drawn(chance, 60)
+def _update_from_two_registries(seed: int) -> None:
+    """Two registries, each missing some versions, update one proxy over links that deliver at random times."""
+    rng = random.Random(seed)
+    versions = _random_versions(rng, 60)
     holder = NewsHolder()
-    feeds, wires = [], []
+    feeds, links = [], []
     for _ in range(2):
-        feed = NewsFeed(lambda: True, _Quiet())  # type: ignore[arg-type]
+        feed = NewsFeed(lambda: True, _NullLog())  # type: ignore[arg-type]
 
         def deliver(message: Message, feed: NewsFeed = feed, number: int = len(feeds)) -> None:
             assert isinstance(message, News)
-            wire = wires[number]
+            link = links[number]
             if holder.apply(message) is Applied.UNFIT:
-                feed.on_pull(wire)
-            feed.on_acknowledged(wire, NewsAcknowledged(list(holder.stamp), holder.version))
+                feed.on_pull(link)
+            feed.on_acknowledged(link, NewsAcknowledged(list(holder.stamp), holder.version))
 
-        wire: Any = _Wire(deliver)
+        link: Any = _QueuedLink(deliver)
         feeds.append(feed)
-        wires.append(wire)
-        feed.join(wire, AgentHello("s1:1", 1, "", [], True))
-    seen = ""
+        links.append(link)
+        feed.join(link, AgentHello("s1:1", 1, "", [], True))
+    last_version = ""
     for sequence, version in enumerate(versions, 1):
-        for number, (feed, wire) in enumerate(zip(feeds, wires, strict=True)):
-            if chance.random() < 0.7 or sequence == len(versions):
+        for number, (feed, link) in enumerate(zip(feeds, links, strict=True)):
+            if rng.random() < 0.7 or sequence == len(versions):
                 feed.history.take(version)
                 feed.publish([1, sequence], {"za": sequence % 3 == 0})
-            if chance.random() < 0.4:
-                wire.flush()
-            if chance.random() < 0.05:  # a new link: what was queued is lost
-                wire.queued.clear()
-                feed.leave(wire)
-                feed.join(wire, AgentHello("s1:1", 1, holder.version, [], True))
-            assert holder.version >= seen, number
-            seen = holder.version
+            if rng.random() < 0.4:
+                link.flush()
+            if rng.random() < 0.05:  # a new link: queued messages are lost
+                link.queued.clear()
+                feed.leave(link)
+                feed.join(link, AgentHello("s1:1", 1, holder.version, [], True))
+            assert holder.version >= last_version, number
+            last_version = holder.version
             if holder.table is not None:
-                told = next(one for one in versions if one.version == holder.version)
-                assert _same(holder.table, told)
+                expected = next(one for one in versions if one.version == holder.version)
+                assert _has_content_of(holder.table, expected)
     for _ in range(6):
-        for wire in wires:
-            wire.flush()
+        for link in links:
+            link.flush()
     assert holder.version == versions[-1].version
     assert all(receiver.behind_since is None for feed in feeds for receiver in feed.receivers)
 
 
-def test_a_proxy_of_two_registries_ends_with_the_newest_and_never_holds_a_mixture() -> None:
+def test_proxy_of_two_registries_never_mixes_versions_and_ends_with_the_newest() -> None:
     loop = VirtualLoop()
 
     async def play() -> None:
         for seed in range(40):
-            _play(seed)
+            _update_from_two_registries(seed)
 
     try:
         loop.run_until_complete(play())
@@ -184,17 +186,17 @@
         loop.close()
 
 
-def test_what_was_overtaken_is_not_sent() -> None:
+def test_superseded_versions_are_not_sent() -> None:
     async def play() -> None:
-        feed = NewsFeed(lambda: True, _Quiet())  # type: ignore[arg-type]
-        wire: Any = _Wire(lambda message: None)
-        feed.join(wire, AgentHello("s1:1", 1, "", [], True))
+        feed = NewsFeed(lambda: True, _NullLog())  # type: ignore[arg-type]
+        link: Any = _QueuedLink(lambda message: None)
+        feed.join(link, AgentHello("s1:1", 1, "", [], True))
         routes = {("h.example", f"/p{number}/"): 1.0 for number in range(400)}
         for number in range(1, 50):
             feed.history.take(_configuration(number, {key: float(number) for key in routes}))
             feed.publish([1, number], {})
-        assert len(wire.queued) == 1
-        feed.on_acknowledged(wire, NewsAcknowledged([1, 1], "00000001"))
-        assert len(wire.queued) == 2 and feed.receivers[0].progress.config_version == f"{49:08x}"
+        assert len(link.queued) == 1
+        feed.on_acknowledged(link, NewsAcknowledged([1, 1], "00000001"))
+        assert len(link.queued) == 2 and feed.receivers[0].progress.config_version == f"{49:08x}"
 
     asyncio.run(play())
--- a/tests/mesh/test_entry_feed.py
+++ b/tests/mesh/test_entry_feed.py
@@ -1,4 +1,4 @@
-"""Entries on a link without room: the newest of each proxy goes once there is room, nothing piles up."""
+"""Proxy entries on a congested link: once it drains, only the newest entry of each proxy is sent; none pile up."""
 
 from __future__ import annotations
 
@@ -15,31 +15,37 @@
 
 
 class _Link:
+    """A link that records the entries sent on it."""
+
     def __init__(self) -> None:
         self.unsent = 0
-        self.got: list[AgentEntry] = []
+        self.received: list[AgentEntry] = []
 
     def send_encoded(self, data: bytes) -> None:
         unpacker = msgpack.Unpacker(raw=False)
         unpacker.feed(data)
-        self.got += [decode(values) for values in unpacker]
+        self.received += [decode(values) for values in unpacker]
 
 
 def _entry(number: int, sequence: int, removed: bool = False) -> AgentEntry:
     return AgentEntry(f"s{number}:1", 1, sequence, "alpha", "za", f"i-{number}", True, removed)
 
 
-async def _play() -> None:
+async def _send_to_two_links() -> None:
     agents = AgentTable()
     feed = EntryFeed(agents)
-    slow, quick = _Link(), _Link()
-    links: list[Any] = [slow, quick]
+    slow, fast = _Link(), _Link()
+    links: list[Any] = [slow, fast]
     for number, link in enumerate(links):
         agents.apply(_entry(number, 1), 0.0)
         agents.connect(f"s{number}:1", 1, link, 0.0)
         feed.join(link)
     await asyncio.sleep(0.1)
-    assert [entry.address for entry in slow.got] == ["s0:1", "s1:1"] == [entry.address for entry in quick.got]
+    assert (
+        [entry.address for entry in slow.received]
+        == ["s0:1", "s1:1"]
+        == [entry.address for entry in fast.received]
+    )
     slow.unsent = MAX_UNSENT_BYTES + 1
     for sequence in range(2, 102):
         agents.apply(_entry(0, sequence), 0.0)
@@ -47,26 +53,26 @@
         if sequence == 50:
             feed.changed(_entry(1, 2, removed=True))
         await asyncio.sleep(0.05)
-    assert len(slow.got) == 2 and len(quick.got) == 2 + 101
+    assert len(slow.received) == 2 and len(fast.received) == 2 + 101
     slow.unsent = 0
     await asyncio.sleep(0.1)
-    assert [(entry.address, entry.sequence, entry.removed) for entry in slow.got[2:]] == [
+    assert [(entry.address, entry.sequence, entry.removed) for entry in slow.received[2:]] == [
         ("s0:1", 101, False),
         ("s1:1", 2, True),
     ]
 
 
-def test_the_newest_of_each_goes_once_there_is_room() -> None:
+def test_congested_link_gets_the_newest_entry_of_each_proxy_once_it_drains() -> None:
     loop = VirtualLoop()
     try:
-        loop.run_until_complete(_play())
+        loop.run_until_complete(_send_to_two_links())
     finally:
         loop.end()
         loop.close()
 
 
 class _CountedTable(AgentTable):
-    """Counts how often the whole table is asked for."""
+    """Counts the reads of the complete table."""
 
     reads = 0
 
@@ -75,7 +81,7 @@
         return super().entries()
 
 
-async def _join_without_room() -> None:
+async def _join_while_congested() -> None:
     agents = _CountedTable()
     feed = EntryFeed(agents)
     link: Any = _Link()
@@ -84,22 +90,22 @@
     link.unsent = MAX_UNSENT_BYTES + 1
     feed.join(link)
     await asyncio.sleep(3.0)
-    assert agents.reads == 0 and link.got == []
+    assert agents.reads == 0 and link.received == []
     link.unsent = 0
     await asyncio.sleep(0.1)
-    assert agents.reads == 1 and [entry.address for entry in link.got] == ["s0:1"]
+    assert agents.reads == 1 and [entry.address for entry in link.received] == ["s0:1"]
 
 
-def test_the_table_is_not_packed_for_a_link_without_room() -> None:
+def test_full_table_is_not_encoded_for_a_congested_link() -> None:
     loop = VirtualLoop()
     try:
-        loop.run_until_complete(_join_without_room())
+        loop.run_until_complete(_join_while_congested())
     finally:
         loop.end()
         loop.close()
 
 
-def test_nothing_is_counted_for_a_receiver_that_never_acknowledges() -> None:
+def test_send_window_is_not_used_for_a_receiver_without_acknowledgements() -> None:
     progress = NewsProgress(acknowledges=False)
     for sequence in range(1000):
         assert progress.allows(60_000)
--- a/tests/mesh/test_store_disk.py
+++ b/tests/mesh/test_store_disk.py
@@ -1,4 +1,4 @@
-"""The store's SQLite file after losses of power in the middle of a write, and on a disk that is full."""
+"""The store's SQLite file: recovery after a power loss during a write, and behavior on a full disk."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 from lupinreach.mesh.store.disk import FILE_NAME, DiskWriteError, SqliteRecord
 
-SECTOR = 512  # the least that a disk writes or loses as a whole
+SECTOR = 512  # bytes that a disk writes or loses as a unit
 WAL = FILE_NAME + "-wal"
 GARBAGE = b"\xa5" * SECTOR
 COMMITS = [{"document": bytes([number]) * 9000, "sealed": number} for number in range(4)]
 
 
-def opened(folder: Path) -> SqliteRecord:
+def open_record(folder: Path) -> SqliteRecord:
     folder.mkdir(exist_ok=True)
     return SqliteRecord(str(folder))
 
 
 def files_after_each_commit(folder: Path) -> list[dict[str, bytes]]:
-    """What lies on the disk after each commit, the process still running."""
-    record = opened(folder)
+    """Contents of all files after each commit, before the record is closed."""
+    record = open_record(folder)
     states = []
     for values in COMMITS:
         record.save(values)
@@ -31,8 +31,11 @@
     return states
 
 
-def damaged(before: bytes, after: bytes) -> Iterator[bytes]:
-    """All that a loss of power may leave of a write: cut, one sector missing or torn, later ones without earlier."""
+def damaged_writes(before: bytes, after: bytes) -> Iterator[bytes]:
+    """Possible file contents after a power loss during a write.
+
+    The write is truncated, one sector is garbage or zeros, or later sectors are written without earlier ones.
+    """
     start = len(before)
     sectors = range(start, len(after), SECTOR)
     for at in sectors:
@@ -42,33 +45,33 @@
         yield after[:start] + bytes(at - start) + after[at:]
 
 
-def recovered(folder: Path, files: dict[str, bytes]) -> dict[str, object]:
+def load_after_recovery(folder: Path, files: dict[str, bytes]) -> dict[str, object]:
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir()
     for name, data in files.items():
         (folder / name).write_bytes(data)
-    record = opened(folder)
+    record = open_record(folder)
     values = record.load()
     record.save({"checked": 1})
     record.close()
     return values
 
 
-def test_a_cut_write_is_there_or_not_at_all(tmp_path: Path) -> None:
+def test_interrupted_commit_is_atomic(tmp_path: Path) -> None:
     states = files_after_each_commit(tmp_path / "live")
-    tried = 0
+    case_count = 0
     for number in range(1, len(COMMITS)):
         before, after = states[number - 1], states[number]
-        for wal in damaged(before[WAL], after[WAL]):
-            found = recovered(tmp_path / "again", {FILE_NAME: before[FILE_NAME], WAL: wal})
+        for wal in damaged_writes(before[WAL], after[WAL]):
+            found = load_after_recovery(tmp_path / "again", {FILE_NAME: before[FILE_NAME], WAL: wal})
             assert found in (COMMITS[number - 1], COMMITS[number])
-            tried += 1
-    assert tried > 200
+            case_count += 1
+    assert case_count > 200
 
 
-def test_a_cut_checkpoint_loses_nothing(tmp_path: Path) -> None:
+def test_interrupted_checkpoint_loses_no_commit(tmp_path: Path) -> None:
     states = files_after_each_commit(tmp_path / "live")
-    record = opened(tmp_path / "whole")
+    record = open_record(tmp_path / "whole")
     for values in COMMITS:
         record.save(values)
     record.close()  # checkpoints
@@ -76,18 +79,18 @@
     held = states[-1]
     for at in range(0, len(whole), SECTOR):
         torn = whole[:at] + held[FILE_NAME][at:]
-        assert recovered(tmp_path / "again", {FILE_NAME: torn, WAL: held[WAL]}) == COMMITS[-1]
+        assert load_after_recovery(tmp_path / "again", {FILE_NAME: torn, WAL: held[WAL]}) == COMMITS[-1]
 
 
-def test_a_damaged_file_counts_as_a_lost_disk(tmp_path: Path) -> None:
+def test_damaged_file_is_replaced_by_an_empty_record(tmp_path: Path) -> None:
     folder = tmp_path / "live"
     folder.mkdir()
     (folder / FILE_NAME).write_bytes(GARBAGE * 40)
-    assert opened(folder).load() == {}
+    assert open_record(folder).load() == {}
 
 
-def test_a_full_disk_refuses_and_takes_writes_again(tmp_path: Path) -> None:
-    record = opened(tmp_path / "live")
+def test_full_disk_rejects_writes_until_there_is_space(tmp_path: Path) -> None:
+    record = open_record(tmp_path / "live")
     record.save(COMMITS[0])
     pages = record._connection.execute("PRAGMA page_count").fetchone()[0]
     record._connection.execute(f"PRAGMA max_page_count={pages}")
@@ -101,10 +104,10 @@
 
 
 @pytest.mark.parametrize("orders", [1_000, 10_000])
-def test_the_file_does_not_grow_with_the_number_of_changes(tmp_path: Path, orders: int) -> None:
+def test_file_size_does_not_grow_with_the_number_of_commits(tmp_path: Path, orders: int) -> None:
     folder = tmp_path / "live"
-    record = opened(folder)
-    record._connection.execute("PRAGMA synchronous=OFF")  # for the test's speed; sizes are the same
+    record = open_record(folder)
+    record._connection.execute("PRAGMA synchronous=OFF")  # only for speed; file sizes are the same
     for number in range(orders):
         record.save({"document": number.to_bytes(4, "big") * 500})
     assert sum(path.stat().st_size for path in folder.iterdir()) < 6 << 20
--- a/tests/mesh/test_subscribe.py
+++ b/tests/mesh/test_subscribe.py
@@ -1,4 +1,8 @@
-"""A registry that subscribes while a write is under way."""
+"""A registry that subscribes while a write is in progress.
+
+The news sent on subscription must carry the stamp of the committed document. With the stamp of the one being
+written, the registry counts as up to date and does not get that document once it is committed.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 
 
 def _restart_registry(world: World, host: str) -> None:
-    """End the registry's process alone, and start another."""
+    """Kill only the registry's process, and start a new one."""
     owner = world.owners.pop((host, "registry"))
     world.loop.kill(owner)
     world.loop.listeners = {at: found for at, found in world.loop.listeners.items() if found[1] != owner}
@@ -24,7 +28,7 @@
         world.loop.create_task(world._launch(host, "registry", world.settings(host)))
 
 
-def test_it_gets_the_document_of_that_write_too(tmp_path: Path) -> None:
+def test_registry_subscribed_during_a_write_gets_its_document(tmp_path: Path) -> None:
     world = World(tmp_path)
     try:
         world.start_small()
@@ -38,7 +42,7 @@
         _restart_registry(world, primary)
         world.run_until(world.now + 0.3)
         registry = world.programs[(primary, "registry")]
-        assert registry.feed.history.version == "00000001"  # the write is still under way
+        assert registry.feed.history.version == "00000001"  # the write is still in progress
         world.run_until(world.now + 1.5)
         assert registry.feed.history.version == "00000002"
         assert world.programs[("s1", "proxy")].news.version == "00000002"
