--- a/lupinreach/mesh/registry/agents.py
+++ b/lupinreach/mesh/registry/agents.py
@@ -15,7 +15,7 @@
     """A proxy in the table."""
 
     entry: AgentEntry
-    alive_at: float  # loop time at which the proxy was last known to be connected to any registry
+    last_connected_at: float  # loop time at which the proxy was last known to be connected to any registry
     link: Link | None = None  # its link to this registry
 
 
@@ -56,7 +56,7 @@
         if known is None:
             self._by_address[entry.address] = KnownProxy(entry, now)
             return True
-        known.alive_at = now
+        known.last_connected_at = now
         if (entry.life, entry.sequence) <= (known.entry.life, known.entry.sequence):
             return False
         known.entry = entry
@@ -68,26 +68,26 @@
         if known is None:
             known = self._by_address[address] = KnownProxy(AgentEntry(address, life, -1), now)
         known.link = link
-        known.alive_at = now
+        known.last_connected_at = now
 
     def disconnect(self, link: Link, now: float) -> None:
         """Record that a link was closed."""
         for known in self._by_address.values():
             if known.link is link:
                 known.link = None
-                known.alive_at = now
+                known.last_connected_at = now
 
     def mark_alive(self, address: str, now: float) -> None:
         """Record that the proxy is connected to another registry."""
         known = self._by_address.get(address)
         if known is not None:
-            known.alive_at = now
+            known.last_connected_at = now
 
     def expire(self, now: float) -> list[AgentEntry]:
         """Delete proxies not connected to any registry for `EXPIRE_AFTER_S`; returns entries with `removed` set."""
         expired = []
         for address, known in list(self._by_address.items()):
-            if known.link is None and now - known.alive_at > EXPIRE_AFTER_S:
+            if known.link is None and now - known.last_connected_at > EXPIRE_AFTER_S:
                 del self._by_address[address]
                 entry = known.entry
                 expired.append(
--- a/lupinreach/mesh/store/document.py
+++ b/lupinreach/mesh/store/document.py
@@ -53,10 +53,10 @@
         if kind is OrderKind.REPLACE_CONFIGURATION:
             return self._with_configuration(order.version, order.payload)
         if kind in (OrderKind.START_EVACUATION, OrderKind.STOP_EVACUATION):
-            on = kind is OrderKind.START_EVACUATION
-            if self.evacuations.get(order.zone, False) == on:
+            active = kind is OrderKind.START_EVACUATION
+            if self.evacuations.get(order.zone, False) == active:
                 return self, Outcome.DONE
-            evacuations = self.evacuations | {order.zone: on}
+            evacuations = self.evacuations | {order.zone: active}
             return replace(self, sequence=self.sequence + 1, evacuations=evacuations), Outcome.DONE
         return self, Outcome.DONE
 
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -259,7 +259,7 @@
             self._send_news(link)
 
     def _send_news(self, link: Link) -> None:
-        """Send the newest committed state to a registry, as its send window allows.
+        """Send the newest committed state to a registry; if its send window is full, after the next acknowledgement.
 
         The stamp is that of the committed document; `Replica.stamp` may belong to one that is still being written.
         """
--- a/lupinreach/mesh/store/state.py
+++ b/lupinreach/mesh/store/state.py
@@ -70,9 +70,7 @@
             complete = dict.fromkeys(complete, self.view.epoch)
         self.complete: dict[str, int] = complete
         self.incarnation = int(values.get("incarnation", 0))  # of this store as primary
-        self.written_by = int(
-            values.get("written_by", 0)
-        )  # the primary's incarnation in the last applied write
+        self.written_by = int(values.get("written_by", 0))  # primary's incarnation in the last applied write
         self.round = int(values.get("round", 0))  # of this store's last own ballot
 
     @property
--- a/lupinreach/mesh/store/view.py
+++ b/lupinreach/mesh/store/view.py
@@ -112,17 +112,19 @@
 
 def _newcomers(voters: list[Member], liveness: Liveness) -> list[Member]:
     """Vote candidates that are no voters yet, ordered so that zones with few voters come first."""
-    held = {voter.identity for voter in voters}
-    found = [
+    voter_identities = {voter.identity for voter in voters}
+    newcomers = [
         member
         for identity, member in sorted(liveness.alive.items(), key=lambda item: item[1].host)
-        if identity not in held and identity in liveness.vote_candidates and identity not in liveness.leaving
+        if identity not in voter_identities
+        and identity in liveness.vote_candidates
+        and identity not in liveness.leaving
     ]
-    taken = Counter(voter.zone for voter in voters)
+    voters_by_zone = Counter(voter.zone for voter in voters)
     ranked = []
-    for member in found:
-        ranked.append((taken[member.zone], member.host, member))
-        taken[member.zone] += 1
+    for member in newcomers:
+        ranked.append((voters_by_zone[member.zone], member.host, member))
+        voters_by_zone[member.zone] += 1
     return [member for _, _, member in sorted(ranked, key=lambda entry: entry[:2])]
 
 
@@ -134,12 +136,12 @@
     region_of: RegionOf,
 ) -> list[Member]:
     margin = majority_margin(voters, tolerance, region_of)
-    lost = [
+    replaceable = [
         voter
         for voter in voters
         if voter.identity in liveness.presumed_dead or voter.identity in liveness.leaving
     ]
-    for voter in sorted(lost, key=lambda voter: voter.zone != newcomer.zone):
+    for voter in sorted(replaceable, key=lambda voter: voter.zone != newcomer.zone):
         replaced = [newcomer if other is voter else other for other in voters]
         if majority_margin(replaced, tolerance, region_of) >= min(0, margin):
             return replaced
@@ -184,19 +186,21 @@
 ) -> tuple[str, ...] | None:
     """Choose the primary and enough live voters, spread over zones and regions; None if there are too few."""
     chosen = [primary]
-    free = [voter for voter in voters if voter.identity in alive and voter.identity != primary.identity]
+    remaining = [voter for voter in voters if voter.identity in alive and voter.identity != primary.identity]
     while not _meets_tolerance(chosen, tolerance, region_of):
-        if not free:
+        if not remaining:
             return None
         zones = {member.zone for member in chosen}
         regions = {region_of(member.zone) for member in chosen}
 
-        def order(member: Member, zones: set[str] = zones, regions: set[str] = regions) -> tuple[Any, ...]:
+        def preference(
+            member: Member, zones: set[str] = zones, regions: set[str] = regions
+        ) -> tuple[Any, ...]:
             spread = (region_of(member.zone) in regions, member.zone in zones)
             return *spread, member.identity not in preferred, member.host
 
-        best = min(free, key=order)
-        free.remove(best)
+        best = min(remaining, key=preference)
+        remaining.remove(best)
         chosen.append(best)
     return tuple(member.identity for member in chosen)
 
--- a/lupinreach/mesh/store/voting.py
+++ b/lupinreach/mesh/store/voting.py
@@ -88,9 +88,7 @@
     phase_started_at: float
     phase: Phase = Phase.INSTALL
     waiting: set[str] = field(default_factory=set)  # copies that have not confirmed the document yet
-    promised: dict[str, Acceptance | None] = field(
-        default_factory=dict
-    )  # by voter: what it had accepted before
+    promised: dict[str, Acceptance | None] = field(default_factory=dict)  # by voter: its earlier vote
     accepted: set[str] = field(default_factory=set)  # voters that accepted the view
 
     def _enter(self, phase: Phase, now: float) -> None:
