--- a/lupinreach/mesh/model/mistakes.py
+++ b/lupinreach/mesh/model/mistakes.py
@@ -13,7 +13,7 @@
 from lupinreach.mesh.store.document import Document, Outcome
 from lupinreach.mesh.store.members import Members
 from lupinreach.mesh.store.replica import Replica
-from lupinreach.mesh.store.serving import WHOLE, Primary, _written
+from lupinreach.mesh.store.serving import FULL_DOCUMENT, Primary, _written
 from lupinreach.mesh.store.state import StoreState
 from lupinreach.mesh.store.view import View
 from lupinreach.mesh.store.voting import Acceptor, Phase, Proposal
@@ -51,8 +51,11 @@
 
 
 def _late_write(original: Any) -> Any:
-    def take_write(state: StoreState, message: Write) -> Message | None:
-        if message.previous == WHOLE and (message.epoch, message.uid) == (state.view.epoch, state.view.uid):
+    def apply_write(state: StoreState, message: Write) -> Message | None:
+        if message.previous == FULL_DOCUMENT and (message.epoch, message.uid) == (
+            state.view.epoch,
+            state.view.uid,
+        ):
             if state.sealed or state.identity not in state.view.copies:
                 return None
             state.write(Document.from_list(message.document), message.incarnation)
@@ -60,26 +63,31 @@
         answer: Message | None = original(state, message)
         return answer
 
-    return take_write
+    return apply_write
 
 
 def _unchecked_change(original: Any) -> Any:
-    def take_write(state: StoreState, message: Write) -> Message | None:
+    def apply_write(state: StoreState, message: Write) -> Message | None:
         same = (message.epoch, message.uid) == (state.view.epoch, state.view.uid)
-        if same and message.previous != WHOLE and not state.sealed and state.identity in state.view.copies:
+        if (
+            same
+            and message.previous != FULL_DOCUMENT
+            and not state.sealed
+            and state.identity in state.view.copies
+        ):
             state.write(Document.from_list(message.document, state.document), message.incarnation)
             return _written(message, message.sequence)
         answer: Message | None = original(state, message)
         return answer
 
-    return take_write
+    return apply_write
 
 
 def _own_disk_ignored(original: Any) -> Any:
     def begin_round(self: Primary, now: float) -> None:
         try:
             original(self, now)
-        except replica_module.DiskFailed:
+        except replica_module.DiskWriteError:
             assert self.round is not None
             self.round.waiting.discard(self._state.identity)
 
@@ -262,14 +270,14 @@
         "late-write",
         "a write of a whole document is accepted whatever its sequence",
         replica_module,
-        "take_write",
+        "apply_write",
         _late_write,
     ),
     Mistake(
         "change-unchecked",
         "a change is applied to a document of any sequence",
         replica_module,
-        "take_write",
+        "apply_write",
         _unchecked_change,
     ),
     Mistake(
--- a/lupinreach/mesh/model/search.py
+++ b/lupinreach/mesh/model/search.py
@@ -122,7 +122,7 @@
     def start(self, first: bool) -> None:
         """Start a process; it and the other running stores learn of each other at once."""
         self.replica = Replica(
-            self.record, self, self.host, "z" + self.host, list(HOSTS), first, Tolerance(1), chance=self.ids
+            self.record, self, self.host, "z" + self.host, list(HOSTS), first, Tolerance(1), rng=self.ids
         )  # type: ignore[arg-type]
         for other in self.cluster.stores.values():
             if other is not self and other.replica is not None:
@@ -132,7 +132,7 @@
     def _learn_about(self, other: ModelStore) -> None:
         assert self.replica is not None and other.replica is not None
         member = Member(other.replica.identity, other.host, "z" + other.host)
-        self.replica.heard(member, other.replica.born_first, SIMULATED_NOW_S)
+        self.replica.record_contact(member, other.replica.born_first, SIMULATED_NOW_S)
 
     def send(self, identity: str, message: Message) -> None:
         assert self.replica is not None
@@ -234,7 +234,7 @@
                 or replica.view.epoch < max(self.checker.view_uid_by_epoch)
             ):
                 continue
-            if replica.state.holds_all and replica.identity in replica.view.copies:
+            if replica.state.is_complete and replica.identity in replica.view.copies:
                 held = int(replica.document.version or "0", 16)
                 self.checker.check_complete_replica(replica.identity, held)
 
@@ -269,17 +269,17 @@
         assert replica is not None
         for known in replica.members.others.values():
             other = self.stores[known.member.host]
-            known.heard_at = (
+            known.last_contact_at = (
                 LONG_AGO_S if known.member.host == dead or other.replica is None else SIMULATED_NOW_S
             )
             known.healthy = other.record.mode is not DiskMode.FULL
-            known.shunned_until = 0.0
+            known.avoided_until = 0.0
         replica._now = 0.0
         replica._retry_at = 0.0
         replica._disk_check_at = 0.0
-        replica.members._began = LONG_AGO_S
+        replica.members._started_at = LONG_AGO_S
         if replica._proposal is not None:
-            replica._proposal.phase_began = LONG_AGO_S
+            replica._proposal.phase_started_at = LONG_AGO_S
         if replica._primary.round is not None:
             replica._primary.round.sent_at = LONG_AGO_S
         self.run(store, replica.tick, SIMULATED_NOW_S)
