--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -8,7 +8,7 @@
 
 from lupinreach.net.ends import End, Ended
 
-MOST_HEAD = 16 << 10
+MAX_HEAD_BYTES = 16 << 10
 MOST_CHUNK_LINE = 128
 FRAMED = 8  # bytes of chunked framing for each of the body, beside what a head may hold
 REQUEST = re.compile(rb"([A-Z]{1,16}) (/[\x21-\x7e]*) HTTP/1\.([01])\r\n")
@@ -88,8 +88,8 @@
 def parse_head(buffer: bytearray | bytes, start: int, end: int, answer: bool) -> Head | None:
     """The head that begins at `start`, or None while it is not whole."""
     stop = buffer.find(b"\r\n\r\n", start, end)
-    if stop < 0 or stop - start > MOST_HEAD:
-        if end - start > MOST_HEAD:
+    if stop < 0 or stop - start > MAX_HEAD_BYTES:
+        if end - start > MAX_HEAD_BYTES:
             raise Ended(End.TOO_LARGE)
         return None
     area = memoryview(buffer)
@@ -169,7 +169,7 @@
                 break
             at += size
             self._framing += size
-            if self._bound and self._framing > MOST_HEAD:
+            if self._bound and self._framing > MAX_HEAD_BYTES:
                 # Guards against trailers and extensions without end.
                 raise Ended(End.TOO_LARGE)
             self._line(line[:size])
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -209,7 +209,7 @@
         self._counters.directory["called"] += 1
         host = b"%s:%d" % (address[0].encode(), address[1])
         channel = await connect(
-            self._sockets, address, SILENT_BEATS * protocol.BEAT, http.MOST_HEAD + MOST_LIST
+            self._sockets, address, SILENT_BEATS * protocol.BEAT, http.MAX_HEAD_BYTES + MOST_LIST
         )
         channel.write(http.request(b"GET", target, (), host))
         return channel
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -7,7 +7,7 @@
 
 from lupinreach.http1.message import (
     CONTINUE,
-    MOST_HEAD,
+    MAX_HEAD_BYTES,
     Chunks,
     Head,
     Message,
@@ -25,7 +25,7 @@
 __all__ = [
     "CONTINUE",
     "IN_PLACE",
-    "MOST_HEAD",
+    "MAX_HEAD_BYTES",
     "Body",
     "Chunks",
     "Head",
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -46,7 +46,7 @@
     def __init__(self, serving: Serving, listener: Listener, sock: socket.socket) -> None:
         self._serving = serving
         self._listener = listener
-        self.channel = Channel(sock, http.MOST_HEAD + http.IN_PLACE)
+        self.channel = Channel(sock, http.MAX_HEAD_BYTES + http.IN_PLACE)
         self.since = serving.clock.now()  # accepted, or free for the next request
         self.fresh = True  # nothing has come yet
         self._keeps = True  # as the last request said
--- a/lupinreach/net/pool.py
+++ b/lupinreach/net/pool.py
@@ -30,7 +30,7 @@
     sockets: Sockets,
     address: Address,
     within: float,
-    most: int = http.MOST_HEAD + http.IN_PLACE,
+    most: int = http.MAX_HEAD_BYTES + http.IN_PLACE,
     patience: float = inf,
 ) -> Channel:
     """A new connection, in `within` ms."""
@@ -109,7 +109,7 @@
                 self._sockets,
                 place.address,
                 self._connect_timeout,
-                http.MOST_HEAD + http.IN_PLACE,
+                http.MAX_HEAD_BYTES + http.IN_PLACE,
                 STANDS_STILL * self._connect_timeout / 1000,
             )
         except BaseException:
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -98,7 +98,7 @@
         for _ in range(MOST_HELD):  # guards against callers by the hundred that would hold up API calls
             try:
                 sock, _ = self._socket.accept()
-                channel = Channel(sock, http.MOST_HEAD + MOST_CALL)
+                channel = Channel(sock, http.MAX_HEAD_BYTES + MOST_CALL)
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failed:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -144,9 +144,9 @@
 
 def test_sizes_are_bounded():
     post = b"POST / HTTP/1.1\r\n"
-    assert ends(request(Feed(post + b"A: " + b"x" * http.MOST_HEAD))) is End.TOO_LARGE
+    assert ends(request(Feed(post + b"A: " + b"x" * http.MAX_HEAD_BYTES))) is End.TOO_LARGE
     assert ends(request(Feed(post + b"Content-Length: 101\r\n\r\n"))) is End.TOO_LARGE
-    endless = post + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"A: trailer\r\n" * http.MOST_HEAD
+    endless = post + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"A: trailer\r\n" * http.MAX_HEAD_BYTES
     assert ends(request(Feed(endless))) is End.TOO_LARGE
     many = b"".join(b"1\r\nx\r\n" for _ in range(101))
     assert ends(request(Feed(post + b"Transfer-Encoding: chunked\r\n\r\n" + many))) is End.TOO_LARGE
