--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -17,7 +17,7 @@
 LENGTH = re.compile(rb"[0-9]{1,15}")
 CHUNK = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?\r\n")
 # Headers that belong to one connection and are never passed on.
-OF_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -200,7 +200,7 @@
 
 def passed_on(message: Message, but: frozenset[bytes]) -> list[Slice]:
     """The header lines that go on to the next side."""
-    stays = OF_CONNECTION | message.options | but
+    stays = HOP_BY_HOP_HEADERS | message.options | but
     return [line for name, line in message.lines if name not in stays]
 
 
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -10,7 +10,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lupinreach.http1.message import OF_CONNECTION, request
+from lupinreach.http1.message import HOP_BY_HOP_HEADERS, request
 from lupinreach.mesh.backend_client import AttemptError, BackendPool
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.errors import AttemptFailure, NotTakenReason
@@ -255,7 +255,7 @@
         return whole
 
     def _answer(self, asked: Request, whole: WholeMessage) -> Answer:
-        stays = OF_CONNECTION | whole.head.options
+        stays = HOP_BY_HOP_HEADERS | whole.head.options
         headers = b"".join([bytes(line) for name, line in whole.head.lines if name not in stays])
         return Answer(
             number=asked.number,
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass, field
 
-from lupinreach.http1.message import OF_CONNECTION
+from lupinreach.http1.message import HOP_BY_HOP_HEADERS
 from lupinreach.mesh.configuration import Route
 from lupinreach.mesh.errors import AttemptFailure, ErrorKind, NotTakenReason
 from lupinreach.mesh.messages import Answer, Failed, NotTaken, Request
@@ -97,7 +97,7 @@
     def _passage(self, request: HttpRequest, route: Route) -> _Passage:
         given = request.header(DEADLINE) or b""
         time_ms = min(route.timeout_ms, float(given)) if given.isdigit() else route.timeout_ms
-        stays = OF_CONNECTION | SET_BY_MESH | request.head.options
+        stays = HOP_BY_HOP_HEADERS | SET_BY_MESH | request.head.options
         lines = [bytes(line) for name, line in request.head.lines if name not in stays]
         run = self._gate.run_that_calls(request.header(REQUEST_ID) or b"")
         return _Passage(
