--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -137,7 +137,7 @@
     )
 
 
-class Chunks:
+class ChunkedDecoder:
     """Takes chunked framing off, as bytes come."""
 
     def __init__(self, bound: bool = True) -> None:
--- a/lupinreach/mesh/reader.py
+++ b/lupinreach/mesh/reader.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lupinreach.http1.message import Chunks, Head, parse_head
+from lupinreach.http1.message import ChunkedDecoder, Head, parse_head
 from lupinreach.net.ends import End, Ended
 
 NO_BODY_STATUSES = frozenset({204, 304})
@@ -30,7 +30,7 @@
         self._pieces: list[bytes] = []
         self._size = 0
         self._length: int | None = 0
-        self._chunks: Chunks | None = None
+        self._chunks: ChunkedDecoder | None = None
 
     @property
     def begun(self) -> bool:
@@ -69,7 +69,7 @@
         self._pending = self._pending[head.size :]
         self.head = head
         self._size = 0
-        self._chunks = Chunks() if head.chunked else None
+        self._chunks = ChunkedDecoder() if head.chunked else None
         self._length = self._body_length(head)
         if self._length is not None and self._length > self.most_body:
             raise Ended(End.TOO_LARGE)
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -185,7 +185,7 @@
                 head = await http.read_head(channel, answer=True)
             if head.first[2] != 200 or not head.chunked:
                 raise Ended(End.FAULT)
-            chunks, line = http.Chunks(bound=False), bytearray()
+            chunks, line = http.ChunkedDecoder(bound=False), bytearray()
             while True:
                 pieces, used = chunks.feed(memoryview(channel.buffer)[channel.start : channel.end])
                 channel.start += used
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -8,7 +8,7 @@
 from lupinreach.http1.message import (
     CONTINUE,
     MAX_HEAD_BYTES,
-    Chunks,
+    ChunkedDecoder,
     Head,
     Message,
     Slice,
@@ -27,7 +27,7 @@
     "IN_PLACE",
     "MAX_HEAD_BYTES",
     "Body",
-    "Chunks",
+    "ChunkedDecoder",
     "Head",
     "Message",
     "Slice",
@@ -75,7 +75,7 @@
         self.done = self.length == 0
         self._channel = channel
         self._most = most
-        self._chunks = Chunks() if head.chunked else None
+        self._chunks = ChunkedDecoder() if head.chunked else None
 
     def here(self) -> list[Slice]:
         """What has come and was not taken yet."""
