--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -198,7 +198,7 @@
     return Message(*head.first, head.headers, head.lines, body, head.options, head.keeps, head.old)
 
 
-def passed_on(message: Message, but: frozenset[bytes]) -> list[Slice]:
+def forwarded_headers(message: Message, but: frozenset[bytes]) -> list[Slice]:
     """The header lines that go on to the next side."""
     stays = HOP_BY_HOP_HEADERS | message.options | but
     return [line for name, line in message.lines if name not in stays]
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -172,7 +172,7 @@
                         took = now() - shots[number].sent if shot.took is None else shot.took
                         call.ended(now(), number, ENDINGS[shot.end], took, served, load)
                         if served and answer:
-                            lines = http.passed_on(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
+                            lines = http.forwarded_headers(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
                             self._answer("fulfilled", protocol.SERVED, answer.body, lines)
                     case RateLimit(retry_after):
                         self._rate_limit(retry_after)
@@ -266,7 +266,7 @@
         if self.answered.done() or self._passing is not None or shot.answer is None:
             out.task.cancel()
             return False
-        lines = http.passed_on(shot.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
+        lines = http.forwarded_headers(shot.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
         if not shot.pass_on(self._answers.begin(protocol.SERVED, lines, shot.length)):
             return False  # it lands like one that brought nothing
         self._passing = number
@@ -305,7 +305,7 @@
 
 def compose(request: http.Message, left: float, length: int | None) -> bytes:
     """The head of a shot, with so many s left; `length` of the body, None where it comes in chunks."""
-    headers = http.passed_on(request, protocol.BETWEEN_CLIENT_AND_AGENT)
+    headers = http.forwarded_headers(request, protocol.BETWEEN_CLIENT_AND_AGENT)
     headers.append(memoryview(protocol.DEADLINE_LINE % max(0.001, left)))
     return http.request(request.method, request.target, headers, request.headers.get(b"host", b""), length)
 
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -14,9 +14,9 @@
     Slice,
     answer,
     answer_head,
+    forwarded_headers,
     message,
     parse_head,
-    passed_on,
     request,
 )
 from lupinreach.net.channel import Channel
@@ -35,7 +35,7 @@
     "answer_body",
     "answer_head",
     "message",
-    "passed_on",
+    "forwarded_headers",
     "read_answer",
     "read_answer_head",
     "read_body",
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -180,4 +180,6 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: 5\r\nA: 1\r\nB: 2\r\nC: 3\r\n"
         b"Connection: keep-alive, c\r\n\r\n"
     )
-    assert got.keeps and [bytes(line) for line in http.passed_on(got, frozenset((b"b",)))] == [b"A: 1\r\n"]
+    assert got.keeps and [bytes(line) for line in http.forwarded_headers(got, frozenset((b"b",)))] == [
+        b"A: 1\r\n"
+    ]
