--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -220,7 +220,7 @@
     return b"".join((method, b" ", target, b" HTTP/1.1\r\nHost: ", host, b"\r\n", *headers, framing, b"\r\n"))
 
 
-def answer_head(status: int, headers: Iterable[bytes | Slice], keeps: bool, framing: bytes) -> bytes:
+def response_head(status: int, headers: Iterable[bytes | Slice], keeps: bool, framing: bytes) -> bytes:
     closing = b"" if keeps else b"Connection: close\r\n"
     return b"".join(
         (
@@ -239,4 +239,4 @@
     status: int, headers: Iterable[bytes | Slice] = (), body: Slice | bytes = b"", keeps: bool = True
 ) -> bytes:
     """An answer as one piece, copied once as a request is."""
-    return answer_head(status, headers, keeps, b"Content-Length: %d\r\n" % len(body)) + body
+    return response_head(status, headers, keeps, b"Content-Length: %d\r\n" % len(body)) + body
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lupinreach.http1.message import CONTINUE, Head, answer_head
+from lupinreach.http1.message import CONTINUE, Head, response_head
 from lupinreach.mesh.errors import ANSWERS, ErrorKind
 from lupinreach.mesh.link import Address, tune
 from lupinreach.mesh.reader import MessageReader, WholeMessage
@@ -328,7 +328,7 @@
         ends = not self._queue and (self._last or (self._server.stopping and not self._reader.begun))
         framing = b"Content-Length: %d\r\n" % len(answer.body)
         body = b"" if request.method == b"HEAD" else answer.body
-        self._transport.write(answer_head(answer.status, (answer.headers,), not ends, framing) + body)
+        self._transport.write(response_head(answer.status, (answer.headers,), not ends, framing) + body)
         if ends:
             self._last = True
             self._transport.close()
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -13,11 +13,11 @@
     Message,
     Slice,
     answer,
-    answer_head,
     forwarded_headers,
     message,
     parse_head,
     request,
+    response_head,
 )
 from lupinreach.net.channel import Channel
 from lupinreach.net.ends import End, Ended
@@ -33,7 +33,7 @@
     "Slice",
     "answer",
     "answer_body",
-    "answer_head",
+    "response_head",
     "message",
     "forwarded_headers",
     "read_answer",
--- a/lupinreach/net/reply.py
+++ b/lupinreach/net/reply.py
@@ -34,7 +34,7 @@
             if self._chunked
             else (b"" if length is None else b"Content-Length: %d\r\n" % length)
         )
-        self._head = http.answer_head(status, lines, keeps, framing)
+        self._head = http.response_head(status, lines, keeps, framing)
 
     async def write(self, piece: http.Slice | bytes) -> None:
         head, self._head = self._head, b""
