--- a/lupinreach/mesh/demo.py
+++ b/lupinreach/mesh/demo.py
@@ -16,7 +16,7 @@
 from lupinreach.http1.message import request
 from lupinreach.mesh.backend_client import AttemptError, BackendConnection
 from lupinreach.mesh.cli import describe
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer
 from lupinreach.mesh.settings import SETTINGS_VARIABLE
 from lupinreach.mesh.tasks import spawn
 
@@ -127,11 +127,11 @@
         self._processes.append(process)
 
     async def _start_backend(self, name: str, host: str, zone: str) -> None:
-        async def handle(asked: HttpRequest) -> HttpAnswer:
+        async def handle(asked: HttpRequest) -> HttpResponse:
             await asyncio.sleep(WORK_S)
             self._ran[name] += 1
             request_id = asked.header(b"lupinreach-request-id") or b""
-            return HttpAnswer(200, b"Lupinreach-Request-Id: " + request_id + b"\r\n", b"hello\n")
+            return HttpResponse(200, b"Lupinreach-Request-Id: " + request_id + b"\r\n", b"hello\n")
 
         server = HttpServer(handle, lambda asked: True)
         await server.listen((host, APP_PORT))
--- a/lupinreach/mesh/dispatch.py
+++ b/lupinreach/mesh/dispatch.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 
 from lupinreach.mesh.errors import ErrorKind
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, error_answer
 
 ANY = "*"  # a segment that is handed to the call
 
-Call = Callable[..., Awaitable[HttpAnswer]]
+Call = Callable[..., Awaitable[HttpResponse]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
         """Register a call; its `ANY` segments become arguments after the request."""
         self._patterns.append(_Pattern(method, segments, call))
 
-    async def handle(self, request: HttpRequest) -> HttpAnswer:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer a request by the call that fits it."""
         path = request.target.decode("latin-1").partition("?")[0]
         segments = tuple(path.strip("/").split("/"))
--- a/lupinreach/mesh/instance_calls.py
+++ b/lupinreach/mesh/instance_calls.py
@@ -11,7 +11,7 @@
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.fields import Fields, read_object
 from lupinreach.mesh.proxy.local_backend import Heartbeat
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, error_answer
 
 JSON_TYPE = b"Content-Type: application/json\r\n"
 
@@ -47,21 +47,21 @@
 def add_instance_calls(dispatcher: Dispatcher, sink: InstanceSink) -> None:
     """Register `POST /instances/ID/heartbeat` and `POST /instances/ID/deregister`."""
 
-    async def heartbeat(request: HttpRequest, instance_id: str) -> HttpAnswer:
+    async def heartbeat(request: HttpRequest, instance_id: str) -> HttpResponse:
         parsed = parse_heartbeat(request.body)
         if isinstance(parsed, Err):
             return error_answer(ErrorKind.INVALID_CALL, parsed.err_value)
         return _answer(await sink.heartbeat(instance_id, request.body, parsed.ok_value))
 
-    async def deregister(request: HttpRequest, instance_id: str) -> HttpAnswer:
+    async def deregister(request: HttpRequest, instance_id: str) -> HttpResponse:
         return _answer(await sink.sign_off(instance_id))
 
     dispatcher.add("POST", "instances", ANY, "heartbeat", call=heartbeat)
     dispatcher.add("POST", "instances", ANY, "deregister", call=deregister)
 
 
-def _answer(taken: Result[str, ErrorKind]) -> HttpAnswer:
+def _answer(taken: Result[str, ErrorKind]) -> HttpResponse:
     if isinstance(taken, Err):
         return error_answer(taken.err_value)
     told = {"heartbeat_endpoint": taken.ok_value} if taken.ok_value else {}
-    return HttpAnswer(200, JSON_TYPE, orjson.dumps(told))
+    return HttpResponse(200, JSON_TYPE, orjson.dumps(told))
--- a/lupinreach/mesh/metrics.py
+++ b/lupinreach/mesh/metrics.py
@@ -9,7 +9,7 @@
 
 from lupinreach.mesh.dispatch import Dispatcher
 from lupinreach.mesh.link import Address
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer
 
 OPTION = "--metrics"
 PREFIX = "lupinreach"
@@ -70,8 +70,8 @@
 async def serve_metrics(host: str, place: MetricsPlace, collect: Callable[[], list[Metric]]) -> HttpServer:
     """Serve what `collect` gives at each request; OSError where the port can't be had."""
 
-    async def answer(request: HttpRequest) -> HttpAnswer:
-        return HttpAnswer(200, TEXT_TYPE, render(collect()))
+    async def answer(request: HttpRequest) -> HttpResponse:
+        return HttpResponse(200, TEXT_TYPE, render(collect()))
 
     calls = Dispatcher()
     calls.add("GET", *place.path.strip("/").split("/"), call=answer)
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -15,7 +15,7 @@
 from lupinreach.mesh.proxy.peers import Peer, PeerTable
 from lupinreach.mesh.proxy.pool_policy import DEFAULT_AIM_MS, Choice, PoolPolicy
 from lupinreach.mesh.proxy.retry_budget import RetryBudget
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, error_answer
 
 REQUEST_ID = b"lupinreach-request-id"
 SET_BY_MESH = frozenset((DEADLINE, b"lupinreach-target-instance", b"lupinreach-caller-service"))
@@ -83,7 +83,7 @@
         host = (request.header(b"host") or b"").decode("latin-1")
         return self._news.table.find(host, request.target.decode("latin-1"))
 
-    async def handle(self, request: HttpRequest) -> HttpAnswer:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """The answer to one request of a client."""
         if self._news.table is None:
             return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=200)
@@ -112,7 +112,7 @@
             is_repeat=bool(run),
         )
 
-    async def _pass(self, passage: _Passage) -> HttpAnswer:
+    async def _pass(self, passage: _Passage) -> HttpResponse:
         loop = asyncio.get_running_loop()
         while True:
             now = loop.time()
@@ -173,7 +173,7 @@
 
     def _judge(
         self, passage: _Passage, peer: Peer, outcome: Outcome, sent: float, candidates: list[Peer]
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         """The answer that an outcome gives, or None for another attempt."""
         now = asyncio.get_running_loop().time()
         if isinstance(outcome, NotTaken):
@@ -191,9 +191,9 @@
         if failed and passage.route.repeatable and self._may_repeat(passage):
             return None
         self._learn_size(passage, outcome)
-        return HttpAnswer(outcome.status, outcome.headers, outcome.body)
+        return HttpResponse(outcome.status, outcome.headers, outcome.body)
 
-    def _judge_not_taken(self, passage: _Passage, peer: Peer, outcome: NotTaken) -> HttpAnswer | None:
+    def _judge_not_taken(self, passage: _Passage, peer: Peer, outcome: NotTaken) -> HttpResponse | None:
         self._policy.released(peer, passage.aim_ms)
         passage.excluded.add(peer.address)
         passage.refusals += 1
@@ -211,7 +211,7 @@
             return self._no_backend(passage)
         return None
 
-    def _judge_failed(self, passage: _Passage, outcome: Failed) -> HttpAnswer | None:
+    def _judge_failed(self, passage: _Passage, outcome: Failed) -> HttpResponse | None:
         failure = AttemptFailure(outcome.failure)
         kind = ErrorKind.TIMED_OUT if failure is AttemptFailure.TIMED_OUT else ErrorKind.OUTCOME_UNKNOWN
         if not outcome.ran:
@@ -248,10 +248,10 @@
     def _may_repeat(self, passage: _Passage) -> bool:
         return passage.attempts < passage.route.max_attempts and self._budget.spend(passage.service)
 
-    def _give_up(self, passage: _Passage, kind: ErrorKind) -> HttpAnswer:
+    def _give_up(self, passage: _Passage, kind: ErrorKind) -> HttpResponse:
         return error_answer(kind, retry_ms=RETRY_AFTER_SHARE * passage.aim_ms)
 
-    def _no_backend(self, passage: _Passage) -> HttpAnswer:
+    def _no_backend(self, passage: _Passage) -> HttpResponse:
         """Refuse at once; the request has not run, unless a repeatable one failed before."""
         kind = (
             ErrorKind.FULL
--- a/lupinreach/mesh/proxy/program.py
+++ b/lupinreach/mesh/proxy/program.py
@@ -27,7 +27,7 @@
 from lupinreach.mesh.proxy.pool_policy import PoolPolicy
 from lupinreach.mesh.proxy.registry_client import RegistryClient
 from lupinreach.mesh.proxy.retry_budget import RetryBudget
-from lupinreach.mesh.server import BufferBudget, HttpAnswer, HttpRequest, HttpServer, ServerLimits
+from lupinreach.mesh.server import BufferBudget, HttpRequest, HttpResponse, HttpServer, ServerLimits
 from lupinreach.mesh.settings import Settings
 from lupinreach.mesh.tasks import spawn
 
@@ -171,9 +171,9 @@
             Event.BACKEND_CHANGED, instance=self.backend.instance_id, state=self.backend.state.value
         )
 
-    async def _readiness(self, request: HttpRequest) -> HttpAnswer:
+    async def _readiness(self, request: HttpRequest) -> HttpResponse:
         ready = self.state is ProxyState.SERVING
-        return HttpAnswer(200 if ready else 503, b"", self.state.value.encode() + b"\n")
+        return HttpResponse(200 if ready else 503, b"", self.state.value.encode() + b"\n")
 
     # News.
 
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -34,7 +34,7 @@
 from lupinreach.mesh.registry.entry_feed import EntryFeed
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.registry.orders import OrderFailure, StoreLinks
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer, error_answer
 from lupinreach.mesh.settings import Settings
 from lupinreach.mesh.store.document import OrderKind
 from lupinreach.mesh.tasks import spawn
@@ -222,7 +222,7 @@
 
     # Calls.
 
-    async def _replace_configuration(self, request: HttpRequest) -> HttpAnswer:
+    async def _replace_configuration(self, request: HttpRequest) -> HttpResponse:
         parsed = parse_configuration(request.body)
         if isinstance(parsed, Err):
             self._log.write(Event.ORDER_REFUSED, why=parsed.err_value)
@@ -230,34 +230,34 @@
         version = parsed.ok_value.version.lower()
         return await self._order(OrderKind.REPLACE_CONFIGURATION, version=version, payload=request.body)
 
-    async def _describe_configuration(self, request: HttpRequest) -> HttpAnswer:
+    async def _describe_configuration(self, request: HttpRequest) -> HttpResponse:
         result = await self._stores.order(OrderKind.READ_CONFIGURATION)
         if isinstance(result, Err):
             return self._refused(result.err_value)
         if not result.ok_value:
             return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=500)
-        return HttpAnswer(200, JSON_TYPE, result.ok_value)
+        return HttpResponse(200, JSON_TYPE, result.ok_value)
 
-    async def _start_evacuation(self, request: HttpRequest, zone: str) -> HttpAnswer:
+    async def _start_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
         return await self._evacuate(OrderKind.START_EVACUATION, zone)
 
-    async def _stop_evacuation(self, request: HttpRequest, zone: str) -> HttpAnswer:
+    async def _stop_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
         return await self._evacuate(OrderKind.STOP_EVACUATION, zone)
 
-    async def _evacuate(self, kind: OrderKind, zone: str) -> HttpAnswer:
+    async def _evacuate(self, kind: OrderKind, zone: str) -> HttpResponse:
         if zone not in self._settings.zones:
             return error_answer(ErrorKind.UNKNOWN_ZONE, zone)
         return await self._order(kind, zone=zone)
 
     async def _order(
         self, kind: OrderKind, version: str = "", payload: bytes = b"", zone: str = ""
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         result = await self._stores.order(kind, version, payload, zone)
         if isinstance(result, Err):
             return self._refused(result.err_value)
         self._log.write(Event.ORDER_TAKEN, kind=kind.name.lower(), version=version or "-", zone=zone or "-")
-        return HttpAnswer(200, JSON_TYPE, b"{}")
+        return HttpResponse(200, JSON_TYPE, b"{}")
 
-    def _refused(self, failure: OrderFailure) -> HttpAnswer:
+    def _refused(self, failure: OrderFailure) -> HttpResponse:
         self._log.write(Event.ORDER_REFUSED, why=failure.kind.name.lower(), detail=failure.detail or "-")
         return error_answer(failure.kind, failure.detail, retry_ms=ORDER_RETRY_MS)
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class HttpAnswer:
+class HttpResponse:
     """One whole answer; `headers` are whole lines."""
 
     status: int
@@ -51,17 +51,17 @@
     body: bytes = b""
 
 
-def error_answer(kind: ErrorKind, detail: str = "", retry_ms: float = 0.0) -> HttpAnswer:
+def error_answer(kind: ErrorKind, detail: str = "", retry_ms: float = 0.0) -> HttpResponse:
     """The answer that the table gives for an error."""
     told = ANSWERS[kind]
     headers = b"Content-Type: text/plain\r\n"
     if told.retry:
         headers += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, retry_ms) / 1000)
     text = f"{told.text}: {detail}" if detail else told.text
-    return HttpAnswer(told.status, headers, text.encode() + b"\n")
+    return HttpResponse(told.status, headers, text.encode() + b"\n")
 
 
-Handle = Callable[[HttpRequest], Awaitable[HttpAnswer]]
+Handle = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
     request: HttpRequest
     charged: int
     task: asyncio.Task[None] | None = None
-    answer: HttpAnswer | None = None
+    answer: HttpResponse | None = None
 
 
 class HttpServer:
@@ -324,7 +324,7 @@
             self._transport.resume_reading()
             self._read()
 
-    def _write(self, request: HttpRequest, answer: HttpAnswer) -> None:
+    def _write(self, request: HttpRequest, answer: HttpResponse) -> None:
         ends = not self._queue and (self._last or (self._server.stopping and not self._reader.begun))
         framing = b"Content-Length: %d\r\n" % len(answer.body)
         body = b"" if request.method == b"HEAD" else answer.body
--- a/tests/mesh/world.py
+++ b/tests/mesh/world.py
@@ -16,7 +16,7 @@
 from lupinreach.mesh.events import Event
 from lupinreach.mesh.proxy.program import ProxyProgram
 from lupinreach.mesh.registry.program import RegistryProgram
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer
 from lupinreach.mesh.settings import Bounds, FaultTolerance, Limits, Settings
 from lupinreach.mesh.store.disk import DiskFailed
 from lupinreach.mesh.store.program import StoreProgram
@@ -331,7 +331,7 @@
         self.loop.hosts[self._owner] = host
         self.owners[(host, "backend")] = self._owner
 
-        async def handle(asked: HttpRequest) -> HttpAnswer:
+        async def handle(asked: HttpRequest) -> HttpResponse:
             return await self._serve(backend, asked)
 
         async def run() -> None:
@@ -367,11 +367,11 @@
         path = f"/instances/{backend.instance}/heartbeat"
         return (await self.call(via or host, CONTROL, "POST", path, body))[0]
 
-    async def _serve(self, backend: Backend, asked: HttpRequest) -> HttpAnswer:
+    async def _serve(self, backend: Backend, asked: HttpRequest) -> HttpResponse:
         request_id = (asked.header(b"lupinreach-request-id") or b"").decode()
         line = b"Lupinreach-Request-Id: " + request_id.encode() + b"\r\n"
         if asked.header(b"lupinreach-target-instance") != self.backends[backend.host].instance.encode():
-            return HttpAnswer(421, line + b"Lupinreach-Not-Executed: 1\r\n")
+            return HttpResponse(421, line + b"Lupinreach-Not-Executed: 1\r\n")
         backend = self.backends[backend.host]
         backend.arrived.append(self.now)
         backend.ran.append(request_id)
@@ -385,7 +385,7 @@
             line = b"Lupinreach-Request-Id: another\r\n"
         if backend.mode == "silent":
             await asyncio.sleep(60)
-        return HttpAnswer(200, line + b"Lupinreach-Response-Seal: s\r\n", backend.instance.encode())
+        return HttpResponse(200, line + b"Lupinreach-Response-Seal: s\r\n", backend.instance.encode())
 
     # Clients and operators.
 
