--- a/lupinreach/mesh/dispatch.py
+++ b/lupinreach/mesh/dispatch.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from lupinreach.mesh.errors import ErrorKind
-from lupinreach.mesh.server import HttpRequest, HttpResponse, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, error_response
 
 ANY = "*"  # a segment that is handed to the call
 
@@ -43,7 +43,7 @@
             known = True
             if pattern.method == method:
                 return await pattern.call(request, *arguments)
-        return error_answer(ErrorKind.METHOD_NOT_ALLOWED if known else ErrorKind.UNKNOWN_CALL)
+        return error_response(ErrorKind.METHOD_NOT_ALLOWED if known else ErrorKind.UNKNOWN_CALL)
 
 
 def _match(pattern: tuple[str, ...], segments: tuple[str, ...]) -> list[str] | None:
--- a/lupinreach/mesh/instance_calls.py
+++ b/lupinreach/mesh/instance_calls.py
@@ -11,7 +11,7 @@
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.fields import Fields, read_object
 from lupinreach.mesh.proxy.local_backend import Heartbeat
-from lupinreach.mesh.server import HttpRequest, HttpResponse, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, error_response
 
 JSON_TYPE = b"Content-Type: application/json\r\n"
 
@@ -50,7 +50,7 @@
     async def heartbeat(request: HttpRequest, instance_id: str) -> HttpResponse:
         parsed = parse_heartbeat(request.body)
         if isinstance(parsed, Err):
-            return error_answer(ErrorKind.INVALID_CALL, parsed.err_value)
+            return error_response(ErrorKind.INVALID_CALL, parsed.err_value)
         return _answer(await sink.heartbeat(instance_id, request.body, parsed.ok_value))
 
     async def deregister(request: HttpRequest, instance_id: str) -> HttpResponse:
@@ -62,6 +62,6 @@
 
 def _answer(taken: Result[str, ErrorKind]) -> HttpResponse:
     if isinstance(taken, Err):
-        return error_answer(taken.err_value)
+        return error_response(taken.err_value)
     told = {"heartbeat_endpoint": taken.ok_value} if taken.ok_value else {}
     return HttpResponse(200, JSON_TYPE, orjson.dumps(told))
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -15,7 +15,7 @@
 from lupinreach.mesh.proxy.peers import Peer, PeerTable
 from lupinreach.mesh.proxy.pool_policy import DEFAULT_AIM_MS, Choice, PoolPolicy
 from lupinreach.mesh.proxy.retry_budget import RetryBudget
-from lupinreach.mesh.server import HttpRequest, HttpResponse, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, error_response
 
 REQUEST_ID = b"lupinreach-request-id"
 SET_BY_MESH = frozenset((DEADLINE, b"lupinreach-target-instance", b"lupinreach-caller-service"))
@@ -86,12 +86,12 @@
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """The answer to one request of a client."""
         if self._news.table is None:
-            return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=200)
+            return error_response(ErrorKind.NOT_CONFIGURED, retry_ms=200)
         if not request.header(REQUEST_ID):
-            return error_answer(ErrorKind.NO_REQUEST_ID)
+            return error_response(ErrorKind.NO_REQUEST_ID)
         route = self._route(request)
         if route is None:
-            return error_answer(ErrorKind.NO_ROUTE)
+            return error_response(ErrorKind.NO_ROUTE)
         return await self._pass(self._passage(request, route))
 
     def _passage(self, request: HttpRequest, route: Route) -> _Passage:
@@ -222,8 +222,8 @@
             passage.repeat_paid = False
             return None
         if not passage.route.repeatable or failure is AttemptFailure.TIMED_OUT:
-            return error_answer(kind)
-        return None if self._may_repeat(passage) else error_answer(kind)
+            return error_response(kind)
+        return None if self._may_repeat(passage) else error_response(kind)
 
     def _may_fail_over(self, passage: _Passage, silent: Peer) -> bool:
         """If an attempt at a peer that has fallen silent is given up.
@@ -249,7 +249,7 @@
         return passage.attempts < passage.route.max_attempts and self._budget.spend(passage.service)
 
     def _give_up(self, passage: _Passage, kind: ErrorKind) -> HttpResponse:
-        return error_answer(kind, retry_ms=RETRY_AFTER_SHARE * passage.aim_ms)
+        return error_response(kind, retry_ms=RETRY_AFTER_SHARE * passage.aim_ms)
 
     def _no_backend(self, passage: _Passage) -> HttpResponse:
         """Refuse at once; the request has not run, unless a repeatable one failed before."""
@@ -259,7 +259,7 @@
             else ErrorKind.NO_BACKEND
         )
         retry_ms = max(passage.retry_ms, RETRY_AFTER_SHARE * passage.aim_ms) * random.uniform(0.7, 1.3)
-        return error_answer(kind, retry_ms=retry_ms)
+        return error_response(kind, retry_ms=retry_ms)
 
     def _learn_size(self, passage: _Passage, answer: Answer) -> None:
         key = (passage.service, passage.aim_ms)
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -34,7 +34,7 @@
 from lupinreach.mesh.registry.entry_feed import EntryFeed
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.registry.orders import OrderFailure, StoreLinks
-from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer, error_response
 from lupinreach.mesh.settings import Settings
 from lupinreach.mesh.store.document import OrderKind
 from lupinreach.mesh.tasks import spawn
@@ -226,7 +226,7 @@
         parsed = parse_configuration(request.body)
         if isinstance(parsed, Err):
             self._log.write(Event.ORDER_REFUSED, why=parsed.err_value)
-            return error_answer(ErrorKind.INVALID_CONFIGURATION, parsed.err_value)
+            return error_response(ErrorKind.INVALID_CONFIGURATION, parsed.err_value)
         version = parsed.ok_value.version.lower()
         return await self._order(OrderKind.REPLACE_CONFIGURATION, version=version, payload=request.body)
 
@@ -235,7 +235,7 @@
         if isinstance(result, Err):
             return self._refused(result.err_value)
         if not result.ok_value:
-            return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=500)
+            return error_response(ErrorKind.NOT_CONFIGURED, retry_ms=500)
         return HttpResponse(200, JSON_TYPE, result.ok_value)
 
     async def _start_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
@@ -246,7 +246,7 @@
 
     async def _evacuate(self, kind: OrderKind, zone: str) -> HttpResponse:
         if zone not in self._settings.zones:
-            return error_answer(ErrorKind.UNKNOWN_ZONE, zone)
+            return error_response(ErrorKind.UNKNOWN_ZONE, zone)
         return await self._order(kind, zone=zone)
 
     async def _order(
@@ -260,4 +260,4 @@
 
     def _refused(self, failure: OrderFailure) -> HttpResponse:
         self._log.write(Event.ORDER_REFUSED, why=failure.kind.name.lower(), detail=failure.detail or "-")
-        return error_answer(failure.kind, failure.detail, retry_ms=ORDER_RETRY_MS)
+        return error_response(failure.kind, failure.detail, retry_ms=ORDER_RETRY_MS)
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -51,7 +51,7 @@
     body: bytes = b""
 
 
-def error_answer(kind: ErrorKind, detail: str = "", retry_ms: float = 0.0) -> HttpResponse:
+def error_response(kind: ErrorKind, detail: str = "", retry_ms: float = 0.0) -> HttpResponse:
     """The answer that the table gives for an error."""
     told = ANSWERS[kind]
     headers = b"Content-Type: text/plain\r\n"
@@ -216,7 +216,7 @@
                 if exchange.task is not None:
                     exchange.task.cancel()
                 begun = exchange.task is not None
-                exchange.answer = error_answer(ErrorKind.OUTCOME_UNKNOWN if begun else ErrorKind.STOPPING)
+                exchange.answer = error_response(ErrorKind.OUTCOME_UNKNOWN if begun else ErrorKind.STOPPING)
         self._last = True
         self._flush()
 
@@ -307,7 +307,7 @@
             raise
         except Exception as fault:
             self._server.on_fault(fault)
-            exchange.answer = error_answer(ErrorKind.OUTCOME_UNKNOWN)
+            exchange.answer = error_response(ErrorKind.OUTCOME_UNKNOWN)
         self._flush()
 
     def _flush(self) -> None:
@@ -350,6 +350,6 @@
         """Answer what could not be read, after all that came before it, and end the connection."""
         self._last = True
         head = Head((b"GET", b"/", 0), {}, [], frozenset(), False, 0, False, 0)
-        exchange = _Exchange(HttpRequest(head, b"", self._loop.time()), 0, answer=error_answer(kind))
+        exchange = _Exchange(HttpRequest(head, b"", self._loop.time()), 0, answer=error_response(kind))
         self._queue.append(exchange)
         self._flush()
