--- a/lupinreach/mesh/errors.py
+++ b/lupinreach/mesh/errors.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ErrorAnswer:
+class ErrorResponse:
     """What a caller is told."""
 
     status: int
@@ -49,33 +49,33 @@
     retry: bool = False  # carries Retry-After
 
 
-ANSWERS: dict[ErrorKind, ErrorAnswer] = {
-    ErrorKind.MALFORMED: ErrorAnswer(400, "malformed request"),
-    ErrorKind.HEAD_TOO_LARGE: ErrorAnswer(431, "request head too large"),
-    ErrorKind.BODY_TOO_LARGE: ErrorAnswer(413, "request body too large"),
-    ErrorKind.NO_REQUEST_ID: ErrorAnswer(400, "no request id"),
-    ErrorKind.NO_ROUTE: ErrorAnswer(404, "no route"),
-    ErrorKind.NOT_CONFIGURED: ErrorAnswer(503, "no configuration yet", retry=True),
-    ErrorKind.NO_BACKEND: ErrorAnswer(503, "no backend available", retry=True),
-    ErrorKind.FULL: ErrorAnswer(503, "all backends are full", retry=True),
-    ErrorKind.OUT_OF_MEMORY: ErrorAnswer(503, "no memory for the request", retry=True),
-    ErrorKind.STOPPING: ErrorAnswer(503, "shutting down", retry=True),
-    ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(502, "the outcome is unknown"),
-    ErrorKind.TIMED_OUT: ErrorAnswer(504, "timed out"),
-    ErrorKind.EXPIRED: ErrorAnswer(503, "the deadline passed before it was sent", retry=True),
-    ErrorKind.UNKNOWN_CALL: ErrorAnswer(404, "unknown call"),
-    ErrorKind.METHOD_NOT_ALLOWED: ErrorAnswer(405, "method not allowed"),
-    ErrorKind.INVALID_CONFIGURATION: ErrorAnswer(400, "invalid configuration"),
-    ErrorKind.INVALID_CALL: ErrorAnswer(400, "invalid call"),
-    ErrorKind.UNKNOWN_ZONE: ErrorAnswer(404, "unknown zone"),
-    ErrorKind.NO_PRIMARY: ErrorAnswer(503, "no primary store", retry=True),
-    ErrorKind.STORE_UNAVAILABLE: ErrorAnswer(503, "the store did not answer", retry=True),
-    ErrorKind.HEAD_TIMED_OUT: ErrorAnswer(408, "the request head took too long"),
-    ErrorKind.PROXY_UNREACHABLE: ErrorAnswer(
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.MALFORMED: ErrorResponse(400, "malformed request"),
+    ErrorKind.HEAD_TOO_LARGE: ErrorResponse(431, "request head too large"),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, "request body too large"),
+    ErrorKind.NO_REQUEST_ID: ErrorResponse(400, "no request id"),
+    ErrorKind.NO_ROUTE: ErrorResponse(404, "no route"),
+    ErrorKind.NOT_CONFIGURED: ErrorResponse(503, "no configuration yet", retry=True),
+    ErrorKind.NO_BACKEND: ErrorResponse(503, "no backend available", retry=True),
+    ErrorKind.FULL: ErrorResponse(503, "all backends are full", retry=True),
+    ErrorKind.OUT_OF_MEMORY: ErrorResponse(503, "no memory for the request", retry=True),
+    ErrorKind.STOPPING: ErrorResponse(503, "shutting down", retry=True),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(502, "the outcome is unknown"),
+    ErrorKind.TIMED_OUT: ErrorResponse(504, "timed out"),
+    ErrorKind.EXPIRED: ErrorResponse(503, "the deadline passed before it was sent", retry=True),
+    ErrorKind.UNKNOWN_CALL: ErrorResponse(404, "unknown call"),
+    ErrorKind.METHOD_NOT_ALLOWED: ErrorResponse(405, "method not allowed"),
+    ErrorKind.INVALID_CONFIGURATION: ErrorResponse(400, "invalid configuration"),
+    ErrorKind.INVALID_CALL: ErrorResponse(400, "invalid call"),
+    ErrorKind.UNKNOWN_ZONE: ErrorResponse(404, "unknown zone"),
+    ErrorKind.NO_PRIMARY: ErrorResponse(503, "no primary store", retry=True),
+    ErrorKind.STORE_UNAVAILABLE: ErrorResponse(503, "the store did not answer", retry=True),
+    ErrorKind.HEAD_TIMED_OUT: ErrorResponse(408, "the request head took too long"),
+    ErrorKind.PROXY_UNREACHABLE: ErrorResponse(
         503, "the proxy beside this backend does not answer", retry=True
     ),
-    ErrorKind.VERSION_CONFLICT: ErrorAnswer(409, "this version is held with another content"),
-    ErrorKind.BODY_TIMED_OUT: ErrorAnswer(408, "the request body took too long"),
+    ErrorKind.VERSION_CONFLICT: ErrorResponse(409, "this version is held with another content"),
+    ErrorKind.BODY_TIMED_OUT: ErrorResponse(408, "the request body took too long"),
 }
 
 
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from lupinreach.http1.message import CONTINUE, Head, response_head
-from lupinreach.mesh.errors import ANSWERS, ErrorKind
+from lupinreach.mesh.errors import ERROR_RESPONSES, ErrorKind
 from lupinreach.mesh.link import Address, tune
 from lupinreach.mesh.reader import MessageReader, WholeMessage
 from lupinreach.mesh.tasks import spawn
@@ -53,7 +53,7 @@
 
 def error_response(kind: ErrorKind, detail: str = "", retry_ms: float = 0.0) -> HttpResponse:
     """The answer that the table gives for an error."""
-    told = ANSWERS[kind]
+    told = ERROR_RESPONSES[kind]
     headers = b"Content-Type: text/plain\r\n"
     if told.retry:
         headers += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, retry_ms) / 1000)
