--- a/lupinreach/mesh/registry/news_feed.py
+++ b/lupinreach/mesh/registry/news_feed.py
@@ -10,7 +10,7 @@
 from lupinreach.mesh.events import Event, EventLog
 from lupinreach.mesh.link import Link
 from lupinreach.mesh.messages import AgentHello, News, NewsAcknowledged, encode
-from lupinreach.mesh.send_window import NewsProgress
+from lupinreach.mesh.send_window import UpdateProgress
 
 LATE_S = 1.0  # a change that a proxy has not acknowledged for so long is logged
 
@@ -22,7 +22,7 @@
     link: Link
     address: str
     takes_updates: bool
-    progress: NewsProgress
+    progress: UpdateProgress
     needs_whole: bool = False  # it could not use an update
     behind_since: float | None = None  # loop time from which on it has lacked the newest
     told_late: bool = False
@@ -61,7 +61,7 @@
 
     def join(self, link: Link, hello: AgentHello) -> None:
         """A proxy has opened a link, and says what it holds."""
-        progress = NewsProgress(hello.config_version)
+        progress = UpdateProgress(hello.config_version)
         receiver = Receiver(link, hello.address, hello.takes_updates, progress)
         self._receivers[link] = receiver
         if self.stamp:
--- a/lupinreach/mesh/send_window.py
+++ b/lupinreach/mesh/send_window.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class NewsProgress:
+class UpdateProgress:
     """What one receiver of news will hold once all that was sent to it has arrived."""
 
     config_version: str = ""
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -20,7 +20,7 @@
     encode,
 )
 from lupinreach.mesh.metrics import Metric
-from lupinreach.mesh.send_window import NewsProgress
+from lupinreach.mesh.send_window import UpdateProgress
 from lupinreach.mesh.settings import Settings
 from lupinreach.mesh.store.disk import SqliteRecord
 from lupinreach.mesh.store.document import Document
@@ -60,7 +60,7 @@
         self._accepted: dict[str, Link] = {}  # and those that were dialled from there
         self._epochs: dict[str, int] = {}  # of the views that other stores know
         self._stores: dict[str, list[Any]] = {}  # by identity: as in StoreStatus
-        self._subscribers: dict[Link, NewsProgress] = {}  # registries that want news
+        self._subscribers: dict[Link, UpdateProgress] = {}  # registries that want news
         self._ticks = 0
         self._published = 0
 
@@ -241,7 +241,7 @@
     # Registries.
 
     def _on_subscribe(self, link: Link, message: Subscribe) -> None:
-        subscriber = self._subscribers.setdefault(link, NewsProgress())
+        subscriber = self._subscribers.setdefault(link, UpdateProgress())
         subscriber.config_version = message.config_version
         subscriber.acknowledges = message.acknowledges
         me = self.replica.me
--- a/tests/mesh/test_entry_feed.py
+++ b/tests/mesh/test_entry_feed.py
@@ -11,7 +11,7 @@
 from lupinreach.mesh.messages import AgentEntry, decode
 from lupinreach.mesh.registry.agents import AgentTable
 from lupinreach.mesh.registry.entry_feed import MOST_UNSENT, EntryFeed
-from lupinreach.mesh.send_window import NewsProgress
+from lupinreach.mesh.send_window import UpdateProgress
 
 
 class _Link:
@@ -100,7 +100,7 @@
 
 
 def test_nothing_is_counted_for_a_receiver_that_never_acknowledges() -> None:
-    progress = NewsProgress(acknowledges=False)
+    progress = UpdateProgress(acknowledges=False)
     for sequence in range(1000):
         assert progress.allows(60_000)
         progress.sent(60_000, "00000001", [1, sequence])
