--- a/lupinreach/mesh/configuration_update.py
+++ b/lupinreach/mesh/configuration_update.py
@@ -24,7 +24,7 @@
 )
 from lupinreach.mesh.route_table import RouteTable
 
-MOST_VERSIONS = 128  # that a sender remembers; older receivers get the whole
+MAX_REMEMBERED_VERSIONS = 128  # that a sender remembers; older receivers get the whole
 MOST_SHARE = 0.5  # of the routes: a difference that names more is sent as the whole
 
 
@@ -124,7 +124,7 @@
         self.table = table if self.table is None else self._after(self.table, table)
         self._versions[table.version] = self._count
         self._packed.clear()
-        if len(self._versions) > MOST_VERSIONS:
+        if len(self._versions) > MAX_REMEMBERED_VERSIONS:
             self._forget_oldest()
 
     def _after(self, before: RouteTable, after: RouteTable) -> RouteTable:
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -12,7 +12,7 @@
 from lupinreach.bed.ways.loop import VirtualLoop
 from lupinreach.mesh.configuration import Configuration, Route, RouteType, Service, VirtualHost
 from lupinreach.mesh.configuration_update import (
-    MOST_VERSIONS,
+    MAX_REMEMBERED_VERSIONS,
     Applied,
     ConfigurationHistory,
     ConfigurationUpdate,
@@ -93,7 +93,7 @@
 
 
 def test_versions_too_old_to_remember_and_large_changes_get_the_whole() -> None:
-    versions = _drawn(random.Random(6), MOST_VERSIONS + 5)
+    versions = _drawn(random.Random(6), MAX_REMEMBERED_VERSIONS + 5)
     history = ConfigurationHistory()
     for version in versions:
         history.take(version)
