--- a/lupinreach/mesh/dispatch.py
+++ b/lupinreach/mesh/dispatch.py
@@ -8,7 +8,7 @@
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.server import HttpRequest, HttpResponse, error_response
 
-ANY = "*"  # a segment that is handed to the call
+ANY_SEGMENT = "*"  # a segment that is handed to the call
 
 Call = Callable[..., Awaitable[HttpResponse]]
 
@@ -51,7 +51,7 @@
         return None
     arguments = []
     for expected, found in zip(pattern, segments, strict=True):
-        if expected == ANY and found:
+        if expected == ANY_SEGMENT and found:
             arguments.append(found)
         elif expected != found:
             return None
--- a/lupinreach/mesh/instance_calls.py
+++ b/lupinreach/mesh/instance_calls.py
@@ -7,7 +7,7 @@
 import orjson
 from result import Err, Result
 
-from lupinreach.mesh.dispatch import ANY, Dispatcher
+from lupinreach.mesh.dispatch import ANY_SEGMENT, Dispatcher
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.fields import Fields, read_object
 from lupinreach.mesh.proxy.local_backend import Heartbeat
@@ -56,8 +56,8 @@
     async def deregister(request: HttpRequest, instance_id: str) -> HttpResponse:
         return _answer(await sink.sign_off(instance_id))
 
-    dispatcher.add("POST", "instances", ANY, "heartbeat", call=heartbeat)
-    dispatcher.add("POST", "instances", ANY, "deregister", call=deregister)
+    dispatcher.add("POST", "instances", ANY_SEGMENT, "heartbeat", call=heartbeat)
+    dispatcher.add("POST", "instances", ANY_SEGMENT, "deregister", call=deregister)
 
 
 def _answer(taken: Result[str, ErrorKind]) -> HttpResponse:
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -9,7 +9,7 @@
 
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.configuration_check import parse_configuration
-from lupinreach.mesh.dispatch import ANY, Dispatcher
+from lupinreach.mesh.dispatch import ANY_SEGMENT, Dispatcher
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.events import Event, EventLog
 from lupinreach.mesh.instance_calls import JSON_TYPE, add_instance_calls
@@ -58,8 +58,8 @@
         calls = Dispatcher()
         calls.add("POST", "configuration", "replace", call=self._replace_configuration)
         calls.add("GET", "configuration", "describe", call=self._describe_configuration)
-        calls.add("POST", "evacuations", ANY, "start", call=self._start_evacuation)
-        calls.add("POST", "evacuations", ANY, "stop", call=self._stop_evacuation)
+        calls.add("POST", "evacuations", ANY_SEGMENT, "start", call=self._start_evacuation)
+        calls.add("POST", "evacuations", ANY_SEGMENT, "stop", call=self._stop_evacuation)
         control_port = settings.listen_address("control_plane")[1]
         add_instance_calls(calls, BeatForwarder(self.agents, control_port))
         self._server = HttpServer(
