--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -208,7 +208,11 @@
                 return
             self._used = True
             self._host.got(one, head, body)
-            if head.keeps and len(self._host.idle) < self._host.world.clients.connections and self.usable:
+            if (
+                head.keep_alive
+                and len(self._host.idle) < self._host.world.clients.connections
+                and self.usable
+            ):
                 self._host.idle.append(self)
             else:
                 self._transport.close()
--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -65,7 +65,7 @@
     lines: list[tuple[bytes, Slice]]  # each whole header line with its name, as it came
     body: Slice | bytes
     options: frozenset[bytes]  # what its Connection header names
-    keeps: bool  # the connection may carry another message
+    keep_alive: bool  # the connection may carry another message
     old: bool = False  # HTTP/1.0: knows no chunks
 
     def header(self, name: bytes) -> bytes | None:
@@ -78,7 +78,7 @@
     headers: dict[bytes, bytes]
     lines: list[tuple[bytes, Slice]]
     options: frozenset[bytes]
-    keeps: bool
+    keep_alive: bool
     length: int | None  # None: not given
     chunked: bool
     size: int  # of the head itself
@@ -129,7 +129,7 @@
         headers=headers,
         lines=lines,
         options=options,
-        keeps=b"close" not in options and (minor == b"1" or b"keep-alive" in options),
+        keep_alive=b"close" not in options and (minor == b"1" or b"keep-alive" in options),
         length=int(lengths[0]) if lengths else None,
         chunked=bool(codings),
         size=stop + 4 - start,
@@ -195,7 +195,7 @@
 
 
 def message(head: Head, body: Slice | bytes) -> Message:
-    return Message(*head.first, head.headers, head.lines, body, head.options, head.keeps, head.old)
+    return Message(*head.first, head.headers, head.lines, body, head.options, head.keep_alive, head.old)
 
 
 def forwarded_headers(message: Message, but: frozenset[bytes]) -> list[Slice]:
@@ -220,8 +220,8 @@
     return b"".join((method, b" ", target, b" HTTP/1.1\r\nHost: ", host, b"\r\n", *headers, framing, b"\r\n"))
 
 
-def response_head(status: int, headers: Iterable[bytes | Slice], keeps: bool, framing: bytes) -> bytes:
-    closing = b"" if keeps else b"Connection: close\r\n"
+def response_head(status: int, headers: Iterable[bytes | Slice], keep_alive: bool, framing: bytes) -> bytes:
+    closing = b"" if keep_alive else b"Connection: close\r\n"
     return b"".join(
         (
             b"HTTP/1.1 %d " % status,
@@ -236,7 +236,7 @@
 
 
 def answer(
-    status: int, headers: Iterable[bytes | Slice] = (), body: Slice | bytes = b"", keeps: bool = True
+    status: int, headers: Iterable[bytes | Slice] = (), body: Slice | bytes = b"", keep_alive: bool = True
 ) -> bytes:
     """An answer as one piece, copied once as a request is."""
-    return response_head(status, headers, keeps, b"Content-Length: %d\r\n" % len(body)) + body
+    return response_head(status, headers, keep_alive, b"Content-Length: %d\r\n" % len(body)) + body
--- a/lupinreach/mesh/backend_client.py
+++ b/lupinreach/mesh/backend_client.py
@@ -90,7 +90,7 @@
     def _finish(self, whole: WholeMessage) -> None:
         assert self._future is not None
         sent = self._transport.get_write_buffer_size() == 0  # the answer may come before a long body is read
-        self.reusable = sent and whole.head.keeps and not self._reader.begun and not self._surplus
+        self.reusable = sent and whole.head.keep_alive and not self._reader.begun and not self._surplus
         stated = KEEP_ALIVE.search(whole.head.headers.get(b"keep-alive", b""))
         if stated:
             self.idle_limit_s = int(stated[1]) * IDLE_SHARE
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -284,7 +284,7 @@
         if not self._charge(len(whole.body)):
             self._refuse(ErrorKind.OUT_OF_MEMORY)
             return
-        self._last = not whole.head.keeps
+        self._last = not whole.head.keep_alive
         self._timing.since = self._loop.time()
         request = HttpRequest(whole.head, whole.body, self._timing.since)
         self._queue.append(_Exchange(request, self._charged))
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -144,7 +144,7 @@
     if head.first[2] in (204, 304):
         head.length, head.chunked = 0, False
     until_close = head.length is None and not head.chunked
-    if until_close and head.keeps:
+    if until_close and head.keep_alive:
         # Its end would be the connection's, which was to stay: nobody could tell whether it came whole.
         raise Ended(End.CUT_SHORT)
     return Body(channel, head, most, until_close)
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -108,7 +108,7 @@
             self._let_go(upload)
             # Guards against requests by the hundred on one connection: the protocol has one at a time.
             raise BadRequest("more has come than one request")
-        self._keeps = request.keeps
+        self._keeps = request.keep_alive
         arrived = self._serving.clock.now() - channel.quiet  # of its last byte
         if request.target == protocol.READY_PATH:
             self._let_go(upload)
@@ -247,7 +247,9 @@
                 await self.channel.drain(MOST_DROPPED, LINGER)
 
     def turn_away(self, status: int, why: str) -> None:
-        self.channel.write(http.answer(status, [b"Content-Type: text/plain\r\n"], why.encode(), keeps=False))
+        self.channel.write(
+            http.answer(status, [b"Content-Type: text/plain\r\n"], why.encode(), keep_alive=False)
+        )
 
 
 class Listener:
--- a/lupinreach/net/reply.py
+++ b/lupinreach/net/reply.py
@@ -23,7 +23,7 @@
         status: int,
         lines: list[http.Slice | bytes],
         length: int | None,
-        keeps: bool,
+        keep_alive: bool,
         old: bool,
     ) -> None:
         """`length` of the body, where it is known; `old`: the client knows no chunks, so it ends with its connection."""
@@ -34,7 +34,7 @@
             if self._chunked
             else (b"" if length is None else b"Content-Length: %d\r\n" % length)
         )
-        self._head = http.response_head(status, lines, keeps, framing)
+        self._head = http.response_head(status, lines, keep_alive, framing)
 
     async def write(self, piece: http.Slice | bytes) -> None:
         head, self._head = self._head, b""
--- a/lupinreach/net/shot.py
+++ b/lupinreach/net/shot.py
@@ -162,7 +162,7 @@
 
     def _release(self, channel: Channel) -> None:
         # A connection with a half-read answer, or with more than one, is never used again.
-        if self._whole and self.answer is not None and self.answer.keeps and not channel.spoke:
+        if self._whole and self.answer is not None and self.answer.keep_alive and not channel.spoke:
             self._pool.give_back(channel, self._place)
         else:
             self._pool.discard(channel, self.end)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -72,7 +72,7 @@
         feed = Feed(*split(rng, raw + b"GET"))
         got = run(request(feed))
         assert (got.method, got.target, bytes(got.body)) == (b"POST", b"/a?b", body)
-        assert {k: bytes(got.headers[k]) for k in headers} == headers and got.keeps
+        assert {k: bytes(got.headers[k]) for k in headers} == headers and got.keep_alive
         left = bytes(feed.buffer[feed.start :]) + b"".join(feed.pieces)
         assert left == b"GET"  # what follows is not touched
 
@@ -169,8 +169,8 @@
     interim = b"HTTP/1.1 100 Continue\r\n\r\n"
     assert answer(interim + b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").body == b"ok"
     assert answer(b"HTTP/1.1 204\r\n\r\n").body == b""
-    assert not answer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: Close\r\n\r\n").keeps
-    assert not answer(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").keeps
+    assert not answer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: Close\r\n\r\n").keep_alive
+    assert not answer(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").keep_alive
     for cut in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b"HTTP/1.1 200 OK\r\n\r\nno end told"):
         assert ends(http.read_answer(Feed(cut), 100)) is End.CUT_SHORT
 
@@ -180,6 +180,6 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: 5\r\nA: 1\r\nB: 2\r\nC: 3\r\n"
         b"Connection: keep-alive, c\r\n\r\n"
     )
-    assert got.keeps and [bytes(line) for line in http.forwarded_headers(got, frozenset((b"b",)))] == [
+    assert got.keep_alive and [bytes(line) for line in http.forwarded_headers(got, frozenset((b"b",)))] == [
         b"A: 1\r\n"
     ]
