--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -66,7 +66,7 @@
     body: Slice | bytes
     options: frozenset[bytes]  # what its Connection header names
     keep_alive: bool  # the connection may carry another message
-    old: bool = False  # HTTP/1.0: knows no chunks
+    is_http10: bool = False  # HTTP/1.0: knows no chunks
 
     def header(self, name: bytes) -> bytes | None:
         return self.headers.get(name)
@@ -82,7 +82,7 @@
     length: int | None  # None: not given
     chunked: bool
     size: int  # of the head itself
-    old: bool = False
+    is_http10: bool = False
 
 
 def parse_head(buffer: bytearray | bytes, start: int, end: int, answer: bool) -> Head | None:
@@ -133,7 +133,7 @@
         length=int(lengths[0]) if lengths else None,
         chunked=bool(codings),
         size=stop + 4 - start,
-        old=minor == b"0",
+        is_http10=minor == b"0",
     )
 
 
@@ -195,7 +195,7 @@
 
 
 def message(head: Head, body: Slice | bytes) -> Message:
-    return Message(*head.first, head.headers, head.lines, body, head.options, head.keep_alive, head.old)
+    return Message(*head.first, head.headers, head.lines, body, head.options, head.keep_alive, head.is_http10)
 
 
 def forwarded_headers(message: Message, but: frozenset[bytes]) -> list[Slice]:
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -89,7 +89,7 @@
             head = await http.read_head(channel, answer=False)
             if b"expect" in head.headers and channel.start == channel.end:  # its body may wait for a word
                 channel.write(http.CONTINUE)
-            self._old = head.old
+            self._old = head.is_http10
             self._body_since = self._serving.clock.now()
             request = http.message(head, b"")
             upload = await self._read_body(head, request)
