--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -137,7 +137,7 @@
         self.lines.pop(one.call, None)
         if not self._over(one):
             return
-        status = head.first[2]
+        status = head.start_line[2]
         wait = float(head.headers.get(b"retry-after", b"0")) * 1000
         carried = body[len(BODY) :].decode("latin-1") if status == 200 and body.startswith(BODY) else ""
         self.ground.ledger.note(books.GOT, self.ground.now(), one.name, status, round(wait, 1), carried)
@@ -199,7 +199,7 @@
             self._transport.abort()
             return
         for head, body in messages:
-            if head.first[2] < 200:
+            if head.start_line[2] < 200:
                 continue
             one, self.one = self.one, None
             if one is None:
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -193,7 +193,7 @@
             self._request(head, body)
 
     def _request(self, head: Head, body: bytes) -> None:
-        host, (_, target, _) = self._host, head.first
+        host, (_, target, _) = self._host, head.start_line
         name = head.headers.get(protocol.ID, b"").decode()
         if target in (protocol.LIVE_PATH, protocol.STATS_PATH):
             load = host.backend.report(host.ground.now()).encode() if target == protocol.STATS_PATH else b""
@@ -365,7 +365,7 @@
             self._transport.abort()
             return
         for head, _ in messages:
-            target = head.first[1]
+            target = head.start_line[1]
             waits, heard = self._host.turn()
             if waits:
                 self._host.ground.loop.call_later(waits / 1000, self._answer, target, heard)
--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class Head:
-    first: tuple[bytes, bytes, int]  # method, target, status
+    start_line: tuple[bytes, bytes, int]  # method, target, status
     headers: dict[bytes, bytes]
     lines: list[tuple[bytes, Slice]]
     options: frozenset[bytes]
@@ -93,13 +93,13 @@
             raise Ended(End.TOO_LARGE)
         return None
     area = memoryview(buffer)
-    first = (ANSWER if answer else REQUEST).match(buffer, start, stop + 2)
-    if not first:
+    start_line = (ANSWER if answer else REQUEST).match(buffer, start, stop + 2)
+    if not start_line:
         raise Ended(End.MALFORMED)
     headers: dict[bytes, bytes] = {}
     lines: list[tuple[bytes, Slice]] = []
     lengths, codings, said = [], [], b""
-    at = first.end()
+    at = start_line.end()
     for line in HEADER.finditer(buffer, at, stop + 2):
         begin, end = line.span()
         if begin != at:
@@ -118,14 +118,14 @@
     if at != stop + 2:
         raise Ended(End.MALFORMED)
     # Guards against a message whose end two readers would find at different places.
-    minor = first[1] if answer else first[3]
+    minor = start_line[1] if answer else start_line[3]
     if len(lengths) > 1 or (codings and (lengths or codings != [b"chunked"] or minor == b"0")):
         raise Ended(End.MALFORMED)
     if lengths and not LENGTH.fullmatch(lengths[0]):
         raise Ended(End.MALFORMED)
     options = frozenset(o.strip() for o in said.split(b",")) if said else NO_OPTIONS
     return Head(
-        first=(b"", b"", int(first[2])) if answer else (first[1], first[2], 0),
+        start_line=(b"", b"", int(start_line[2])) if answer else (start_line[1], start_line[2], 0),
         headers=headers,
         lines=lines,
         options=options,
@@ -195,7 +195,9 @@
 
 
 def message(head: Head, body: Slice | bytes) -> Message:
-    return Message(*head.first, head.headers, head.lines, body, head.options, head.keep_alive, head.is_http10)
+    return Message(
+        *head.start_line, head.headers, head.lines, body, head.options, head.keep_alive, head.is_http10
+    )
 
 
 def forwarded_headers(message: Message, but: frozenset[bytes]) -> list[Slice]:
--- a/lupinreach/mesh/backend_client.py
+++ b/lupinreach/mesh/backend_client.py
@@ -77,7 +77,7 @@
 
     def _is_expected(self, whole: WholeMessage) -> bool:
         """Skip interim answers and those to other requests; the id tells which is which."""
-        if whole.head.first[2] < 200:
+        if whole.head.start_line[2] < 200:
             return False
         if self._any_id or whole.head.headers.get(REQUEST_ID) == self._request_id:
             return True
--- a/lupinreach/mesh/demo.py
+++ b/lupinreach/mesh/demo.py
@@ -91,7 +91,7 @@
         async with asyncio.timeout(2.0):
             await asyncio.get_running_loop().create_connection(lambda: connection, host, port)
             head = request(method.encode(), path.encode(), [lines], b"demo.example", len(body))
-            return (await connection.probe(head + body)).head.first[2]
+            return (await connection.probe(head + body)).head.start_line[2]
     except (AttemptError, OSError, TimeoutError):
         return 0
     finally:
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -215,8 +215,8 @@
                 self.backend.on_refused()
                 self.refresh()
             return self._failed(asked, failed.failure, failed.ran)
-        if NOT_EXECUTED in whole.head.headers or whole.head.first[2] == MISDIRECTED:
-            if whole.head.first[2] == MISDIRECTED:
+        if NOT_EXECUTED in whole.head.headers or whole.head.start_line[2] == MISDIRECTED:
+            if whole.head.start_line[2] == MISDIRECTED:
                 self.backend.on_misdirected(instance_id)
                 self.refresh()
             return self._not_taken(asked, NotTakenReason.BACKEND_DECLINED, self.admission.retry_ms())
@@ -259,7 +259,7 @@
         headers = b"".join([bytes(line) for name, line in whole.head.lines if name not in stays])
         return Answer(
             number=asked.number,
-            status=whole.head.first[2],
+            status=whole.head.start_line[2],
             headers=headers,
             body=whole.body,
             running=self.admission.running - 1,
@@ -290,7 +290,7 @@
         self._pool.give_back(connection)
         headers = whole.head.headers
         instance_id = headers.get(b"lupinreach-instance-id", b"").decode("latin-1")
-        if whole.head.first[2] == 200 and instance_id:
+        if whole.head.start_line[2] == 200 and instance_id:
             load = headers.get(b"lupinreach-server-load", b"").split(b",")
             capacity = int(load[2]) if len(load) == 3 and load[2].strip().isdigit() else 4
             cold = headers.get(b"lupinreach-cold-remaining", b"0").strip()
--- a/lupinreach/mesh/reader.py
+++ b/lupinreach/mesh/reader.py
@@ -80,7 +80,7 @@
             return None
         if not self._answers:
             return head.length or 0
-        if self.bodiless or head.first[2] < 200 or head.first[2] in NO_BODY_STATUSES:
+        if self.bodiless or head.start_line[2] < 200 or head.start_line[2] in NO_BODY_STATUSES:
             return 0
         return head.length  # without one the answer ends with its connection
 
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -31,11 +31,11 @@
 
     @property
     def method(self) -> bytes:
-        return self.head.first[0]
+        return self.head.start_line[0]
 
     @property
     def target(self) -> bytes:
-        return self.head.first[1]
+        return self.head.start_line[1]
 
     def header(self, name: bytes) -> bytes | None:
         """The value of a header, by its name in lower case."""
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -183,7 +183,7 @@
         try:
             async with asyncio.timeout(silence):
                 head = await http.read_head(channel, answer=True)
-            if head.first[2] != 200 or not head.chunked:
+            if head.start_line[2] != 200 or not head.chunked:
                 raise Ended(End.FAULT)
             chunks, line = http.ChunkedDecoder(bound=False), bytearray()
             while True:
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -135,13 +135,13 @@
     """The head of one answer; interim ones are skipped, as far as there are few."""
     for _ in range(MOST_INTERIM + 1):
         head = await read_head(channel, answer=True)
-        if head.first[2] >= 200:
+        if head.start_line[2] >= 200:
             return head
     raise Ended(End.TOO_LARGE)
 
 
 def answer_body(channel: Channel, head: Head, most: int) -> Body:
-    if head.first[2] in (204, 304):
+    if head.start_line[2] in (204, 304):
         head.length, head.chunked = 0, False
     until_close = head.length is None and not head.chunked
     if until_close and head.keep_alive:
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -149,7 +149,7 @@
             if ended.end is End.TOO_LARGE:
                 return Said(413, "the call is too large")
             return Said(400, "the call can't be read") if ended.end is End.MALFORMED else None
-        method, target, _ = head.first
+        method, target, _ = head.start_line
         path = target.partition(b"?")[0]
         if path not in self._calls:
             return Said(404, f"no such path; there are {b', '.join(self._calls).decode()}")
--- a/tests/mesh/soak.py
+++ b/tests/mesh/soak.py
@@ -143,7 +143,7 @@
         head = request(method, f"{made.path}x".encode(), (lines,), b"h.example", len(body))
         try:
             async with asyncio.timeout(DEADLINE_MS / 1000 + SLACK_S):
-                made.status = (await connection.probe(head + body)).head.first[2]
+                made.status = (await connection.probe(head + body)).head.start_line[2]
         except AttemptError:
             connection.close()
         except TimeoutError:
--- a/tests/mesh/world.py
+++ b/tests/mesh/world.py
@@ -404,7 +404,7 @@
             return 0, b""
         finally:
             connection.close()
-        return whole.head.first[2], whole.body
+        return whole.head.start_line[2], whole.body
 
     async def ask(
         self,
