--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -237,7 +237,7 @@
     )
 
 
-def answer(
+def response(
     status: int, headers: Iterable[bytes | Slice] = (), body: Slice | bytes = b"", keep_alive: bool = True
 ) -> bytes:
     """An answer as one piece, copied once as a request is."""
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -12,11 +12,11 @@
     Head,
     Message,
     Slice,
-    answer,
     forwarded_headers,
     message,
     parse_head,
     request,
+    response,
     response_head,
 )
 from lupinreach.net.channel import Channel
@@ -31,7 +31,7 @@
     "Head",
     "Message",
     "Slice",
-    "answer",
+    "response",
     "answer_body",
     "response_head",
     "message",
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -163,7 +163,7 @@
         self, status: int, lines: Sequence[http.Slice | bytes] = (), body: http.Slice | bytes = b""
     ) -> None:
         """Write an answer as one piece."""
-        self._writing = self.channel.write(http.answer(status, lines, body, self._stays()))
+        self._writing = self.channel.write(http.response(status, lines, body, self._stays()))
 
     def begin(self, status: int, lines: Sequence[http.Slice | bytes], length: int | None) -> Reply:
         """An answer that will be written as it comes."""
@@ -248,7 +248,7 @@
 
     def turn_away(self, status: int, why: str) -> None:
         self.channel.write(
-            http.answer(status, [b"Content-Type: text/plain\r\n"], why.encode(), keep_alive=False)
+            http.response(status, [b"Content-Type: text/plain\r\n"], why.encode(), keep_alive=False)
         )
 
 
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -47,7 +47,7 @@
         lines = [b"Content-Type: " + kind + b"\r\n"]
         if self.allow:
             lines.append(b"Allow: " + self.allow + b"\r\n")
-        return http.answer(self.status, lines, body, keep_alive=False)
+        return http.response(self.status, lines, body, keep_alive=False)
 
 
 class Door:
