--- a/lupinreach/mesh/backend_client.py
+++ b/lupinreach/mesh/backend_client.py
@@ -137,7 +137,7 @@
         self.opened = 0
         self._idle: list[BackendConnection] = []
 
-    async def take(self, repeatable: bool, timeout_s: float = CONNECT_TIMEOUT_S) -> BackendConnection:
+    async def acquire(self, repeatable: bool, timeout_s: float = CONNECT_TIMEOUT_S) -> BackendConnection:
         """A connection for one exchange; AttemptError where none comes up."""
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -159,7 +159,7 @@
         self.opened += 1
         return connection
 
-    def give_back(self, connection: BackendConnection) -> None:
+    def release(self, connection: BackendConnection) -> None:
         """Keep a connection for later, or close it where it can't be used again."""
         if connection.open and connection.reusable:
             connection.idle_since = asyncio.get_running_loop().time()
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -231,7 +231,7 @@
         return self._running.get(parent) if dot else None
 
     async def _exchange(self, asked: Request, until: float, instance_id: str) -> WholeMessage:
-        connection = await self._pool.take(asked.repeatable)
+        connection = await self._pool.acquire(asked.repeatable)
         request_id = _header_value(asked.headers, b"lupinreach-request-id")
         self._running[request_id] = asked.again
         try:
@@ -251,7 +251,7 @@
             raise
         finally:
             self._running.pop(request_id, None)
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return whole
 
     def _answer(self, asked: Request, whole: WholeMessage) -> Answer:
@@ -277,7 +277,7 @@
     async def probe(self, path: str) -> None:
         """Ask the backend's health once, as after a start of this process in the middle of traffic."""
         try:
-            connection = await self._pool.take(True)
+            connection = await self._pool.acquire(True)
         except AttemptError:
             return
         head = request(b"GET", path.encode(), (), self._pool.address[0].encode())
@@ -287,7 +287,7 @@
         except (AttemptError, TimeoutError):
             connection.close()
             return
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         headers = whole.head.headers
         instance_id = headers.get(b"lupinreach-instance-id", b"").decode("latin-1")
         if whole.head.start_line[2] == 200 and instance_id:
