--- a/lupinreach/http1/__init__.py
+++ b/lupinreach/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 without I/O, shared by the agent in service and the mesh."""
+"""HTTP/1.1 parsing and serialisation without I/O, shared by the load-balancing agent and the mesh."""
