--- a/lupinreach/mesh/backend_client.py
+++ b/lupinreach/mesh/backend_client.py
@@ -1,4 +1,4 @@
-"""Connections to the application backend beside this process, one exchange at a time on each."""
+"""Pooled HTTP connections to the local application backend, one request at a time on each."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from lupinreach.net.ends import Ended
 
 REQUEST_ID = b"lupinreach-request-id"
-MOST_ANSWER = 64 << 20
-MOST_SURPLUS = 4  # answers to earlier requests that are skipped ahead of the expected one
+MAX_RESPONSE_BYTES = 64 << 20
+MAX_STALE_RESPONSES = 4  # responses to earlier requests that are skipped before the expected one
 CONNECT_TIMEOUT_S = 1.0
-KEEP_ALIVE = re.compile(rb"timeout=(\d+)")
-IDLE_SHARE = 0.5  # of the time after which the backend closes an idle connection
-DEFAULT_IDLE_S = 4.0
-FRESH_IDLE_S = 1.0  # requests that can't be repeated use connections idle for no longer
+KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
+IDLE_LIMIT_FRACTION = 0.5  # of the keep-alive timeout that the backend announces
+DEFAULT_IDLE_LIMIT_S = 4.0
+NON_REPEATABLE_IDLE_LIMIT_S = 1.0  # for requests that can't be retried: use only recently used connections
 
 
 class AttemptError(Exception):
-    """An exchange that gave no answer; `ran` says if the backend may have run the request."""
+    """A request that got no response; `ran` tells whether the backend may have executed it."""
 
     def __init__(self, failure: AttemptFailure, ran: bool) -> None:
         super().__init__(failure.name)
@@ -34,16 +34,16 @@
     """One connection to the backend."""
 
     def __init__(self) -> None:
-        self._reader = MessageReader(answers=True, most_body=MOST_ANSWER)
+        self._reader = MessageReader(responses=True, body_limit=MAX_RESPONSE_BYTES)
         self._transport: Any = None
         self._future: asyncio.Future[WholeMessage] | None = None
         self._request_id = b""
-        self._surplus = 0
-        self._any_id = False
+        self._stale_responses = 0
+        self._accepts_any_id = False
         self.open = False
         self.reusable = False
         self.idle_since = 0.0
-        self.idle_limit_s = DEFAULT_IDLE_S
+        self.idle_limit_s = DEFAULT_IDLE_LIMIT_S
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
@@ -61,7 +61,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self._future is None or self._future.done():
-            # Bytes that belong to no request: nothing may be sent on this connection any more.
+            # Bytes outside any request: a later response could not be matched, so the connection is closed.
             self.close()
             return
         self._reader.feed(data)
@@ -76,24 +76,27 @@
             self._finish(whole)
 
     def _is_expected(self, whole: WholeMessage) -> bool:
-        """Skip interim answers and those to other requests; the id tells which is which."""
+        """False for interim responses and those to earlier requests, which the request id identifies."""
         if whole.head.start_line[2] < 200:
             return False
-        if self._any_id or whole.head.headers.get(REQUEST_ID) == self._request_id:
+        if self._accepts_any_id or whole.head.headers.get(REQUEST_ID) == self._request_id:
             return True
-        self._surplus += 1
+        self._stale_responses += 1
         self.reusable = False
-        if self._surplus > MOST_SURPLUS or REQUEST_ID not in whole.head.headers:
+        if self._stale_responses > MAX_STALE_RESPONSES or REQUEST_ID not in whole.head.headers:
             self._fail(AttemptFailure.GARBLED)
         return False
 
     def _finish(self, whole: WholeMessage) -> None:
         assert self._future is not None
-        sent = self._transport.get_write_buffer_size() == 0  # the answer may come before a long body is read
-        self.reusable = sent and whole.head.keep_alive and not self._reader.begun and not self._surplus
-        stated = KEEP_ALIVE.search(whole.head.headers.get(b"keep-alive", b""))
-        if stated:
-            self.idle_limit_s = int(stated[1]) * IDLE_SHARE
+        # A response may arrive before the end of a long request body was sent.
+        request_sent = self._transport.get_write_buffer_size() == 0
+        self.reusable = (
+            request_sent and whole.head.keep_alive and not self._reader.begun and not self._stale_responses
+        )
+        announced = KEEP_ALIVE_TIMEOUT.search(whole.head.headers.get(b"keep-alive", b""))
+        if announced:
+            self.idle_limit_s = int(announced[1]) * IDLE_LIMIT_FRACTION
         if not self._future.done():
             self._future.set_result(whole)
 
@@ -102,11 +105,11 @@
             self._future.set_exception(AttemptError(failure, ran=True))
         self.close()
 
-    async def exchange(self, data: bytes, request_id: bytes, bodiless: bool) -> WholeMessage:
-        """Send one request and wait for its answer; AttemptError where none comes."""
+    async def exchange(self, data: bytes, request_id: bytes, without_body: bool) -> WholeMessage:
+        """Send one request and wait for its response; raises AttemptError if none arrives."""
         self._request_id = request_id
-        self._surplus = 0
-        self._reader.bodiless = bodiless
+        self._stale_responses = 0
+        self._reader.without_body = without_body
         self._future = asyncio.get_running_loop().create_future()
         self._transport.write(data)
         try:
@@ -115,34 +118,34 @@
             self._future = None
 
     async def probe(self, data: bytes) -> WholeMessage:
-        """As `exchange`, for a health request, whose answer carries no request id."""
-        self._any_id = True
+        """Like `exchange`, for a health check, whose response carries no request id."""
+        self._accepts_any_id = True
         try:
             return await self.exchange(data, b"", False)
         finally:
-            self._any_id = False
+            self._accepts_any_id = False
 
     def close(self) -> None:
-        """End the connection; a backend drops the request that was on it."""
+        """Abort the connection; the backend then drops the request in flight on it."""
         self.open = self.reusable = False
         if self._transport is not None:
             self._transport.abort()
 
 
 class BackendPool:
-    """Idle connections to one address."""
+    """A pool of idle keep-alive connections to one address."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.opened = 0
+        self.opened_count = 0
         self._idle: list[BackendConnection] = []
 
     async def acquire(self, repeatable: bool, timeout_s: float = CONNECT_TIMEOUT_S) -> BackendConnection:
-        """A connection for one exchange; AttemptError where none comes up."""
+        """A connection for one exchange, idle or new; raises AttemptError if none can be opened."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        self._drop_old(now)
-        while self._idle and (repeatable or now - self._idle[-1].idle_since < FRESH_IDLE_S):
+        self._close_expired(now)
+        while self._idle and (repeatable or now - self._idle[-1].idle_since < NON_REPEATABLE_IDLE_LIMIT_S):
             connection = self._idle.pop()
             if connection.open:
                 return connection
@@ -156,18 +159,18 @@
         except (OSError, TimeoutError):
             connection.close()
             raise AttemptError(AttemptFailure.UNREACHABLE, ran=False) from None
-        self.opened += 1
+        self.opened_count += 1
         return connection
 
     def release(self, connection: BackendConnection) -> None:
-        """Keep a connection for later, or close it where it can't be used again."""
+        """Return a connection to the pool, or close it if it can't be reused."""
         if connection.open and connection.reusable:
             connection.idle_since = asyncio.get_running_loop().time()
             self._idle.append(connection)
         else:
             connection.close()
 
-    def _drop_old(self, now: float) -> None:
+    def _close_expired(self, now: float) -> None:
         kept = []
         for connection in self._idle:
             if not connection.open:
@@ -179,7 +182,7 @@
         self._idle = kept
 
     def close_idle(self) -> None:
-        """Close all that stands idle, as when the backend has been replaced."""
+        """Close all idle connections, for example after the backend was replaced."""
         for connection in self._idle:
             connection.close()
         self._idle.clear()
--- a/lupinreach/mesh/link.py
+++ b/lupinreach/mesh/link.py
@@ -1,4 +1,4 @@
-"""Held TCP connections between processes of the mesh, carrying msgpack messages both ways."""
+"""Long-lived TCP connections between mesh processes, carrying msgpack messages in both directions."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from lupinreach.mesh.messages import Message, Ping, Pong, UnknownMessage, decode, encode
 from lupinreach.mesh.tasks import spawn
 
-MOST_MESSAGE = 96 << 20  # bytes of one message
-MOST_UNSENT = 80 << 20  # bytes that a peer has not taken: beyond that it is given up
-USER_TIMEOUT_MS = 3000  # unacknowledged bytes end the connection after so long
+MAX_MESSAGE_BYTES = 96 << 20
+MAX_SEND_BUFFER_BYTES = 80 << 20  # a link whose peer leaves more than this unread is aborted
+USER_TIMEOUT_MS = 3000  # TCP_USER_TIMEOUT: unacknowledged data ends the connection
 CONNECT_TIMEOUT_S = 1.0
-FIRST_PAUSE_S = 0.1  # between two attempts to connect, doubled each time
-MOST_PAUSE_S = 1.0
-LIVED_S = 1.0  # a link that ends sooner counts as a failed attempt to connect
+INITIAL_RECONNECT_DELAY_S = 0.1  # doubled after each failed attempt
+MAX_RECONNECT_DELAY_S = 1.0
+MIN_LINK_LIFETIME_S = 1.0  # a link that closes sooner counts as a failed attempt
 
 Address = tuple[str, int]
-Handler = Callable[["Link", Any], None]
-Closed = Callable[["Link"], None]
+MessageCallback = Callable[["Link", Any], None]
+ClosedCallback = Callable[["Link"], None]
 
 
 def parse_address(text: str) -> Address:
-    """`host:port` as a pair; ValueError where it is none."""
+    """Parse `host:port`; raises ValueError for anything else."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit():
         raise ValueError(f"{text!r} is not host:port")
@@ -35,17 +35,17 @@
 
 
 class Link(asyncio.Protocol):
-    """One connection. `on_message` gets each message; `on_closed` is called once when it ends."""
+    """One connection. `on_message` receives each message; `on_closed` is called once, when it closes."""
 
-    def __init__(self, on_message: Handler, on_closed: Closed) -> None:
+    def __init__(self, on_message: MessageCallback, on_closed: ClosedCallback) -> None:
         self._on_message = on_message
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
-        self._unpacker = msgpack.Unpacker(max_buffer_size=MOST_MESSAGE, raw=False)
+        self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES, raw=False)
         self._loop = asyncio.get_running_loop()
         self.last_heard = self._loop.time()
         self.open = False
-        self.owner: Any = None  # whatever the holder of this link associates with it
+        self.owner: Any = None  # set by the user of the link, for example to the peer's identity
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -79,44 +79,44 @@
             return
         try:
             self._on_message(self, message)
-        except Exception as fault:
-            # A fault of this process in one message must not end what else the link carries.
-            what = f"{type(message).__name__} could not be handled"
-            self._loop.call_exception_handler({"message": what, "exception": fault})
+        except Exception as error:
+            # An error in the handling of one message must not close the link for the others.
+            context_message = f"{type(message).__name__} could not be handled"
+            self._loop.call_exception_handler({"message": context_message, "exception": error})
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.open = False
         self._on_closed(self)
 
     def send(self, message: Message) -> None:
-        """Queue a message; silently dropped on a closed link, whose holder hears of the close."""
+        """Queue a message. On a closed link it is dropped: `on_closed` reports the close."""
         self.send_encoded(encode(message))
 
     def send_encoded(self, data: bytes) -> None:
-        """Queue a message that is encoded already, for one sent to many."""
+        """Queue an encoded message, so that one sent to many links is encoded once."""
         if not self.open or self._transport is None:
             return
         self._transport.write(data)
-        if self._transport.get_write_buffer_size() > MOST_UNSENT:
+        if self._transport.get_write_buffer_size() > MAX_SEND_BUFFER_BYTES:
             self.abort()
 
     @property
     def unsent(self) -> int:
-        """Bytes that the other side has not taken yet, as far as this process holds them."""
+        """Bytes in the send buffer of this process, not yet handed to the kernel."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     def silent_s(self) -> float:
-        """Seconds since anything was received."""
+        """Seconds since data was last received."""
         return self._loop.time() - self.last_heard
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once and discard unsent data."""
         if self._transport is not None:
             self._transport.abort()
 
 
 def tune(sock: socket.socket | None) -> None:
-    """Send small messages at once and give up on a peer that acknowledges nothing."""
+    """Disable Nagle's algorithm, and time out a peer that acknowledges nothing."""
     if sock is None:
         return
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -124,44 +124,48 @@
 
 
 class Dialer:
-    """Keeps one link to an address, connecting again with a growing pause until it is closed."""
+    """Maintains one link to an address, reconnecting with exponential backoff until closed."""
 
     def __init__(
-        self, address: Address, on_up: Callable[[Link], None], on_message: Handler, on_down: Closed
+        self,
+        address: Address,
+        on_up: Callable[[Link], None],
+        on_message: MessageCallback,
+        on_down: ClosedCallback,
     ) -> None:
         self.address = address
         self.link: Link | None = None
-        self.failures = 0  # attempts to connect since the last that came up
+        self.failures = 0  # failed attempts since the last established link
         self._on_up = on_up
         self._on_message = on_message
         self._on_down = on_down
         self._closing = False
-        self._pause = FIRST_PAUSE_S
-        self._up_at = 0.0
+        self._reconnect_delay_s = INITIAL_RECONNECT_DELAY_S
+        self._connected_at = 0.0
         self._task = spawn(self._connect())
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
         while not self._closing:
-            link = Link(self._on_message, self._lost)
+            link = Link(self._on_message, self._on_link_closed)
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await loop.create_connection(lambda link=link: link, *self.address)
             except (OSError, TimeoutError):
                 self.failures += 1
-                await self._rest()
+                await self._wait_before_reconnect()
                 continue
             self.failures = 0
             self.link = link
-            self._up_at = loop.time()
+            self._connected_at = loop.time()
             self._on_up(link)
             return
 
-    async def _rest(self) -> None:
-        await asyncio.sleep(self._pause * random.uniform(0.5, 1.0))
-        self._pause = min(MOST_PAUSE_S, 2 * self._pause)
+    async def _wait_before_reconnect(self) -> None:
+        await asyncio.sleep(self._reconnect_delay_s * random.uniform(0.5, 1.0))
+        self._reconnect_delay_s = min(MAX_RECONNECT_DELAY_S, 2 * self._reconnect_delay_s)
 
-    def _lost(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         if link is not self.link:
             return
         self.link = None
@@ -170,14 +174,14 @@
             self._task = spawn(self._reconnect())
 
     async def _reconnect(self) -> None:
-        if asyncio.get_running_loop().time() - self._up_at < LIVED_S:
-            await self._rest()
+        if asyncio.get_running_loop().time() - self._connected_at < MIN_LINK_LIFETIME_S:
+            await self._wait_before_reconnect()
         else:
-            self._pause = FIRST_PAUSE_S
+            self._reconnect_delay_s = INITIAL_RECONNECT_DELAY_S
         await self._connect()
 
     def close(self) -> None:
-        """Give the address up."""
+        """Stop reconnecting and close the link."""
         self._closing = True
         self._task.cancel()
         if self.link is not None:
@@ -185,5 +189,5 @@
 
 
 async def listen(address: Address, on_link: Callable[[], Link]) -> asyncio.Server:
-    """Accept links at an address."""
+    """Listen for incoming links on an address."""
     return await asyncio.get_running_loop().create_server(on_link, *address, backlog=1024, reuse_address=True)
--- a/lupinreach/mesh/metrics.py
+++ b/lupinreach/mesh/metrics.py
@@ -1,4 +1,4 @@
-"""A process's own figures as text (the Prometheus exposition format), served over HTTP at a port of their own."""
+"""Process metrics in the Prometheus text exposition format, served over HTTP on a separate port."""
 
 from __future__ import annotations
 
@@ -11,71 +11,73 @@
 from lupinreach.mesh.link import Address
 from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer
 
-OPTION = "--metrics"
-PREFIX = "lupinreach"
-TEXT_TYPE = b"Content-Type: text/plain; version=0.0.4\r\n"
-MOST_PORT = 65535
+METRICS_OPTION = "--metrics"
+NAME_PREFIX = "lupinreach"
+CONTENT_TYPE_HEADER = b"Content-Type: text/plain; version=0.0.4\r\n"
+MAX_PORT = 65535
 
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """One figure; its unit stands at the end of the name."""
+    """One metric sample; the name ends with the unit."""
 
     name: str
     value: float
     help: str
-    labels: str = ""  # `key="value"`, separated by commas; figures of one name stand together
+    labels: str = ""  # `key="value"` pairs separated by commas; samples of one name must be consecutive
 
 
 @dataclass(frozen=True, slots=True)
-class MetricsPlace:
-    """Where figures are served: `PORT/PATH` on the command line."""
+class MetricsEndpoint:
+    """Port and path at which metrics are served: `PORT/PATH` on the command line."""
 
     port: int
     path: str
 
     @classmethod
-    def parse(cls, text: str) -> Result[MetricsPlace, str]:
-        """From `PORT/PATH`, or a complaint."""
-        port, slash, path = text.partition("/")
-        if not slash or not path or not port.isdigit() or not 0 < int(port) <= MOST_PORT:
-            return Err(f"{OPTION}: {text!r} is not PORT/PATH")
+    def parse(cls, text: str) -> Result[MetricsEndpoint, str]:
+        """Parse `PORT/PATH`, or return an error message."""
+        port, separator, path = text.partition("/")
+        if not separator or not path or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+            return Err(f"{METRICS_OPTION}: {text!r} is not PORT/PATH")
         return Ok(cls(int(port), path))
 
 
-def read_arguments(arguments: list[str]) -> Result[MetricsPlace | None, str]:
-    """The place that a program's arguments name, if any (`--metrics PORT/PATH` is the only option there is)."""
+def read_arguments(arguments: list[str]) -> Result[MetricsEndpoint | None, str]:
+    """The metrics endpoint given on the command line, if any; `--metrics PORT/PATH` is the only option."""
     if not arguments:
         return Ok(None)
-    if len(arguments) != 2 or arguments[0] != OPTION:
-        return Err(f"arguments: {OPTION} PORT/PATH, or none")
-    return MetricsPlace.parse(arguments[1])
+    if len(arguments) != 2 or arguments[0] != METRICS_OPTION:
+        return Err(f"arguments: {METRICS_OPTION} PORT/PATH, or none")
+    return MetricsEndpoint.parse(arguments[1])
 
 
 def render(metrics: Iterable[Metric]) -> bytes:
-    """The figures as text, each with its meaning."""
+    """Render the samples with HELP and TYPE lines; names ending in `_total` are counters, others gauges."""
     lines: list[str] = []
-    told = ""
+    previous_name = ""
     for metric in metrics:
-        name = f"{PREFIX}_{metric.name}"
+        name = f"{NAME_PREFIX}_{metric.name}"
         kind = "counter" if name.endswith("_total") else "gauge"
-        if name != told:
+        if name != previous_name:
             lines += [f"# HELP {name} {metric.help}", f"# TYPE {name} {kind}"]
         labels = f"{{{metric.labels}}}" if metric.labels else ""
         lines.append(f"{name}{labels} {metric.value:g}")
-        told = name
+        previous_name = name
     return "\n".join([*lines, ""]).encode()
 
 
-async def serve_metrics(host: str, place: MetricsPlace, collect: Callable[[], list[Metric]]) -> HttpServer:
-    """Serve what `collect` gives at each request; OSError where the port can't be had."""
+async def serve_metrics(
+    host: str, endpoint: MetricsEndpoint, collect: Callable[[], list[Metric]]
+) -> HttpServer:
+    """Serve what `collect` returns on each request; raises OSError if the port can't be bound."""
 
-    async def answer(request: HttpRequest) -> HttpResponse:
-        return HttpResponse(200, TEXT_TYPE, render(collect()))
+    async def respond(request: HttpRequest) -> HttpResponse:
+        return HttpResponse(200, CONTENT_TYPE_HEADER, render(collect()))
 
-    calls = Dispatcher()
-    calls.add("GET", *place.path.strip("/").split("/"), call=answer)
-    server = HttpServer(calls.handle)
-    address: Address = (host, place.port)
+    dispatcher = Dispatcher()
+    dispatcher.add("GET", *endpoint.path.strip("/").split("/"), call=respond)
+    server = HttpServer(dispatcher.handle)
+    address: Address = (host, endpoint.port)
     await server.listen(address)
     return server
--- a/lupinreach/mesh/process.py
+++ b/lupinreach/mesh/process.py
@@ -1,4 +1,4 @@
-"""What the three programs have in common: settings, signals, the event loop and its end."""
+"""Entry point shared by the three programs: settings, signals, the event loop and shutdown."""
 
 from __future__ import annotations
 
@@ -13,60 +13,62 @@
 from result import Err
 
 from lupinreach.mesh.events import Event, EventLog
-from lupinreach.mesh.metrics import Metric, MetricsPlace, read_arguments, serve_metrics
+from lupinreach.mesh.metrics import Metric, MetricsEndpoint, read_arguments, serve_metrics
 from lupinreach.mesh.server import HttpServer
 from lupinreach.mesh.settings import SETTINGS_VARIABLE, Settings, read_settings, settings_path
 
 EXIT_BAD_SETTINGS = 2
-EXIT_NO_ADDRESS = 1
-SETTINGS_CHECK_S = 1.0
-COLLECT_AFTER = 5000  # allocated objects more than before
+EXIT_START_FAILED = 1
+SETTINGS_CHECK_INTERVAL_S = 1.0
+GC_THRESHOLD_ALLOCATIONS = 5000  # net allocations that trigger a collection of the youngest generation
 
 
 class Program(Protocol):
-    """One of the mesh's programs."""
+    """A program of the mesh: proxy, registry or store."""
 
     async def start(self) -> None: ...
 
     async def stop(self) -> None:
-        """Finish what is under way; returns within the grace period."""
+        """Finish work in progress; returns within the grace period."""
 
     def settings_changed(self, settings: Settings) -> None: ...
 
     def metrics(self) -> list[Metric]:
-        """The process's own figures."""
+        """The current metric samples of the process."""
 
 
 class ProgramFactory(Protocol):
+    """Builds a program from its settings."""
+
     def __call__(self, settings: Settings, log: EventLog) -> Program: ...
 
 
 class SettingsWatch:
-    """Reads the settings file again on SIGHUP and when it has changed."""
+    """Reloads the settings file on SIGHUP and when its modification time or size changes."""
 
     def __init__(self, path: str, program: Program, log: EventLog) -> None:
         self._path = path
         self._program = program
         self._log = log
-        self._seen = self._stamp()
+        self._last_file_state = self._file_state()
 
-    def _stamp(self) -> tuple[int, int]:
+    def _file_state(self) -> tuple[int, int]:
         try:
-            found = os.stat(self._path)
+            file_stat = os.stat(self._path)
         except OSError:
             return (0, 0)
-        return (found.st_mtime_ns, found.st_size)
+        return (file_stat.st_mtime_ns, file_stat.st_size)
 
     async def run(self) -> None:
-        """Look for changes without end."""
+        """Check for changes until cancelled."""
         while True:
-            await asyncio.sleep(SETTINGS_CHECK_S)
-            if self._stamp() != self._seen:
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
+            if self._file_state() != self._last_file_state:
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file; a faulty one leaves the settings of before in force."""
-        self._seen = self._stamp()
+        """Reload the file; if it is invalid, the previous settings stay in force."""
+        self._last_file_state = self._file_state()
         read = read_settings(self._path)
         if isinstance(read, Err):
             self._log.write(Event.SETTINGS_REFUSED, why=read.err_value)
@@ -76,64 +78,64 @@
 
 
 async def _serve_metrics(
-    program: Program, settings: Settings, place: MetricsPlace | None, log: EventLog
+    program: Program, settings: Settings, endpoint: MetricsEndpoint | None, log: EventLog
 ) -> HttpServer | None:
-    """Figures are no reason not to serve: a port that can't be had is logged."""
-    if place is None:
+    """Start the metrics server; a port that can't be bound is logged and does not stop the program."""
+    if endpoint is None:
         return None
     try:
-        return await serve_metrics(settings.ip_address, place, program.metrics)
+        return await serve_metrics(settings.ip_address, endpoint, program.metrics)
     except OSError as failed:
-        log.write(Event.METRICS_UNAVAILABLE, port=place.port, why=failed)
+        log.write(Event.METRICS_UNAVAILABLE, port=endpoint.port, why=failed)
         return None
 
 
 async def _run(
-    settings: Settings, path: str, factory: ProgramFactory, log: EventLog, place: MetricsPlace | None
+    settings: Settings, path: str, factory: ProgramFactory, log: EventLog, endpoint: MetricsEndpoint | None
 ) -> int:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     program = factory(settings, log)
     watch = SettingsWatch(path, program, log)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, watch.reload)
-    loop.set_exception_handler(lambda _, context: _log_fault(log, context))
+    loop.set_exception_handler(lambda _, context: _log_unhandled_error(log, context))
     try:
         await program.start()
     except OSError as failed:
         print(f"lupinreach: {failed}", file=sys.stderr)
-        return EXIT_NO_ADDRESS
-    figures = await _serve_metrics(program, settings, place, log)
+        return EXIT_START_FAILED
+    metrics_server = await _serve_metrics(program, settings, endpoint, log)
     log.write(Event.STARTED)
-    watching = loop.create_task(watch.run())
+    watch_task = loop.create_task(watch.run())
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 10, 10)
+    gc.set_threshold(GC_THRESHOLD_ALLOCATIONS, 10, 10)
     await stop.wait()
     log.write(Event.STOPPING)
     await program.stop()
-    watching.cancel()
-    if figures is not None:
-        figures.close()
+    watch_task.cancel()
+    if metrics_server is not None:
+        metrics_server.close()
     log.write(Event.STOPPED)
     return 0
 
 
-def _log_fault(log: EventLog, context: dict[str, object]) -> None:
-    fault = context.get("exception")
-    where = ""
-    if isinstance(fault, BaseException):
-        last = traceback.extract_tb(fault.__traceback__)[-1:]
-        where = f"{os.path.basename(last[0].filename)}:{last[0].lineno}" if last else ""
-    log.write(Event.FAULT, what=context.get("message"), fault=repr(fault), at=where)
+def _log_unhandled_error(log: EventLog, context: dict[str, object]) -> None:
+    error = context.get("exception")
+    location = ""
+    if isinstance(error, BaseException):
+        last_frame = traceback.extract_tb(error.__traceback__)[-1:]
+        location = f"{os.path.basename(last_frame[0].filename)}:{last_frame[0].lineno}" if last_frame else ""
+    log.write(Event.FAULT, what=context.get("message"), fault=repr(error), at=location)
 
 
 def serve(role: str, factory: ProgramFactory) -> int:
-    """Run a program to its end; the exit code."""
-    place = read_arguments(sys.argv[1:])
-    if isinstance(place, Err):
-        print(f"lupinreach: {place.err_value}", file=sys.stderr)
+    """Run a program until it is stopped; returns the exit code."""
+    endpoint = read_arguments(sys.argv[1:])
+    if isinstance(endpoint, Err):
+        print(f"lupinreach: {endpoint.err_value}", file=sys.stderr)
         return EXIT_BAD_SETTINGS
     path = settings_path()
     if path is None:
@@ -145,4 +147,4 @@
         return EXIT_BAD_SETTINGS
     settings = read.ok_value
     log = EventLog(f"{settings.node_name}/{role}")
-    return asyncio.run(_run(settings, path, factory, log, place.ok_value))
+    return asyncio.run(_run(settings, path, factory, log, endpoint.ok_value))
--- a/lupinreach/mesh/reader.py
+++ b/lupinreach/mesh/reader.py
@@ -1,4 +1,4 @@
-"""Incremental reader of HTTP/1.1 messages from the bytes of one connection."""
+"""Incremental parser of the HTTP/1.1 messages on one connection."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass(slots=True)
 class WholeMessage:
-    """A head and its whole body, framing removed."""
+    """A complete message: its head, and its body without transfer framing."""
 
     head: Head
     body: bytes
 
 
 class MessageReader:
-    """Feed it bytes, take whole messages out. Raises `Ended` where the bytes are no message."""
+    """Turns received bytes into complete messages. Raises `Ended` for a malformed or oversized message."""
 
-    def __init__(self, answers: bool, most_body: int) -> None:
-        self.most_body = most_body
-        self.head: Head | None = None  # of the message whose body is being read
-        self.bodiless = False  # the next answer has no body, whatever its head says (HEAD)
-        self._answers = answers
+    def __init__(self, responses: bool, body_limit: int) -> None:
+        self.body_limit = body_limit
+        self.head: Head | None = None  # of the message whose body is being received
+        self.without_body = False  # the next response answers a HEAD request: no body, whatever its head says
+        self._responses = responses
         self._pending = b""
         self._pieces: list[bytes] = []
         self._size = 0
@@ -34,36 +34,36 @@
 
     @property
     def begun(self) -> bool:
-        """If a part of a message has come."""
+        """True while a message is partly received."""
         return self.head is not None or bool(self._pending)
 
     @property
     def body_bytes(self) -> int:
-        """Bytes of the present body that are held, or announced."""
+        """Size of the body being received: the larger of the bytes held and the announced length."""
         return max(self._size, self._length or 0) if self.head is not None else 0
 
     def feed(self, data: bytes) -> None:
-        """Take bytes from the connection."""
+        """Append received bytes."""
         self._pending = self._pending + data if self._pending else data
 
     def next(self) -> WholeMessage | None:
-        """The next whole message, or None until more bytes come."""
+        """The next complete message, or None if more bytes are needed."""
         if self.head is None and not self._read_head():
             return None
         return self._read_body()
 
     def at_end(self) -> WholeMessage | None:
-        """The message that the end of the connection completes, if any."""
+        """The response that is complete because the connection was closed, if any."""
         if self.head is not None and self._chunks is None and self._length is None:
             return self._finish()
         return None
 
     def _read_head(self) -> bool:
-        if not self._answers:
+        if not self._responses:
             self._pending = self._pending.lstrip(b"\r\n") if self._pending[:1] in b"\r\n" else self._pending
         if not self._pending:
             return False
-        head = parse_head(self._pending, 0, len(self._pending), self._answers)
+        head = parse_head(self._pending, 0, len(self._pending), self._responses)
         if head is None:
             return False
         self._pending = self._pending[head.size :]
@@ -71,18 +71,18 @@
         self._size = 0
         self._chunks = ChunkedDecoder() if head.chunked else None
         self._length = self._body_length(head)
-        if self._length is not None and self._length > self.most_body:
+        if self._length is not None and self._length > self.body_limit:
             raise Ended(End.TOO_LARGE)
         return True
 
     def _body_length(self, head: Head) -> int | None:
         if head.chunked:
             return None
-        if not self._answers:
+        if not self._responses:
             return head.length or 0
-        if self.bodiless or head.start_line[2] < 200 or head.start_line[2] in NO_BODY_STATUSES:
+        if self.without_body or head.start_line[2] < 200 or head.start_line[2] in NO_BODY_STATUSES:
             return 0
-        return head.length  # without one the answer ends with its connection
+        return head.length  # None: the body ends when the connection is closed
 
     def _read_body(self) -> WholeMessage | None:
         if self._chunks is not None:
@@ -99,7 +99,7 @@
                 self._pieces.append(piece)
             self._size += len(piece)
             done = self._size == self._length
-        if self._size > self.most_body:
+        if self._size > self.body_limit:
             raise Ended(End.TOO_LARGE)
         return self._finish() if done else None
 
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server of the mesh's processes: whole requests in, whole answers out, in order."""
+"""HTTP/1.1 server of the mesh processes: complete requests in, complete responses out, in request order."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from lupinreach.mesh.tasks import spawn
 from lupinreach.net.ends import End, Ended
 
-MOST_PIPELINED = 16  # requests read ahead on one connection
-SWEEP_S = 0.5  # between two looks for connections that took too long
+MAX_PIPELINED_REQUESTS = 16  # requests read ahead per connection
+TIMEOUT_SWEEP_INTERVAL_S = 0.5
 MIN_RETRY_AFTER_MS = 20
-KEPT_BODY = 16 << 10  # bodies up to this size are not charged to the budget
+UNCHARGED_BODY_BYTES = 16 << 10  # bodies up to this size don't count against the buffer budget
 
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One whole request."""
+    """One complete request."""
 
     head: Head
     body: bytes
@@ -38,13 +38,13 @@
         return self.head.start_line[1]
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of a header, by its name in lower case."""
+        """The value of a header, looked up by its lower-case name."""
         return self.head.headers.get(name)
 
 
 @dataclass(slots=True)
 class HttpResponse:
-    """One whole answer; `headers` are whole lines."""
+    """One complete response; `headers` are complete lines, each ending in CRLF."""
 
     status: int
     headers: bytes = b""
@@ -52,13 +52,13 @@
 
 
 def error_response(kind: ErrorKind, detail: str = "", retry_ms: float = 0.0) -> HttpResponse:
-    """The answer that the table gives for an error."""
-    told = ERROR_RESPONSES[kind]
+    """The response for an error kind, from `ERROR_RESPONSES`."""
+    template = ERROR_RESPONSES[kind]
     headers = b"Content-Type: text/plain\r\n"
-    if told.retry:
+    if template.retry:
         headers += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, retry_ms) / 1000)
-    text = f"{told.text}: {detail}" if detail else told.text
-    return HttpResponse(told.status, headers, text.encode() + b"\n")
+    text = f"{template.text}: {detail}" if detail else template.text
+    return HttpResponse(template.status, headers, text.encode() + b"\n")
 
 
 Handle = Callable[[HttpRequest], Awaitable[HttpResponse]]
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class ServerLimits:
-    """What a client may send, and how long it may take; replaced when the configuration changes."""
+    """Size limits and timeouts for clients; replaced when the configuration changes."""
 
     max_body_bytes: int = 64 << 20
     header_timeout_ms: float = 3000
@@ -74,34 +74,37 @@
 
 
 class BufferBudget:
-    """Bounds the bytes of message bodies that a process holds at once."""
+    """Bounds the total size of the message bodies that a process buffers."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, capacity_bytes: int) -> None:
+        self._capacity_bytes = capacity_bytes
         self.used = 0
 
     def take(self, size: int) -> bool:
-        """Reserve so many bytes; false where there is no room."""
-        if self.used + size > self._most:
+        """Reserve `size` bytes; false if that would exceed the capacity."""
+        if self.used + size > self._capacity_bytes:
             return False
         self.used += size
         return True
 
     def release(self, size: int) -> None:
-        """Give reserved bytes back."""
+        """Release reserved bytes."""
         self.used -= size
 
 
 @dataclass(slots=True)
 class _Exchange:
     request: HttpRequest
-    charged: int
+    reserved_bytes: int
     task: asyncio.Task[None] | None = None
-    answer: HttpResponse | None = None
+    response: HttpResponse | None = None
 
 
 class HttpServer:
-    """Listens at one address and hands each request to a coroutine."""
+    """Listens on one address and passes each request to a coroutine.
+
+    Pipelined requests are served one after the other, except those that `may_overlap` allows to run at once.
+    """
 
     def __init__(
         self,
@@ -127,34 +130,37 @@
         self._server = await loop.create_server(
             lambda: _Connection(self), *address, backlog=1024, reuse_address=True
         )
-        self._sweeper = spawn(self._sweep())
+        self._sweeper = spawn(self._sweep_timeouts())
 
-    async def _sweep(self) -> None:
+    async def _sweep_timeouts(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(TIMEOUT_SWEEP_INTERVAL_S)
             now = loop.time()
             for connection in list(self.connections):
-                connection.check(now)
+                connection.check_timeouts(now)
 
     @property
     def busy(self) -> bool:
-        """If a request is being read or served."""
+        """True while any request is being received or served."""
         return any(connection.busy for connection in self.connections)
 
     def stop(self) -> None:
-        """End each connection with its last answer from now on; idle ones at once."""
+        """Start a graceful shutdown: close each connection after its last response, and idle ones at once."""
         self.stopping = True
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def abandon(self) -> None:
-        """Answer all that is still under way, as its outcome is unknown: better than a connection cut."""
+        """Answer all requests still in progress as outcome unknown, and unstarted ones as stopping.
+
+        A client learns more from that than from a closed connection.
+        """
         for connection in list(self.connections):
             connection.abandon()
 
     def close(self) -> None:
-        """Stop accepting; a connection that comes up all the same is ended unread."""
+        """Stop accepting; a connection accepted after this is aborted without reading from it."""
         self.closed = True
         if self._server is not None:
             self._server.close()
@@ -163,10 +169,10 @@
 
 
 @dataclass(slots=True)
-class _Timing:
-    """When the present phase of a connection began (loop time)."""
+class _Phase:
+    """When the current phase of a connection began (loop time)."""
 
-    since: float = 0.0
+    started_at: float = 0.0
     head_done: bool = field(default=False)
 
 
@@ -174,30 +180,30 @@
     def __init__(self, server: HttpServer) -> None:
         self._server = server
         self._loop = asyncio.get_running_loop()
-        self._reader = MessageReader(answers=False, most_body=server.limits.max_body_bytes)
+        self._reader = MessageReader(responses=False, body_limit=server.limits.max_body_bytes)
         self._queue: deque[_Exchange] = deque()
         self._transport: Any = None
-        self._timing = _Timing(self._loop.time())
+        self._phase = _Phase(self._loop.time())
         self._paused = False
-        self._last = False  # no further request is read
-        self._continued = False
-        self._charged = 0  # bytes reserved for the body being read
+        self._stops_reading = False  # no further request is read from this connection
+        self._sent_continue = False
+        self._reserved_bytes = 0  # budget reserved for the body being received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
         tune(transport.get_extra_info("socket"))
         if self._server.closed:
-            self._last = True
+            self._stops_reading = True
             self._transport.abort()
             return
         self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._server.connections.discard(self)
-        self._server.budget.release(self._charged)
-        self._charged = 0
+        self._server.budget.release(self._reserved_bytes)
+        self._reserved_bytes = 0
         for exchange in self._queue:
-            self._server.budget.release(exchange.charged)
+            self._server.budget.release(exchange.reserved_bytes)
             if exchange.task is not None:
                 exchange.task.cancel()
         self._queue.clear()
@@ -212,47 +218,47 @@
 
     def abandon(self) -> None:
         for exchange in self._queue:
-            if exchange.answer is None:
+            if exchange.response is None:
                 if exchange.task is not None:
                     exchange.task.cancel()
                 begun = exchange.task is not None
-                exchange.answer = error_response(ErrorKind.OUTCOME_UNKNOWN if begun else ErrorKind.STOPPING)
-        self._last = True
+                exchange.response = error_response(ErrorKind.OUTCOME_UNKNOWN if begun else ErrorKind.STOPPING)
+        self._stops_reading = True
         self._flush()
 
-    def check(self, now: float) -> None:
-        """Enforce the time-outs of an idle connection and of a request that comes in pieces."""
+    def check_timeouts(self, now: float) -> None:
+        """Enforce the timeouts for idle connections and partly received requests."""
         limits = self._server.limits
-        if self._queue or self._last:
+        if self._queue or self._stops_reading:
             return
-        waited_ms = (now - self._timing.since) * 1000
+        waited_ms = (now - self._phase.started_at) * 1000
         if not self._reader.begun:
             if waited_ms > limits.idle_timeout_ms:
                 self._transport.close()
         elif self._reader.head is None:
             if waited_ms > limits.header_timeout_ms:
-                self._refuse(ErrorKind.HEAD_TIMED_OUT)
+                self._reject(ErrorKind.HEAD_TIMED_OUT)
         elif waited_ms > limits.idle_timeout_ms:
-            self._refuse(ErrorKind.BODY_TIMED_OUT)
+            self._reject(ErrorKind.BODY_TIMED_OUT)
 
     def data_received(self, data: bytes) -> None:
-        if self._last:
+        if self._stops_reading:
             return
         if not self._reader.begun or self._reader.head is not None:
-            self._timing.since = self._loop.time()
+            self._phase.started_at = self._loop.time()
         self._reader.feed(data)
         self._read()
 
     def _read(self) -> None:
-        self._reader.most_body = self._server.limits.max_body_bytes
-        while not self._last:
-            if len(self._queue) >= MOST_PIPELINED:
+        self._reader.body_limit = self._server.limits.max_body_bytes
+        while not self._stops_reading:
+            if len(self._queue) >= MAX_PIPELINED_REQUESTS:
                 self._pause()
                 return
             try:
                 whole = self._reader.next()
             except Ended as ended:
-                self._refuse_ended(ended)
+                self._reject_invalid(ended)
                 return
             if whole is None:
                 self._on_partial()
@@ -264,73 +270,75 @@
         if head is None:
             return
         if not self._charge(self._reader.body_bytes):
-            self._refuse(ErrorKind.OUT_OF_MEMORY)
+            self._reject(ErrorKind.OUT_OF_MEMORY)
             return
-        if head.headers.get(b"expect", b"").lower() == b"100-continue" and not self._continued:
-            self._continued = True
+        if head.headers.get(b"expect", b"").lower() == b"100-continue" and not self._sent_continue:
+            self._sent_continue = True
             self._transport.write(CONTINUE)
 
     def _charge(self, size: int) -> bool:
-        more = size - self._charged
-        if size <= KEPT_BODY or more <= 0:
+        extra_bytes = size - self._reserved_bytes
+        if size <= UNCHARGED_BODY_BYTES or extra_bytes <= 0:
             return True
-        if not self._server.budget.take(more):
+        if not self._server.budget.take(extra_bytes):
             return False
-        self._charged = size
+        self._reserved_bytes = size
         return True
 
     def _accept(self, whole: WholeMessage) -> None:
-        self._continued = False
+        self._sent_continue = False
         if not self._charge(len(whole.body)):
-            self._refuse(ErrorKind.OUT_OF_MEMORY)
+            self._reject(ErrorKind.OUT_OF_MEMORY)
             return
-        self._last = not whole.head.keep_alive
-        self._timing.since = self._loop.time()
-        request = HttpRequest(whole.head, whole.body, self._timing.since)
-        self._queue.append(_Exchange(request, self._charged))
-        self._charged = 0
+        self._stops_reading = not whole.head.keep_alive
+        self._phase.started_at = self._loop.time()
+        request = HttpRequest(whole.head, whole.body, self._phase.started_at)
+        self._queue.append(_Exchange(request, self._reserved_bytes))
+        self._reserved_bytes = 0
         self._start()
 
     def _start(self) -> None:
-        """Start each request that no earlier one holds up."""
+        """Start each queued request that need not wait for an earlier one."""
         for position, exchange in enumerate(self._queue):
-            overlaps = self._server.may_overlap(exchange.request)
-            if exchange.task is None and (position == 0 or overlaps):
+            may_overlap = self._server.may_overlap(exchange.request)
+            if exchange.task is None and (position == 0 or may_overlap):
                 exchange.task = self._loop.create_task(self._serve(exchange))
-            if not overlaps:
+            if not may_overlap:
                 return
 
     async def _serve(self, exchange: _Exchange) -> None:
         try:
-            exchange.answer = await self._server.handle(exchange.request)
+            exchange.response = await self._server.handle(exchange.request)
         except asyncio.CancelledError:
             raise
         except Exception as fault:
             self._server.on_fault(fault)
-            exchange.answer = error_response(ErrorKind.OUTCOME_UNKNOWN)
+            exchange.response = error_response(ErrorKind.OUTCOME_UNKNOWN)
         self._flush()
 
     def _flush(self) -> None:
-        while self._queue and self._queue[0].answer is not None:
+        while self._queue and self._queue[0].response is not None:
             exchange = self._queue.popleft()
-            self._server.budget.release(exchange.charged)
-            assert exchange.answer is not None
-            self._write(exchange.request, exchange.answer)
-        self._timing.since = self._loop.time()
+            self._server.budget.release(exchange.reserved_bytes)
+            assert exchange.response is not None
+            self._write(exchange.request, exchange.response)
+        self._phase.started_at = self._loop.time()
         if self._queue:
             self._start()
-        if self._paused and len(self._queue) < MOST_PIPELINED:
+        if self._paused and len(self._queue) < MAX_PIPELINED_REQUESTS:
             self._paused = False
             self._transport.resume_reading()
             self._read()
 
-    def _write(self, request: HttpRequest, answer: HttpResponse) -> None:
-        ends = not self._queue and (self._last or (self._server.stopping and not self._reader.begun))
-        framing = b"Content-Length: %d\r\n" % len(answer.body)
-        body = b"" if request.method == b"HEAD" else answer.body
-        self._transport.write(response_head(answer.status, (answer.headers,), not ends, framing) + body)
-        if ends:
-            self._last = True
+    def _write(self, request: HttpRequest, response: HttpResponse) -> None:
+        closes = not self._queue and (
+            self._stops_reading or (self._server.stopping and not self._reader.begun)
+        )
+        framing = b"Content-Length: %d\r\n" % len(response.body)
+        body = b"" if request.method == b"HEAD" else response.body
+        self._transport.write(response_head(response.status, (response.headers,), not closes, framing) + body)
+        if closes:
+            self._stops_reading = True
             self._transport.close()
 
     def _pause(self) -> None:
@@ -338,18 +346,18 @@
             self._paused = True
             self._transport.pause_reading()
 
-    def _refuse_ended(self, ended: Ended) -> None:
+    def _reject_invalid(self, ended: Ended) -> None:
         if ended.end is not End.TOO_LARGE:
-            self._refuse(ErrorKind.MALFORMED)
+            self._reject(ErrorKind.MALFORMED)
         elif self._reader.head is None:
-            self._refuse(ErrorKind.HEAD_TOO_LARGE)
+            self._reject(ErrorKind.HEAD_TOO_LARGE)
         else:
-            self._refuse(ErrorKind.BODY_TOO_LARGE)
+            self._reject(ErrorKind.BODY_TOO_LARGE)
 
-    def _refuse(self, kind: ErrorKind) -> None:
-        """Answer what could not be read, after all that came before it, and end the connection."""
-        self._last = True
+    def _reject(self, kind: ErrorKind) -> None:
+        """Queue an error response for an unreadable request behind those before it, then close the connection."""
+        self._stops_reading = True
         head = Head((b"GET", b"/", 0), {}, [], frozenset(), False, 0, False, 0)
-        exchange = _Exchange(HttpRequest(head, b"", self._loop.time()), 0, answer=error_response(kind))
+        exchange = _Exchange(HttpRequest(head, b"", self._loop.time()), 0, response=error_response(kind))
         self._queue.append(exchange)
         self._flush()
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -10,7 +10,7 @@
 
 from lupinreach.mesh.errors import NotTakenReason
 from lupinreach.mesh.events import Event
-from lupinreach.mesh.metrics import MetricsPlace, read_arguments, render, serve_metrics
+from lupinreach.mesh.metrics import MetricsEndpoint, read_arguments, render, serve_metrics
 from lupinreach.mesh.proxy.gate_counts import GateCounts
 from lupinreach.mesh.proxy.request_kind import RequestKind
 from mesh.world import World
@@ -25,7 +25,7 @@
 
 
 def test_place() -> None:
-    assert read_arguments(["--metrics", "9464/metrics"]) == Ok(MetricsPlace(9464, "metrics"))
+    assert read_arguments(["--metrics", "9464/metrics"]) == Ok(MetricsEndpoint(9464, "metrics"))
     assert read_arguments([]) == Ok(None)
 
 
@@ -39,7 +39,7 @@
         for port, (key, program) in enumerate(sorted(world.programs.items()), 9500):
             with world.loop.owned_by(world.owners[key]):
                 serving = world.loop.create_task(
-                    serve_metrics(key[0], MetricsPlace(port, "metrics"), program.metrics)
+                    serve_metrics(key[0], MetricsEndpoint(port, "metrics"), program.metrics)
                 )
             world.loop.run_until_complete(asyncio.wait([serving]))
             status, text = world.loop.run_until_complete(world.call(key[0], port, "GET", "/metrics"))
