--- a/lupinreach/mesh/__init__.py
+++ b/lupinreach/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The service mesh: proxy beside each backend, registry and configuration store on the core machines."""
+"""The service mesh: a sidecar proxy for each backend, and a registry and a configuration store on the core machines."""
--- a/lupinreach/mesh/cli.py
+++ b/lupinreach/mesh/cli.py
@@ -1,4 +1,4 @@
-"""Command line of the mesh: check files, show what a process holds, read logs, check the model, a demonstration."""
+"""Command line of the mesh: validate files, inspect a process, read logs, run the model checker and a demo."""
 
 from __future__ import annotations
 
@@ -29,12 +29,14 @@
 
 
 class CheckConfiguration(Command):
+    """`check-configuration`."""
+
     name = "check-configuration"
-    description = "Check an operator's configuration; a complaint names the key."
+    description = "Check an operator's configuration; an error message names the invalid key."
     arguments = [argument("file", "the configuration, as JSON")]
 
     def handle(self) -> int:
-        """Exit code 2 where the file is not valid."""
+        """Exit code 2 if the file is invalid."""
         try:
             data = Path(self.argument("file")).read_bytes()
         except OSError as failed:
@@ -54,12 +56,14 @@
 
 
 class CheckSettings(Command):
+    """`check-settings`."""
+
     name = "check-settings"
-    description = "Check a process's settings file; a complaint names the key."
+    description = "Check a process's settings file; an error message names the invalid key."
     arguments = [argument("file", "the settings, as JSON")]
 
     def handle(self) -> int:
-        """Exit code 2 where the file is not valid."""
+        """Exit code 2 if the file is invalid."""
         read = read_settings(self.argument("file"))
         if isinstance(read, Err):
             self.line_error(read.err_value)
@@ -69,18 +73,23 @@
 
 
 class Show(Command):
+    """`show`: prints the state that a process describes."""
+
     name = "show"
-    description = "Show what a proxy, a registry or a store holds."
+    description = "Show the state of a proxy, a registry or a store."
     arguments = [
-        argument("address", "host:port of its links: a proxy's inbound, a core machine's internal port")
+        argument(
+            "address",
+            "host:port for links: the inbound address of a proxy, the internal port of a core machine",
+        )
     ]
 
     def handle(self) -> int:
-        """Exit code 1 where nothing answers."""
+        """Exit code 1 if the process does not respond, 2 for an invalid address."""
         try:
             address = parse_address(self.argument("address"))
-        except ValueError as wrong:
-            self.line_error(str(wrong))
+        except ValueError as invalid:
+            self.line_error(str(invalid))
             return EXIT_INVALID
         facts = asyncio.run(describe(*address))
         if facts is None:
@@ -91,7 +100,7 @@
 
 
 async def describe(host: str, port: int) -> dict[str, Any] | None:
-    """What the process at an address holds; None where it gives no answer."""
+    """The state described by the process at an address; None if it does not respond."""
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[dict[str, Any]] = loop.create_future()
 
@@ -110,22 +119,24 @@
 
 
 class Events(Command):
+    """`events`: prints or counts log events."""
+
     name = "events"
     description = "Print or count the numbered events in logs of the mesh."
     arguments = [argument("files", "log files", multiple=True)]
     options = [
-        option("number", "N", "only the event of this number", flag=False),
-        option("node", None, "only processes whose name begins so", flag=False),
-        option("count", "c", "count events by process in place of printing them"),
+        option("number", "N", "only the event with this number", flag=False),
+        option("node", None, "only processes whose name starts with this", flag=False),
+        option("count", "c", "count events by process instead of printing them"),
     ]
 
     def handle(self) -> int:
-        """Lines that are no events are skipped."""
+        """Lines that are not events are ignored."""
         counts: Counter[tuple[str, str]] = Counter()
         for file in self.argument("files"):
             for text in Path(file).read_text(errors="replace").splitlines():
                 line = LOG_LINE.search(text)
-                if line is not None and self._wanted(line):
+                if line is not None and self._matches_options(line):
                     counts[line["node"], f"E{line['number']} {line['name']}"] += 1
                     if not self.option("count"):
                         self.line(line[0])
@@ -134,18 +145,20 @@
                 self.line(f"{count:6} {node} {event}")
         return 0
 
-    def _wanted(self, line: re.Match[str]) -> bool:
+    def _matches_options(self, line: re.Match[str]) -> bool:
         number, node = self.option("number"), self.option("node")
         return (not number or line["number"] == number) and (not node or line["node"].startswith(node))
 
 
 class Demo(Command):
+    """`demo`: runs a small mesh."""
+
     name = "demo"
-    description = "Start a small mesh on loopback with stand-in backends, send requests, and show it."
-    options = [option("seconds", "s", "how long it runs", flag=False, default="10")]
+    description = "Start a small mesh on loopback with stub backends, send requests, and show the results."
+    options = [option("seconds", "s", "duration of the request load", flag=False, default="10")]
 
     def handle(self) -> int:
-        """Exit code 1 where the mesh did not serve."""
+        """Exit code 1 if the mesh did not serve the requests."""
         from lupinreach.mesh.demo import run_demo  # only here: it starts processes
 
         return asyncio.run(run_demo(float(self.option("seconds")), self.line))
@@ -165,5 +178,5 @@
 
 
 def event_numbers() -> dict[int, str]:
-    """All events by number, as the catalogue lists them."""
+    """All events by number, with the names used in the catalogue."""
     return {int(event): event.name.lower() for event in Event}
--- a/lupinreach/mesh/configuration.py
+++ b/lupinreach/mesh/configuration.py
@@ -1,7 +1,7 @@
 """The operator's configuration: services, limits and routes.
 
-Operators' JSON is read and checked by `configuration_check`; between processes a checked configuration
-travels as plain values (`to_list`, `from_list`).
+Operators' JSON is parsed and validated by `configuration_check`. Between processes a validated configuration is sent
+as nested lists of plain values (`to_list`, `from_list`).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RouteType(StrEnum):
-    """What may be repeated."""
+    """Tells whether a request on a route may be retried: only `SAFE` ones may."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -21,22 +21,22 @@
 
 @dataclass(slots=True)
 class Service:
-    """One service and what its backends bear."""
+    """A service and the limits of its backends."""
 
     name: str
     health_check_path: str = "/health"
     max_connections: int = 100
     cold_start_s: float = 0.0
-    cold_per_s: float = 0.0  # 0: no bound
+    cold_per_s: float = 0.0  # requests per second to a cold backend; 0: unlimited
 
     def to_list(self) -> list[Any]:
-        """As plain values."""
+        """As a list of plain values."""
         return [self.name, self.health_check_path, self.max_connections, self.cold_start_s, self.cold_per_s]
 
 
 @dataclass(slots=True)
 class ConfigLimits:
-    """What a client may send, and how long it may take."""
+    """Size limits and timeouts for clients."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 67108864
@@ -44,13 +44,13 @@
     idle_timeout_ms: float = 15000
 
     def to_list(self) -> list[Any]:
-        """As plain values."""
+        """As a list of plain values."""
         return [self.max_header_bytes, self.max_body_bytes, self.header_timeout_ms, self.idle_timeout_ms]
 
 
 @dataclass(slots=True)
 class SplitTarget:
-    """A service with its weight in a route's split."""
+    """A target service and its weight in the traffic split of a route."""
 
     target_service: str
     weight: float
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class Route:
-    """One route; `path_prefix` begins and ends with a slash."""
+    """A route; `path_prefix` begins and ends with a slash."""
 
     path_prefix: str
     route_type: RouteType
@@ -73,16 +73,17 @@
 
     @property
     def repeatable(self) -> bool:
+        """Whether requests on this route may be retried after they may have been executed."""
         return self.route_type is RouteType.SAFE
 
     def targets(self) -> list[SplitTarget]:
-        """The services that requests go to, with their weights."""
+        """The services that receive requests of this route, with their weights."""
         if self.traffic_split:
             return self.traffic_split
         return [SplitTarget(self.target_service or "", 1.0)]
 
     def to_list(self) -> list[Any]:
-        """As plain values."""
+        """As a list of plain values."""
         return [
             self.path_prefix,
             str(self.route_type),
@@ -105,13 +106,13 @@
         return route
 
     def allows(self, service: str) -> bool:
-        """If a request on this route may go to that service."""
+        """Whether a request on this route may be sent to `service`."""
         return any(target.target_service == service and target.weight > 0 for target in self.targets())
 
 
 @dataclass(slots=True)
 class VirtualHost:
-    """A host name with its routes."""
+    """A host name and its routes."""
 
     hostname: str
     path_rules: list[Route] = field(default_factory=list)
@@ -119,7 +120,7 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """One version of the whole configuration."""
+    """One version of the complete configuration."""
 
     version: str
     services: list[Service]
@@ -127,7 +128,7 @@
     limits: ConfigLimits = field(default_factory=ConfigLimits)
 
     def to_list(self) -> list[Any]:
-        """As plain values."""
+        """As a list of plain values."""
         hosts = [
             [host.hostname, [route.to_list() for route in host.path_rules]] for host in self.virtual_hosts
         ]
@@ -146,12 +147,12 @@
 
 
 def version_number(version: str) -> int:
-    """The order of versions; ValueError where it is not hexadecimal."""
+    """A version as a number, by which versions are ordered; raises ValueError if it is not hexadecimal."""
     return int(version, 16)
 
 
 def is_newer(version: str, than: str) -> bool:
-    """If one version is above another; an empty one is below all."""
+    """Whether `version` is higher than `than`; an empty version is lower than all others."""
     if not version:
         return False
     return not than or version_number(version) > version_number(than)
--- a/lupinreach/mesh/configuration_check.py
+++ b/lupinreach/mesh/configuration_check.py
@@ -1,4 +1,7 @@
-"""Reading and checking of the operators' configurations. Loaded by the registry and the command line only."""
+"""Parsing and validation of operators' configurations.
+
+Only the registry and the command line import this module, since its decoder library costs memory.
+"""
 
 from __future__ import annotations
 
@@ -11,64 +14,67 @@
 from lupinreach.mesh.configuration import Configuration, Route
 from lupinreach.mesh.fields import parse_object
 
-MOST_TIMEOUT_MS = 600_000
+MAX_TIMEOUT_MS = 600_000
 VERSION_DIGITS = 8
 
 _DECODER = BasicDecoder(Configuration)
 
 
 def parse_configuration(data: bytes) -> Result[Configuration, str]:
-    """A configuration as sent by an operator, checked, or a complaint that names the key."""
+    """Parse and validate an operator's configuration; the error message names the invalid key."""
     raw = parse_object(data)
     if isinstance(raw, Err):
         return raw
     try:
         configuration = _DECODER.decode(raw.ok_value)
-    except (MissingField, InvalidFieldValue) as wrong:
-        return Err(_field_path(wrong))
-    problem = _problem(configuration)
+    except (MissingField, InvalidFieldValue) as invalid:
+        return Err(_field_path(invalid))
+    problem = _find_problem(configuration)
     return Err(problem) if problem else Ok(configuration)
 
 
-def _field_path(wrong: BaseException) -> str:
-    """`virtual_hosts.path_rules.timeout_ms: ...` from the library's nested exceptions."""
+def _field_path(invalid: BaseException) -> str:
+    """The error message with the path of the key, such as `virtual_hosts.path_rules.timeout_ms: ...`.
+
+    The path is taken from the nested exceptions of the decoder library.
+    """
     path = []
-    cause: Any = wrong
+    cause: Any = invalid
     while isinstance(cause, (MissingField, InvalidFieldValue)):
         path.append(cause.field_name)
         if isinstance(cause, MissingField):
             return ".".join(path) + ": missing"
-        last = cause
+        innermost = cause
         cause = cause.__cause__ or cause.__context__
-    value = repr(last.field_value)
+    value = repr(innermost.field_value)
     return f"{'.'.join(path)}: {value[:60]} does not fit"
 
 
-def _problem(configuration: Configuration) -> str | None:
+def _find_problem(configuration: Configuration) -> str | None:
     version = configuration.version
     if len(version) != VERSION_DIGITS or not all(c in "0123456789abcdefABCDEF" for c in version):
         return f"version: {version!r} is not eight hexadecimal digits"
     names = [service.name for service in configuration.services]
-    known = set(names)
-    if "" in known:
+    service_names = set(names)
+    if "" in service_names:
         return "services.name: empty"
-    if len(known) != len(names):
+    if len(service_names) != len(names):
         return "services.name: used twice"
     for number, host in enumerate(configuration.virtual_hosts):
         if not host.hostname:
             return f"virtual_hosts[{number}].hostname: empty"
         for index, route in enumerate(host.path_rules):
-            problem = _route_problem(route, known)
+            problem = _find_route_problem(route, service_names)
             if problem:
                 return f"virtual_hosts[{number}].path_rules[{index}].{problem}"
     return None
 
 
-def _route_problem(route: Route, services: set[str]) -> str | None:
+def _find_route_problem(route: Route, services: set[str]) -> str | None:
     if not (route.path_prefix.startswith("/") and route.path_prefix.endswith("/")):
         return f"path_prefix: {route.path_prefix!r} does not begin and end with a slash"
-    if not 0 < route.timeout_ms <= MOST_TIMEOUT_MS:
-        return f"timeout_ms: {route.timeout_ms} is not above 0 and at most {MOST_TIMEOUT_MS}"
+    if not 0 < route.timeout_ms <= MAX_TIMEOUT_MS:
+        return f"timeout_ms: {route.timeout_ms} is not above 0 and at most {MAX_TIMEOUT_MS}"
     if route.max_attempts < 1:
         return "max_attempts: below 1"
     if route.target_service is None and not route.traffic_split:
--- a/lupinreach/mesh/configuration_update.py
+++ b/lupinreach/mesh/configuration_update.py
@@ -1,9 +1,9 @@
-"""Differences between two versions of the configuration: what a sender keeps to tell them, and what travels.
+"""Incremental configuration updates: the change history that a sender keeps, and the updates it sends.
 
-Versions form one line: a version has one content, and a higher one takes the place of a lower. A difference holds
-all that changed after its base, as it is in its own version; it therefore leads from any version between the two to
-the same content. Should a sender have missed a version in which something changed and changed back, the checksum
-does not fit, and the receiver asks for the whole.
+Versions are totally ordered, each has exactly one content, and a higher version replaces a lower one. An update holds
+everything that changed after its base version, with the content of the new version. It can therefore be applied to any
+version from its base up to the new one, with the same result. If the sender missed a version in which something was
+changed that was changed back later, the checksum does not match and the receiver requests the complete configuration.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 )
 from lupinreach.mesh.route_table import RouteTable
 
-MAX_REMEMBERED_VERSIONS = 128  # that a sender remembers; older receivers get the whole
-MOST_SHARE = 0.5  # of the routes: a difference that names more is sent as the whole
+MAX_REMEMBERED_VERSIONS = 128  # receivers of an older version get the complete configuration
+MAX_UPDATE_FRACTION = 0.5  # of all routes; if more changed, the complete configuration is sent
 
 
 class Applied(Enum):
-    """What a receiver did with an update."""
+    """Result of applying an update."""
 
     IN_FORCE = "in force"
     NOT_NEWER = "not newer"
-    UNFIT = "unfit"  # its base is above what is held, or the checksum does not fit: the whole is needed
+    UNFIT = "unfit"  # base newer than the held version, or checksum mismatch: send the complete configuration
 
 
 @dataclass(slots=True)
 class ConfigurationUpdate:
-    """All that changed after a version up to another one."""
+    """All changes after a base version, up to and including `version`."""
 
     version: str
     base: str
-    checksum: int  # of the whole content of `version`
+    checksum: int  # of the complete content of `version`
     changes: dict[str, dict[str, Route | None]] = field(default_factory=dict)  # None: removed
-    services: list[Service] | None = None  # None: as in the base
+    services: list[Service] | None = None  # None: unchanged since the base
     limits: ConfigLimits | None = None
 
     def pack(self) -> bytes:
-        """As it travels."""
+        """Encode for sending."""
         changes = {
             host: {prefix: None if route is None else route.to_list() for prefix, route in routes.items()}
             for host, routes in self.changes.items()
@@ -79,7 +79,7 @@
         )
 
     def apply(self, held: RouteTable | None) -> tuple[Applied, RouteTable | None]:
-        """The table that a receiver holds afterwards."""
+        """Apply to the table that a receiver holds; returns the table that it holds afterwards."""
         if held is None or is_newer(self.base, held.version):
             return Applied.UNFIT, held
         if not is_newer(self.version, held.version):
@@ -91,7 +91,7 @@
 
 
 def pack_whole(table: RouteTable) -> bytes:
-    """A whole configuration as it travels."""
+    """Encode a complete configuration for sending."""
     packed: bytes = msgpack.packb(table.configuration().to_list())
     return packed
 
@@ -102,33 +102,39 @@
 
 
 class ConfigurationHistory:
-    """The newest version and when each part of it last changed, counted in versions taken."""
+    """The newest version, and when each part of it last changed.
+
+    Times are sequence numbers: the count of versions taken so far.
+    """
 
     def __init__(self) -> None:
         self.table: RouteTable | None = None
-        self._count = 0
-        self._versions: OrderedDict[str, int] = OrderedDict()  # remembered ones, oldest first
-        self._changed: dict[tuple[str, str], int] = {}  # by host and prefix; of removed routes too
-        self._services_changed = 0
-        self._limits_changed = 0
-        self._packed: dict[str, bytes] = {}  # what was packed of the newest version, by base; "": whole
+        self._sequence = 0
+        # Sequence numbers of the remembered versions, oldest first.
+        self._versions: OrderedDict[str, int] = OrderedDict()
+        # By host and prefix, including removed routes.
+        self._route_changed_at: dict[tuple[str, str], int] = {}
+        self._services_changed_at = 0
+        self._limits_changed_at = 0
+        # Encoded updates to the newest version, by base; "" stands for the complete configuration.
+        self._encoded_by_base: dict[str, bytes] = {}
 
     @property
     def version(self) -> str:
         return self.table.version if self.table is not None else ""
 
     def take(self, configuration: Configuration) -> None:
-        """A newer version; what did not change in it is shared with the one before."""
-        self._count += 1
+        """Take a newer version; its unchanged parts are shared with the previous one."""
+        self._sequence += 1
         table = RouteTable(configuration)
-        self.table = table if self.table is None else self._after(self.table, table)
-        self._versions[table.version] = self._count
-        self._packed.clear()
+        self.table = table if self.table is None else self._share_unchanged(self.table, table)
+        self._versions[table.version] = self._sequence
+        self._encoded_by_base.clear()
         if len(self._versions) > MAX_REMEMBERED_VERSIONS:
-            self._forget_oldest()
+            self._drop_oldest_version()
 
-    def _after(self, before: RouteTable, after: RouteTable) -> RouteTable:
-        """The later table, made of the earlier one; notes what changed."""
+    def _share_unchanged(self, before: RouteTable, after: RouteTable) -> RouteTable:
+        """Rebuild the later table from the earlier one, to share unchanged routes, and record what changed."""
         changes: dict[str, dict[str, Route | None]] = {}
         for host in before.hosts.keys() | after.hosts.keys():
             old, new = before.hosts.get(host, {}), after.hosts.get(host, {})
@@ -137,54 +143,62 @@
             for prefix in old.keys() | new.keys():
                 if old.get(prefix) != new.get(prefix):
                     changes.setdefault(host, {})[prefix] = new.get(prefix)
-                    self._changed[(host, prefix)] = self._count
+                    self._route_changed_at[(host, prefix)] = self._sequence
         services: list[Service] | None = list(after.services.values())
         if services == list(before.services.values()):
             services = None
         else:
-            self._services_changed = self._count
+            self._services_changed_at = self._sequence
         if before.limits != after.limits:
-            self._limits_changed = self._count
+            self._limits_changed_at = self._sequence
         return before.with_changes(after.version, changes, services, after.limits)
 
-    def _forget_oldest(self) -> None:
+    def _drop_oldest_version(self) -> None:
         self._versions.popitem(last=False)
-        oldest = next(iter(self._versions.values()))
-        self._changed = {key: count for key, count in self._changed.items() if count > oldest}
+        oldest_sequence = next(iter(self._versions.values()))
+        self._route_changed_at = {
+            key: changed_at
+            for key, changed_at in self._route_changed_at.items()
+            if changed_at > oldest_sequence
+        }
 
     def base_for(self, held: str) -> str:
-        """The newest remembered version that is not above what a receiver holds; empty: it needs the whole."""
+        """The newest remembered version not above the one a receiver holds; "" if it needs the complete one."""
         if held in self._versions:
             return held
         if not held:
             return ""
-        below = [version for version in self._versions if version_number(version) < version_number(held)]
-        return max(below, key=version_number, default="")
+        lower_versions = [
+            version for version in self._versions if version_number(version) < version_number(held)
+        ]
+        return max(lower_versions, key=version_number, default="")
 
     def packed_from(self, base: str) -> tuple[str, bytes]:
-        """What leads a receiver from a version to the newest: (base, update), or ("", whole)."""
+        """What brings a receiver from `base` to the newest version: (base, update), or ("", complete configuration)."""
         assert self.table is not None
-        if base and base not in self._packed:
-            update = self._update(base)
-            size = sum([len(routes) for routes in update.changes.values()])
-            whole = sum([len(routes) for routes in self.table.hosts.values()])
-            self._packed[base] = update.pack() if size <= max(1, MOST_SHARE * whole) else b""
-        if base and self._packed[base]:
-            return base, self._packed[base]
-        if "" not in self._packed:
-            self._packed[""] = pack_whole(self.table)
-        return "", self._packed[""]
-
-    def _update(self, base: str) -> ConfigurationUpdate:
+        if base and base not in self._encoded_by_base:
+            update = self._build_update(base)
+            changed_routes = sum([len(routes) for routes in update.changes.values()])
+            all_routes = sum([len(routes) for routes in self.table.hosts.values()])
+            self._encoded_by_base[base] = (
+                update.pack() if changed_routes <= max(1, MAX_UPDATE_FRACTION * all_routes) else b""
+            )
+        if base and self._encoded_by_base[base]:
+            return base, self._encoded_by_base[base]
+        if "" not in self._encoded_by_base:
+            self._encoded_by_base[""] = pack_whole(self.table)
+        return "", self._encoded_by_base[""]
+
+    def _build_update(self, base: str) -> ConfigurationUpdate:
         table = self.table
         assert table is not None
-        since = self._versions[base]
+        base_sequence = self._versions[base]
         update = ConfigurationUpdate(table.version, base, table.checksum)
-        for (host, prefix), count in self._changed.items():
-            if count > since:
+        for (host, prefix), changed_at in self._route_changed_at.items():
+            if changed_at > base_sequence:
                 update.changes.setdefault(host, {})[prefix] = table.hosts.get(host, {}).get(prefix)
-        if self._services_changed > since:
+        if self._services_changed_at > base_sequence:
             update.services = list(table.services.values())
-        if self._limits_changed > since:
+        if self._limits_changed_at > base_sequence:
             update.limits = table.limits
         return update
--- a/lupinreach/mesh/dispatch.py
+++ b/lupinreach/mesh/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of calls on method and path segments."""
+"""Routing of control interface requests by method and path segments."""
 
 from __future__ import annotations
 
@@ -8,42 +8,42 @@
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.server import HttpRequest, HttpResponse, error_response
 
-ANY_SEGMENT = "*"  # a segment that is handed to the call
+ANY_SEGMENT = "*"  # matches any non-empty segment and passes it to the handler
 
-Call = Callable[..., Awaitable[HttpResponse]]
+RequestHandler = Callable[..., Awaitable[HttpResponse]]
 
 
 @dataclass(frozen=True, slots=True)
-class _Pattern:
+class _Route:
     method: str
     segments: tuple[str, ...]
-    call: Call
+    call: RequestHandler
 
 
 class Dispatcher:
-    """Finds the call for a request: `("POST", "instances", ANY, "heartbeat")` and so on."""
+    """Routes requests to handlers by patterns such as `("POST", "instances", ANY_SEGMENT, "heartbeat")`."""
 
     def __init__(self) -> None:
-        self._patterns: list[_Pattern] = []
+        self._routes: list[_Route] = []
 
-    def add(self, method: str, *segments: str, call: Call) -> None:
-        """Register a call; its `ANY` segments become arguments after the request."""
-        self._patterns.append(_Pattern(method, segments, call))
+    def add(self, method: str, *segments: str, call: RequestHandler) -> None:
+        """Register a handler; segments matched by `ANY_SEGMENT` are its arguments after the request."""
+        self._routes.append(_Route(method, segments, call))
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request by the call that fits it."""
+        """Respond with the matching handler, or with an unknown-call or method-not-allowed error."""
         path = request.target.decode("latin-1").partition("?")[0]
         segments = tuple(path.strip("/").split("/"))
         method = request.method.decode("latin-1")
-        known = False
-        for pattern in self._patterns:
-            arguments = _match(pattern.segments, segments)
+        path_matches = False
+        for route in self._routes:
+            arguments = _match(route.segments, segments)
             if arguments is None:
                 continue
-            known = True
-            if pattern.method == method:
-                return await pattern.call(request, *arguments)
-        return error_response(ErrorKind.METHOD_NOT_ALLOWED if known else ErrorKind.UNKNOWN_CALL)
+            path_matches = True
+            if route.method == method:
+                return await route.call(request, *arguments)
+        return error_response(ErrorKind.METHOD_NOT_ALLOWED if path_matches else ErrorKind.UNKNOWN_CALL)
 
 
 def _match(pattern: tuple[str, ...], segments: tuple[str, ...]) -> list[str] | None:
--- a/lupinreach/mesh/errors.py
+++ b/lupinreach/mesh/errors.py
@@ -1,7 +1,7 @@
-"""The closed list of error kinds, and the table from each kind to the answer that a caller gets.
+"""All error kinds, and the response that a client gets for each.
 
-`surely not run` is the promise that the statuses 408, 421, 429 and 503 make to clients. A kind that can
-apply to a request which may have reached a backend never maps to one of them.
+The statuses 408, 421, 429 and 503 guarantee to clients that the request was not executed. A kind that can apply to a
+request which may have reached a backend never maps to one of them.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 
 
 class ErrorKind(IntEnum):
-    """Everything that can go wrong with a request or an order. Numbers are part of the wire format."""
+    """Why a request or an operator's order failed. The numbers are part of the wire format."""
 
     NONE = 0
-    MALFORMED = 1  # the message is not HTTP/1.1
+    MALFORMED = 1  # not a valid HTTP/1.1 message
     HEAD_TOO_LARGE = 2
     BODY_TOO_LARGE = 3
     NO_REQUEST_ID = 4
     NO_ROUTE = 5
     NOT_CONFIGURED = 6  # this process has no configuration yet
-    NO_BACKEND = 7  # no backend of the service can take it
-    FULL = 8  # every backend that could take it is full
-    OUT_OF_MEMORY = 9  # the budget for buffered bodies is spent
+    NO_BACKEND = 7  # the service has no usable backend
+    FULL = 8  # all usable backends are at capacity
+    OUT_OF_MEMORY = 9  # the budget for buffered bodies is used up
     STOPPING = 10
-    OUTCOME_UNKNOWN = 11  # it may have run, and may not be sent again
+    OUTCOME_UNKNOWN = 11  # it may have been executed, and must not be retried
     TIMED_OUT = 13
     EXPIRED = 14  # its deadline passed before it was sent to a backend
-    UNKNOWN_CALL = 20  # of the control interfaces
+    UNKNOWN_CALL = 20  # no such path on the control interface
     METHOD_NOT_ALLOWED = 21
     INVALID_CONFIGURATION = 22
     INVALID_CALL = 23
@@ -36,17 +36,17 @@
     STORE_UNAVAILABLE = 26
     HEAD_TIMED_OUT = 27
     BODY_TIMED_OUT = 28
-    VERSION_CONFLICT = 29  # the held configuration version has another content
-    PROXY_UNREACHABLE = 30  # the proxy beside the backend that calls does not answer
+    VERSION_CONFLICT = 29  # this version exists already with different content
+    PROXY_UNREACHABLE = 30  # the proxy of the backend that sent the request does not respond
 
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """What a caller is told."""
+    """The response for an error kind."""
 
     status: int
     text: str
-    retry: bool = False  # carries Retry-After
+    retry: bool = False  # whether it carries a Retry-After header
 
 
 ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
@@ -80,26 +80,26 @@
 
 
 class NotTakenReason(IntEnum):
-    """Why a gate did not pass a request to its backend. Numbers are part of the wire format."""
+    """Why a gate did not pass a request to its backend. The numbers are part of the wire format."""
 
-    NO_BACKEND = 1  # none is known, or another instance than was asked for
+    NO_BACKEND = 1  # none is known, or a different instance than requested
     DRAINING = 2
     EVACUATED = 3
-    COLD = 4  # the bound of a cold backend is used up
+    COLD = 4  # the request rate limit of a cold backend is reached
     FULL = 5
-    EXPIRED = 6  # its time ran out in the queue
-    STALE_ROUTE = 7  # a newer configuration does not allow it here
+    EXPIRED = 6  # its deadline passed in the queue
+    STALE_ROUTE = 7  # a newer configuration no longer routes it to this service
     STOPPING = 8
     OUT_OF_MEMORY = 9
-    BACKEND_DECLINED = 10  # the backend said that it did not run it
+    BACKEND_DECLINED = 10  # the backend reported that it did not execute it
 
 
 class AttemptFailure(IntEnum):
-    """How an attempt at a backend failed. Numbers are part of the wire format."""
+    """How an attempt at a backend failed. The numbers are part of the wire format."""
 
-    UNREACHABLE = 1  # no connection came up
-    BROKEN = 2  # the connection ended before the answer was whole
-    GARBLED = 3  # what came is no answer to this request
+    UNREACHABLE = 1  # no connection could be opened
+    BROKEN = 2  # the connection closed before the response was complete
+    GARBLED = 3  # the data received is not a valid response to this request
     TIMED_OUT = 4
-    LINK_LOST = 5  # the link to the other proxy ended
+    LINK_LOST = 5  # the link to the other proxy closed
     SILENT = 6  # the other proxy stopped responding
--- a/lupinreach/mesh/events.py
+++ b/lupinreach/mesh/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events. `docs/events.md` is the catalogue; a number never changes its meaning."""
+"""Numbered log events, described in `docs/events.md`. A number is never reused for another meaning."""
 
 from __future__ import annotations
 
@@ -9,17 +9,15 @@
 
 try:
     import picologging as logging
-except (
-    ImportError
-):  # it has no release for this interpreter; the standard library's module has the same calls
+except ImportError:  # no release for this interpreter; the standard module has the same interface
     import logging
 
 
-LOGGER = "lupinreach.mesh"
+LOGGER_NAME = "lupinreach.mesh"
 
 
 class Event(IntEnum):
-    """All events that the programs of the mesh log."""
+    """All events logged by the programs of the mesh."""
 
     STARTED = 100
     STOPPING = 101
@@ -56,10 +54,10 @@
 
 
 class EventLog:
-    """Writes events of one process as `key=value` lines to standard error.
+    """Writes the events of one process to standard error as `key=value` lines.
 
-    Records go to the handler directly: a picologging logger looks up its caller, and up to 0.9.3 never lets go of
-    the frame that it finds, nor of anything that the frame's functions hold.
+    Records bypass the logger and go straight to the handler: a picologging logger up to 0.9.3 leaks the caller's frame
+    that it looks up, together with every object that the frame references.
     """
 
     def __init__(self, name: str) -> None:
@@ -67,13 +65,13 @@
         self._handler = logging.StreamHandler(sys.stderr)
         self._handler.setFormatter(logging.Formatter("%(message)s"))
 
-    def write(self, event: Event, **facts: Any) -> None:
-        """Log one event with its facts."""
-        told = " ".join([f"{key}={_quoted(value)}" for key, value in facts.items()])
-        line = f"{time.time():.3f} {self._name} E{event:d} {event.name.lower()} {told}".rstrip()
-        self._handler.handle(logging.LogRecord(LOGGER, logging.INFO, "", 0, line, (), None))
+    def write(self, event: Event, **fields: Any) -> None:
+        """Log one event with its fields."""
+        formatted = " ".join([f"{key}={_quote(value)}" for key, value in fields.items()])
+        line = f"{time.time():.3f} {self._name} E{event:d} {event.name.lower()} {formatted}".rstrip()
+        self._handler.handle(logging.LogRecord(LOGGER_NAME, logging.INFO, "", 0, line, (), None))
 
 
-def _quoted(value: Any) -> str:
+def _quote(value: Any) -> str:
     text = str(value)
     return f'"{text}"' if " " in text or not text else text
--- a/lupinreach/mesh/fields.py
+++ b/lupinreach/mesh/fields.py
@@ -1,7 +1,7 @@
-"""Checked reading of small JSON objects: settings and the calls of backends.
+"""Typed reading of small JSON objects: settings, and requests from backends.
 
-The operator's configurations are read by `configuration_check`, which needs a library that costs a process
-4 MB; this reader needs none, and is what proxies and stores load.
+Operators' configurations are read by `configuration_check`, whose decoder library costs a process 4 MB of memory.
+This reader needs no library, so proxies and stores use it.
 """
 
 from __future__ import annotations
@@ -12,71 +12,71 @@
 import orjson
 from result import Err, Ok, Result
 
-Built = TypeVar("Built")
+ParsedT = TypeVar("ParsedT")
 
-_REQUIRED: Any = object()
+_NO_DEFAULT: Any = object()
 
 
 class FieldError(Exception):
-    """A field is missing or does not fit; its text names the key by its path."""
+    """A field is missing or has the wrong type; the message names the path of the key."""
 
 
 class Fields:
-    """One JSON object, read field by field. Fields that nobody asks for are skipped."""
+    """One JSON object, read field by field; unread fields are ignored."""
 
     def __init__(self, values: dict[str, Any], path: str = "") -> None:
         self._values = values
         self._path = path
 
-    def _get(self, name: str, kinds: type | tuple[type, ...], default: Any) -> Any:
-        value = self._values.get(name, _REQUIRED)
-        if value is _REQUIRED or (value is None and default is not _REQUIRED):
-            if default is _REQUIRED:
+    def _get(self, name: str, types: type | tuple[type, ...], default: Any) -> Any:
+        value = self._values.get(name, _NO_DEFAULT)
+        if value is _NO_DEFAULT or (value is None and default is not _NO_DEFAULT):
+            if default is _NO_DEFAULT:
                 raise FieldError(f"{self._path}{name}: missing")
             return default
-        wrong_bool = isinstance(value, bool) and kinds is not bool
-        if wrong_bool or not isinstance(value, kinds):
+        unexpected_bool = isinstance(value, bool) and types is not bool
+        if unexpected_bool or not isinstance(value, types):
             raise FieldError(f"{self._path}{name}: {str(value)[:60]!r} does not fit")
         return value
 
-    def text(self, name: str, default: Any = _REQUIRED) -> Any:
-        """A string."""
+    def text(self, name: str, default: Any = _NO_DEFAULT) -> Any:
+        """A string field."""
         return self._get(name, str, default)
 
-    def integer(self, name: str, default: Any = _REQUIRED) -> Any:
-        """A whole number."""
+    def integer(self, name: str, default: Any = _NO_DEFAULT) -> Any:
+        """An integer field."""
         return self._get(name, int, default)
 
-    def number(self, name: str, default: Any = _REQUIRED) -> Any:
-        """A number of either kind."""
+    def number(self, name: str, default: Any = _NO_DEFAULT) -> Any:
+        """An integer or floating point field."""
         return self._get(name, (int, float), default)
 
-    def flag(self, name: str, default: Any = _REQUIRED) -> Any:
-        """True or false."""
+    def flag(self, name: str, default: Any = _NO_DEFAULT) -> Any:
+        """A boolean field."""
         return self._get(name, bool, default)
 
     def object(self, name: str) -> Fields:
-        """An object inside; empty where it is absent."""
+        """A nested object; empty if the field is absent."""
         return Fields(self._get(name, dict, {}), f"{self._path}{name}.")
 
     def texts(self, name: str) -> list[str]:
-        """A list of strings."""
+        """A required list of strings."""
         return self._list(name, str)
 
     def integers(self, name: str) -> list[int]:
-        """A list of whole numbers."""
+        """A required list of integers."""
         return self._list(name, int)
 
-    def _list(self, name: str, kind: type) -> list[Any]:
-        values: list[Any] = self._get(name, list, _REQUIRED)
+    def _list(self, name: str, item_type: type) -> list[Any]:
+        values: list[Any] = self._get(name, list, _NO_DEFAULT)
         for index, value in enumerate(values):
-            if not isinstance(value, kind):
+            if not isinstance(value, item_type):
                 raise FieldError(f"{self._path}{name}[{index}]: {str(value)[:60]!r} does not fit")
         return values
 
     def text_map(self, name: str) -> dict[str, str]:
-        """An object whose values are strings."""
-        values: dict[str, str] = self._get(name, dict, _REQUIRED)
+        """A required object whose values are strings."""
+        values: dict[str, str] = self._get(name, dict, _NO_DEFAULT)
         for key, value in values.items():
             if not isinstance(value, str):
                 raise FieldError(f"{self._path}{name}.{key}: {str(value)[:60]!r} does not fit")
@@ -84,7 +84,7 @@
 
 
 def parse_object(data: bytes) -> Result[dict[str, Any], str]:
-    """The JSON object in a text, or a complaint."""
+    """Parse a JSON object, or return an error message."""
     try:
         raw = orjson.loads(data)
     except orjson.JSONDecodeError as failed:
@@ -92,12 +92,12 @@
     return Ok(raw) if isinstance(raw, dict) else Err("not a JSON object")
 
 
-def read_object(data: bytes, build: Callable[[Fields], Built]) -> Result[Built, str]:
-    """What `build` makes of a JSON object, or a complaint that names the key."""
+def read_object(data: bytes, build: Callable[[Fields], ParsedT]) -> Result[ParsedT, str]:
+    """Parse a JSON object and convert it with `build`; the error message names the invalid key."""
     parsed = parse_object(data)
     if isinstance(parsed, Err):
         return parsed
     try:
         return Ok(build(Fields(parsed.ok_value)))
-    except FieldError as wrong:
-        return Err(str(wrong))
+    except FieldError as invalid:
+        return Err(str(invalid))
--- a/lupinreach/mesh/instance_calls.py
+++ b/lupinreach/mesh/instance_calls.py
@@ -1,4 +1,4 @@
-"""The calls of backends: heartbeat and sign-off."""
+"""HTTP requests from backends: heartbeat and deregistration."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from lupinreach.mesh.proxy.local_backend import Heartbeat
 from lupinreach.mesh.server import HttpRequest, HttpResponse, error_response
 
-JSON_TYPE = b"Content-Type: application/json\r\n"
+JSON_CONTENT_TYPE_HEADER = b"Content-Type: application/json\r\n"
 
 
 def parse_heartbeat(body: bytes) -> Result[Heartbeat, str]:
-    """A heartbeat, or a complaint that names the key."""
-    return read_object(body, _heartbeat)
+    """Parse a heartbeat; the error message names the invalid key."""
+    return read_object(body, _build_heartbeat)
 
 
-def _heartbeat(fields: Fields) -> Heartbeat:
+def _build_heartbeat(fields: Fields) -> Heartbeat:
     return Heartbeat(
         target_service=fields.text("target_service"),
         address=fields.text("address"),
@@ -35,13 +35,13 @@
 
 
 class InstanceSink(Protocol):
-    """Whoever takes what backends say of themselves."""
+    """Receives heartbeats and deregistrations of backends."""
 
-    async def heartbeat(self, instance_id: str, body: bytes, beat: Heartbeat) -> Result[str, ErrorKind]:
-        """Ok once it is in force, with the address for later heartbeats; empty: this one."""
+    async def heartbeat(self, instance_id: str, body: bytes, heartbeat: Heartbeat) -> Result[str, ErrorKind]:
+        """Returns Ok once it is in effect, with the address for later heartbeats, or "" to keep the present one."""
 
     async def sign_off(self, instance_id: str) -> Result[str, ErrorKind]:
-        """Ok once nothing more is sent to the instance."""
+        """Returns Ok once no more requests are sent to the instance."""
 
 
 def add_instance_calls(dispatcher: Dispatcher, sink: InstanceSink) -> None:
@@ -51,17 +51,17 @@
         parsed = parse_heartbeat(request.body)
         if isinstance(parsed, Err):
             return error_response(ErrorKind.INVALID_CALL, parsed.err_value)
-        return _answer(await sink.heartbeat(instance_id, request.body, parsed.ok_value))
+        return _response(await sink.heartbeat(instance_id, request.body, parsed.ok_value))
 
     async def deregister(request: HttpRequest, instance_id: str) -> HttpResponse:
-        return _answer(await sink.sign_off(instance_id))
+        return _response(await sink.sign_off(instance_id))
 
     dispatcher.add("POST", "instances", ANY_SEGMENT, "heartbeat", call=heartbeat)
     dispatcher.add("POST", "instances", ANY_SEGMENT, "deregister", call=deregister)
 
 
-def _answer(taken: Result[str, ErrorKind]) -> HttpResponse:
+def _response(taken: Result[str, ErrorKind]) -> HttpResponse:
     if isinstance(taken, Err):
         return error_response(taken.err_value)
-    told = {"heartbeat_endpoint": taken.ok_value} if taken.ok_value else {}
-    return HttpResponse(200, JSON_TYPE, orjson.dumps(told))
+    payload = {"heartbeat_endpoint": taken.ok_value} if taken.ok_value else {}
+    return HttpResponse(200, JSON_CONTENT_TYPE_HEADER, orjson.dumps(payload))
--- a/lupinreach/mesh/rendezvous.py
+++ b/lupinreach/mesh/rendezvous.py
@@ -1,4 +1,7 @@
-"""Rendezvous hashing: each process ranks others by a hash of both addresses, so that all together spread evenly."""
+"""Rendezvous hashing: each process ranks its candidate peers by a hash of both addresses.
+
+The ranks of different processes are independent, so the chosen peers are spread evenly.
+"""
 
 from __future__ import annotations
 
@@ -6,5 +9,5 @@
 
 
 def rendezvous_rank(own_address: str, address: str) -> int:
-    """Place of another process in this one's order; the lowest goes first."""
+    """Rank of a peer for this process; the lowest rank is preferred."""
     return crc32(f"{own_address} {address}".encode())
--- a/lupinreach/mesh/route_table.py
+++ b/lupinreach/mesh/route_table.py
@@ -1,4 +1,4 @@
-"""The configuration in force, indexed for requests, and how it goes from one version to a later one."""
+"""The configuration in force, indexed for route lookup, with incremental changes to a later version."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 from lupinreach.mesh.configuration import ConfigLimits, Configuration, Route, Service, VirtualHost
 
-CHECKSUM_BITS = 0xFFFFFFFF
+CHECKSUM_MASK = 0xFFFFFFFF
 
 Routes = dict[str, dict[str, Route]]  # by host in lower case, by path prefix
 
 
 class RouteTable:
-    """One version. It never changes: `with_changes` makes another that shares what stayed the same."""
+    """One immutable version of the configuration.
+
+    `with_changes` builds a later version that shares the unchanged routes with this one.
+    """
 
     def __init__(self, configuration: Configuration) -> None:
         self.version = configuration.version
@@ -30,7 +33,7 @@
                 routes.setdefault(route.path_prefix, route)
 
     def find(self, host: str, target: str) -> Route | None:
-        """The route with the longest prefix of the target's path, or None."""
+        """The route whose prefix is the longest match for the path of the target, or None."""
         prefixes = self.hosts.get(host.lower())
         if prefixes is None and ":" in host:
             prefixes = self.hosts.get(host.lower().rpartition(":")[0])
@@ -39,28 +42,28 @@
         path = target.partition("?")[0]
         end = len(path)
         while end > 0:
-            slash = path.rfind("/", 0, end)
-            if slash < 0:
+            last_slash = path.rfind("/", 0, end)
+            if last_slash < 0:
                 return None
-            route = prefixes.get(path[: slash + 1])
+            route = prefixes.get(path[: last_slash + 1])
             if route is not None:
                 return route
-            end = slash
+            end = last_slash
         return None
 
     def configuration(self) -> Configuration:
-        """All of it, as it travels; routes that another of the same host and prefix hid are left out."""
+        """As a configuration message; routes shadowed by an earlier one of the same host and prefix are left out."""
         hosts = [VirtualHost(host, list(routes.values())) for host, routes in self.hosts.items()]
         return Configuration(self.version, list(self.services.values()), hosts, self.limits)
 
     @property
     def checksum(self) -> int:
-        """Over all routes, services and limits, whatever their order."""
+        """Checksum of all routes, services and limits, independent of the order of the routes."""
         if self._checksum is None:
-            total = settings_checksum(self.services.values(), self.limits)
+            checksum_sum = services_and_limits_checksum(self.services.values(), self.limits)
             for host, routes in self.hosts.items():
-                total += sum([route_checksum(host, route) for route in routes.values()])
-            self._checksum = total & CHECKSUM_BITS
+                checksum_sum += sum([route_checksum(host, route) for route in routes.values()])
+            self._checksum = checksum_sum & CHECKSUM_MASK
         return self._checksum
 
     def with_changes(
@@ -70,41 +73,41 @@
         services: list[Service] | None,
         limits: ConfigLimits | None,
     ) -> RouteTable:
-        """A later version: routes that are added, replaced or (None) removed; services and limits if changed."""
+        """A later version with routes added, replaced or removed (None); services and limits are None if unchanged."""
         table: RouteTable = object.__new__(RouteTable)
         table.version = version
         table.limits = limits if limits is not None else self.limits
         table.services = {s.name: s for s in services} if services is not None else self.services
         table.hosts = dict(self.hosts)
-        total = self.checksum - settings_checksum(self.services.values(), self.limits)
-        total += settings_checksum(table.services.values(), table.limits)
+        checksum_sum = self.checksum - services_and_limits_checksum(self.services.values(), self.limits)
+        checksum_sum += services_and_limits_checksum(table.services.values(), table.limits)
         for host, routes in changes.items():
-            held = dict(table.hosts.get(host, {}))
+            host_routes = dict(table.hosts.get(host, {}))
             for prefix, route in routes.items():
-                before = held.pop(prefix, None)
-                if before is not None:
-                    total -= route_checksum(host, before)
+                replaced = host_routes.pop(prefix, None)
+                if replaced is not None:
+                    checksum_sum -= route_checksum(host, replaced)
                 if route is not None:
-                    held[prefix] = route
-                    total += route_checksum(host, route)
-            if held:
-                table.hosts[host] = held
+                    host_routes[prefix] = route
+                    checksum_sum += route_checksum(host, route)
+            if host_routes:
+                table.hosts[host] = host_routes
             else:
                 table.hosts.pop(host, None)
-        table._checksum = total & CHECKSUM_BITS
+        table._checksum = checksum_sum & CHECKSUM_MASK
         return table
 
 
 def route_checksum(host: str, route: Route) -> int:
-    """Of one route at its host."""
-    return crc32(_packed([host, route.to_list()]))
+    """Checksum of one route under its host."""
+    return crc32(_pack([host, route.to_list()]))
 
 
-def settings_checksum(services: Iterable[Service], limits: ConfigLimits) -> int:
-    """Of what is not a route."""
-    return crc32(_packed([[service.to_list() for service in services], limits.to_list()]))
+def services_and_limits_checksum(services: Iterable[Service], limits: ConfigLimits) -> int:
+    """Checksum of everything except the routes."""
+    return crc32(_pack([[service.to_list() for service in services], limits.to_list()]))
 
 
-def _packed(values: list[Any]) -> bytes:
+def _pack(values: list[Any]) -> bytes:
     packed: bytes = msgpack.packb(values)
     return packed
--- a/lupinreach/mesh/send_window.py
+++ b/lupinreach/mesh/send_window.py
@@ -1,7 +1,7 @@
-"""Bound on what is on its way to one receiver of news.
+"""Flow control for state updates to one receiver.
 
-The sender of a state keeps nothing queued on a link beyond the window: while a receiver is behind, newer states take
-the place of those that were not sent yet, so that a slow link delays the newest by one window at most.
+A sender queues no more than one window of unacknowledged updates on a link. While a receiver is behind, a newer state
+replaces those not sent yet, so a slow link delays the newest state by at most one window.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-WINDOW_BYTES = 16 << 10  # unacknowledged at most; one message of any size is always allowed
+WINDOW_BYTES = 16 << 10  # limit on unacknowledged bytes; a single message of any size is always allowed
 
 
 class SendWindow:
-    """Messages that one receiver has not acknowledged; it acknowledges each once, in their order."""
+    """Unacknowledged messages to one receiver, which acknowledges each one once and in order."""
 
     def __init__(self) -> None:
         self._sizes: deque[int] = deque()
@@ -24,35 +24,35 @@
         return not self._sizes
 
     def allows(self, size: int) -> bool:
-        """If a message of so many bytes may be sent now."""
+        """Whether a message of `size` bytes may be sent now."""
         return self.empty or self._bytes + size <= WINDOW_BYTES
 
     def sent(self, size: int) -> None:
-        """A message was sent."""
+        """Record a sent message."""
         self._sizes.append(size)
         self._bytes += size
 
     def acknowledged(self) -> None:
-        """The oldest one has arrived."""
+        """Record the acknowledgement of the oldest message."""
         if self._sizes:
             self._bytes -= self._sizes.popleft()
 
 
 @dataclass(slots=True)
 class UpdateProgress:
-    """What one receiver of news will hold once all that was sent to it has arrived."""
+    """The state that one receiver will hold once everything sent to it has arrived."""
 
     config_version: str = ""
-    stamp: list[int] = field(default_factory=list)  # of the news that was sent last
+    stamp: list[int] = field(default_factory=list)  # of the last update sent
     window: SendWindow = field(default_factory=SendWindow)
-    acknowledges: bool = True  # receivers of the version before last do not, and have no window
+    acknowledges: bool = True  # false for receivers two releases older, which get no flow control
 
     def allows(self, size: int) -> bool:
-        """If news of so many bytes may be sent now."""
+        """Whether an update of `size` bytes may be sent now."""
         return not self.acknowledges or self.window.allows(size)
 
     def sent(self, size: int, config_version: str, stamp: list[int]) -> None:
-        """News was sent."""
+        """Record a sent update."""
         self.config_version, self.stamp = config_version, stamp
         if self.acknowledges:
             self.window.sent(size)
--- a/lupinreach/mesh/settings.py
+++ b/lupinreach/mesh/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process (JSON, named by `LUPINREACH_SETTINGS`), read and checked."""
+"""Reading and validation of a process's settings file (JSON; its path is in `LUPINREACH_SETTINGS`)."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 SETTINGS_VARIABLE = "LUPINREACH_SETTINGS"
 
 
-CONFIG_MODE_HIGHEST = "highest"  # the highest version of the configuration holds: the only mode there is
+CONFIG_MODE_HIGHEST = "highest"  # the highest configuration version is in force; the only supported mode
 
 
 @dataclass(slots=True)
 class Limits:
-    """What the machine grants the process."""
+    """Resource limits of the process."""
 
     memory_mb: float = 200
     max_file_descriptors: int = 1024
-    bandwidth_mbps: float = 1000  # of the machine's link
+    bandwidth_mbps: float = 1000  # of the machine's network link
 
 
 @dataclass(slots=True)
 class FaultTolerance:
-    """What may be lost at once with every promise kept."""
+    """How many machines, zones and regions may fail at the same time without a guarantee being violated."""
 
     machines: int = 0
     zones: int = 0
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Bounds:
-    """Figures of the rules in force, by the unit in their names."""
+    """Parameters of the service rules in force; times carry their unit in the name."""
 
     contact_ms: float = 3000
     ack_ms: float = 4000
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """The fields that the mesh uses; others are skipped."""
+    """The settings that the mesh uses; unknown keys in the file are ignored."""
 
     node_name: str
     ip_address: str
@@ -76,7 +76,7 @@
     target_service: str | None = None
 
     def listen_address(self, name: str) -> Address:
-        """One of `listen_addresses`; it has been checked."""
+        """The parsed address of that name in `listen_addresses`, which is validated on reading."""
         return parse_address(self.listen_addresses[name])
 
     @property
@@ -93,7 +93,7 @@
 
 
 def read_settings(path: str) -> Result[Settings, str]:
-    """The settings in a file, or a complaint that names the key."""
+    """Read a settings file; the error message names the invalid key."""
     try:
         with open(path, "rb") as file:
             return parse_settings(file.read())
@@ -102,9 +102,9 @@
 
 
 def parse_settings(data: bytes) -> Result[Settings, str]:
-    """The settings in a JSON text, or a complaint that names the key."""
+    """Parse settings from JSON; the error message names the invalid key."""
     read = read_object(data, _read)
-    return _checked(read.ok_value) if isinstance(read, Ok) else read
+    return _validate(read.ok_value) if isinstance(read, Ok) else read
 
 
 def _read(fields: Fields) -> Settings:
@@ -123,7 +123,7 @@
         data_directory=fields.text("data_directory", None),
         heartbeat_ms=fields.number("heartbeat_ms", 1500),
         config_mode=fields.text("config_mode", CONFIG_MODE_HIGHEST),
-        fault_tolerance=_read_tolerance(fields.object("fault_tolerance")),
+        fault_tolerance=_read_fault_tolerance(fields.object("fault_tolerance")),
         bounds=_read_bounds(fields.object("bounds")),
         app_address=fields.text("app_address", None),
         target_service=fields.text("target_service", None),
@@ -131,15 +131,15 @@
 
 
 def _read_limits(fields: Fields) -> Limits:
-    held = Limits()
+    defaults = Limits()
     return Limits(
-        fields.number("memory_mb", held.memory_mb),
-        fields.integer("max_file_descriptors", held.max_file_descriptors),
-        fields.number("bandwidth_mbps", held.bandwidth_mbps),
+        fields.number("memory_mb", defaults.memory_mb),
+        fields.integer("max_file_descriptors", defaults.max_file_descriptors),
+        fields.number("bandwidth_mbps", defaults.bandwidth_mbps),
     )
 
 
-def _read_tolerance(fields: Fields) -> FaultTolerance:
+def _read_fault_tolerance(fields: Fields) -> FaultTolerance:
     return FaultTolerance(
         fields.integer("machines", 0), fields.integer("zones", 0), fields.integer("regions", 0)
     )
@@ -152,7 +152,7 @@
     return bounds
 
 
-def _checked(settings: Settings) -> Result[Settings, str]:
+def _validate(settings: Settings) -> Result[Settings, str]:
     addresses = {f"listen_addresses.{name}": text for name, text in settings.listen_addresses.items()}
     addresses |= {f"seed_nodes[{i}]": text for i, text in enumerate(settings.seed_nodes)}
     if settings.app_address is not None:
@@ -160,8 +160,8 @@
     for key, text in addresses.items():
         try:
             parse_address(text)
-        except ValueError as wrong:
-            return Err(f"{key}: {wrong}")
+        except ValueError as invalid:
+            return Err(f"{key}: {invalid}")
     ports = settings.internal_port_range
     if len(ports) != 2 or ports[1] - ports[0] < 1:
         return Err("internal_port_range: two ports are needed, the second above the first")
@@ -173,5 +173,5 @@
 
 
 def settings_path() -> str | None:
-    """Where the environment says that the settings are."""
+    """Path of the settings file, from the environment; None if the variable is not set."""
     return os.environ.get(SETTINGS_VARIABLE)
--- a/lupinreach/mesh/tasks.py
+++ b/lupinreach/mesh/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks whose failure is reported instead of lost."""
+"""Background tasks whose exceptions are reported instead of lost."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from typing import Any
 
 
-def spawn(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-    """Run work in the background; an exception goes to the loop's handler, which logs it."""
-    task = asyncio.get_running_loop().create_task(work)
-    task.add_done_callback(_report)
+def spawn(coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    """Run a coroutine as a background task; an exception is passed to the loop's handler, which logs it."""
+    task = asyncio.get_running_loop().create_task(coroutine)
+    task.add_done_callback(_report_exception)
     return task
 
 
-def _report(task: asyncio.Task[None]) -> None:
+def _report_exception(task: asyncio.Task[None]) -> None:
     if task.cancelled():
         return
-    fault = task.exception()
-    if fault is not None:
-        task.get_loop().call_exception_handler({"message": "a task failed", "exception": fault})
+    error = task.exception()
+    if error is not None:
+        task.get_loop().call_exception_handler({"message": "a task failed", "exception": error})
--- a/lupinreach/mesh/without_tls.py
+++ b/lupinreach/mesh/without_tls.py
@@ -1,7 +1,7 @@
-"""Imported first by the programs: keeps the interpreter's TLS support out of the process.
+"""Prevents the import of `ssl`; the programs import this module before any other.
 
-The mesh speaks plain TCP between its own machines. asyncio runs without `ssl`; leaving OpenSSL out saves
-4.5 MB of resident memory in every process.
+The mesh uses plain TCP between its machines, and asyncio works without `ssl`. Not loading OpenSSL saves 4.5 MB of
+resident memory per process.
 """
 
 import sys
