--- a/benchmarks/configuration_news.py
+++ b/benchmarks/configuration_news.py
@@ -61,7 +61,7 @@
 def measure(routes: int) -> dict[str, float]:
     """The costs for so many routes."""
     history = ConfigurationHistory()
-    history.take(configuration(routes, 1))
+    history.advance(configuration(routes, 1))
     assert history.table is not None
     held = unpack_whole(pack_whole(history.table))
     held.checksum  # noqa: B018  # a proxy computes it once, with its first update
@@ -69,7 +69,7 @@
     for version in range(2, RUNS + 2):
         newer = configuration(routes, version)
         base = history.version
-        take_ms, _ = timed(lambda newer=newer: history.take(newer))
+        take_ms, _ = timed(lambda newer=newer: history.advance(newer))
         update_ms, (_, packed) = timed(lambda base=base: history.packed_from(base))
         apply_ms, (_, held) = timed(
             lambda packed=packed, held=held: ConfigurationUpdate.unpack(packed).apply(held)
--- a/lupinreach/mesh/configuration_update.py
+++ b/lupinreach/mesh/configuration_update.py
@@ -123,8 +123,8 @@
     def version(self) -> str:
         return self.table.version if self.table is not None else ""
 
-    def take(self, configuration: Configuration) -> None:
-        """Take a newer version; its unchanged parts are shared with the previous one."""
+    def advance(self, configuration: Configuration) -> None:
+        """Advance to a newer version; its unchanged parts are shared with the previous one."""
         self._sequence += 1
         table = RouteTable(configuration)
         self.table = table if self.table is None else self._share_unchanged(self.table, table)
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -217,7 +217,7 @@
         if news.config is not None and is_newer(news.config_version, self.feed.history.version):
             parsed = parse_configuration(news.config)  # it was checked before the store took it
             if isinstance(parsed, Ok):
-                self.feed.history.take(parsed.ok_value)
+                self.feed.history.advance(parsed.ok_value)
         self.feed.publish(news.stamp, news.evacuations)
 
     # Calls.
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -64,7 +64,7 @@
     versions = _drawn(chance, 40)
     history = ConfigurationHistory()
     for version in versions:
-        history.take(version)
+        history.advance(version)
     for first in range(0, 40, 7):
         base, packed = history.packed_from(versions[first].version)
         assert base == versions[first].version
@@ -84,8 +84,8 @@
     before, missed = _configuration(1, routes), _configuration(2, routes | {key: 5.0})
     after = _configuration(3, routes | {("h.example", "/p4/"): 9.0})
     history = ConfigurationHistory()
-    history.take(before)
-    history.take(after)
+    history.advance(before)
+    history.advance(after)
     _, packed = history.packed_from(history.base_for(missed.version))
     assert ConfigurationUpdate.unpack(packed).apply(RouteTable(missed))[0] is Applied.UNFIT
     applied, table = ConfigurationUpdate.unpack(packed).apply(RouteTable(before))
@@ -96,10 +96,10 @@
     versions = _drawn(random.Random(6), MAX_REMEMBERED_VERSIONS + 5)
     history = ConfigurationHistory()
     for version in versions:
-        history.take(version)
+        history.advance(version)
     assert history.base_for(versions[0].version) == "" == history.base_for("")
     assert history.base_for(versions[6].version) == versions[6].version
-    history.take(_configuration(0xFFFF, {("new.example", f"/n{number}/"): 1.0 for number in range(50)}))
+    history.advance(_configuration(0xFFFF, {("new.example", f"/n{number}/"): 1.0 for number in range(50)}))
     base, packed = history.packed_from(versions[-1].version)
     assert base == "" and unpack_whole(packed).version == "0000ffff"
 
@@ -150,7 +150,7 @@
     for sequence, version in enumerate(versions, 1):
         for number, (feed, wire) in enumerate(zip(feeds, wires, strict=True)):
             if chance.random() < 0.7 or sequence == len(versions):
-                feed.history.take(version)
+                feed.history.advance(version)
                 feed.publish([1, sequence], {"za": sequence % 3 == 0})
             if chance.random() < 0.4:
                 wire.flush()
@@ -191,7 +191,7 @@
         feed.join(wire, AgentHello("s1:1", 1, "", [], True))
         routes = {("h.example", f"/p{number}/"): 1.0 for number in range(400)}
         for number in range(1, 50):
-            feed.history.take(_configuration(number, {key: float(number) for key in routes}))
+            feed.history.advance(_configuration(number, {key: float(number) for key in routes}))
             feed.publish([1, number], {})
         assert len(wire.queued) == 1
         feed.acknowledged(wire, NewsAcknowledged([1, 1], "00000001"))
