--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -12,7 +12,7 @@
 from lupinreach.mesh.dispatch import ANY_SEGMENT, Dispatcher
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.events import Event, EventLog
-from lupinreach.mesh.instance_calls import JSON_TYPE, add_instance_calls
+from lupinreach.mesh.instance_calls import JSON_CONTENT_TYPE_HEADER, add_instance_calls
 from lupinreach.mesh.link import Dialer, Link, listen
 from lupinreach.mesh.messages import (
     AgentEntry,
@@ -236,7 +236,7 @@
             return self._refused(result.err_value)
         if not result.ok_value:
             return error_response(ErrorKind.NOT_CONFIGURED, retry_ms=500)
-        return HttpResponse(200, JSON_TYPE, result.ok_value)
+        return HttpResponse(200, JSON_CONTENT_TYPE_HEADER, result.ok_value)
 
     async def _start_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
         return await self._evacuate(OrderKind.START_EVACUATION, zone)
@@ -256,7 +256,7 @@
         if isinstance(result, Err):
             return self._refused(result.err_value)
         self._log.write(Event.ORDER_TAKEN, kind=kind.name.lower(), version=version or "-", zone=zone or "-")
-        return HttpResponse(200, JSON_TYPE, b"{}")
+        return HttpResponse(200, JSON_CONTENT_TYPE_HEADER, b"{}")
 
     def _refused(self, failure: OrderFailure) -> HttpResponse:
         self._log.write(Event.ORDER_REFUSED, why=failure.kind.name.lower(), detail=failure.detail or "-")
