--- a/benchmarks/mesh_slopes.py
+++ b/benchmarks/mesh_slopes.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from lupinreach.mesh.demo import _call
+from lupinreach.mesh.demo import _http_status
 from lupinreach.mesh.link import Link
 from lupinreach.mesh.messages import AgentEntry, AgentHello, Message, News, NewsAcknowledged
 from lupinreach.mesh.settings import SETTINGS_VARIABLE
@@ -142,7 +142,9 @@
         try:
             await asyncio.sleep(1.5)
             rest = memory_mb(registry), memory_mb(store)
-            while await _call(HOST, CONTROL, "POST", "/configuration/replace", configuration(1)) != 200:
+            while (
+                await _http_status(HOST, CONTROL, "POST", "/configuration/replace", configuration(1)) != 200
+            ):
                 await asyncio.sleep(0.2)
             proxies = [Hollow(number) for number in range(count)]
             began = cpu_s(registry)
@@ -161,7 +163,7 @@
             await asyncio.sleep(2.0)
             restart_ms = 1000 * (cpu_s(registry) - before[0]) / RESTARTS
             before = (cpu_s(registry), cpu_s(store))
-            status = await _call(HOST, CONTROL, "POST", "/configuration/replace", configuration(2))
+            status = await _http_status(HOST, CONTROL, "POST", "/configuration/replace", configuration(2))
             force = await until(lambda: all(proxy.version == "00000002" for proxy in proxies), 30.0)
             change = cpu_s(registry) - before[0], cpu_s(store) - before[1]
             print(
