--- a/tests/mesh/scenario.py
+++ b/tests/mesh/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios as text: lines `TIME VERB ARGUMENTS`, played on simulated time; `docs/mesh.md` lists the verbs."""
+"""Interpreter for scenario files, run on simulated time: lines `TIME VERB ARGUMENTS`, described in `docs/mesh.md`."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from mesh.world import World
 
 CONTROL_EVENTS = (Event.VIEW_PROPOSED, Event.PRIMARY_SERVING, Event.PRIMARY_STEPPED_DOWN)
-OF_THE_KILLED = "Task was destroyed but it is pending!"  # a killed process never ends its tasks
+KILLED_TASK_MESSAGE = "Task was destroyed but it is pending!"  # tasks of a killed process never finish
 
 
 class Scenario:
-    """One file."""
+    """One scenario file; `do_*` methods implement its verbs and return a message if an expectation fails."""
 
     def __init__(self, path: Path, folder: Path) -> None:
         self.lines = [line.split("#")[0].split() for line in path.read_text().splitlines()]
@@ -26,6 +26,7 @@
         self._tasks: list[asyncio.Task[Any]] = []
 
     def play(self) -> None:
+        """Run all lines and collect failures."""
         try:
             for number, words in enumerate(self.lines, 1):
                 if not words:
@@ -39,20 +40,22 @@
                     self.failures.append(
                         f"line {number} at {self.world.now:.2f} s: {' '.join(words)}: {problem}"
                     )
-            faults = [fault for fault in self.world.loop.faults if fault.get("message") != OF_THE_KILLED]
+            faults = [
+                fault for fault in self.world.loop.faults if fault.get("message") != KILLED_TASK_MESSAGE
+            ]
             self.failures += [f"fault: {fault}" for fault in faults]
         finally:
             self.world.end()
 
-    def story(self) -> list[str]:
-        """What the stores decided, in order, without what chance names."""
+    def control_events(self) -> list[str]:
+        """The decisions of the stores in order, without randomly drawn identities."""
         return [f"{name} {event.name}" for _, name, event, _ in self.world.story if event in CONTROL_EVENTS]
 
-    def _spawn(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         with self.world.loop.owned_by(0):
             self._tasks.append(self.world.loop.create_task(work))
 
-    # The world.
+    # Topology and faults.
 
     def do_core(self, host: str, zone: str) -> None:
         self.world.add_core(host, zone)
@@ -93,21 +96,21 @@
         self.world.full_disks.discard(host)
 
     def do_clock(self, host: str, seconds: str) -> None:
-        """The host's time of day, from now on."""
+        """Step the wall clock of a host."""
         self.world.clock_steps[host] = float(seconds)
 
     def do_stop(self, host: str) -> None:
-        """SIGTERM at a core machine, and its end."""
+        """SIGTERM to the programs of a core machine, which ends once they have stopped."""
         programs = [self.world.programs[(host, role)] for role in self.world.roles(host)]
 
         async def stop() -> None:
             await asyncio.gather(*(program.stop() for program in programs))
             self.world.kill(host)
 
-        self._spawn(stop())
+        self._start_task(stop())
 
     def do_link(self, host: str, bytes_per_s: str) -> None:
-        """The link into a host carries so much, and queues the rest."""
+        """Limit the bandwidth of the link into a host; excess data is queued."""
         self.world.loop.rates[host] = float(bytes_per_s)
 
     def do_heal(self) -> None:
@@ -121,39 +124,39 @@
             await program.stop()
             self.world.kill(host)
 
-        self._spawn(stop())
+        self._start_task(stop())
 
     # Orders and requests.
 
     def do_order(self, host: str, version: str, *options: str) -> None:
-        given: dict[str, Any] = dict(option.split("=") for option in options)
-        name = given.pop("as", version)
+        parameters: dict[str, Any] = dict(option.split("=") for option in options)
+        name = parameters.pop("as", version)
 
         async def order() -> None:
-            self.statuses[name] = await self.world.order(host, version, **given)
+            self.statuses[name] = await self.world.order(host, version, **parameters)
 
-        self._spawn(order())
+        self._start_task(order())
 
     def do_orders(self, host: str, first: str, count: str, every: str, *options: str) -> None:
-        """Many configurations, one after the other."""
-        given: dict[str, Any] = dict(option.split("=") for option in options)
+        """Send `count` configurations one after the other, `every` seconds apart."""
+        parameters: dict[str, Any] = dict(option.split("=") for option in options)
 
         async def send() -> None:
             for number in range(int(first, 16), int(first, 16) + int(count)):
-                await self.world.order(host, f"{number:08x}", **given)
+                await self.world.order(host, f"{number:08x}", **parameters)
                 await asyncio.sleep(float(every))
 
-        self._spawn(send())
+        self._start_task(send())
 
     def do_read(self, host: str, name: str) -> None:
-        """An operator reads the configuration back."""
+        """Read the configuration back as an operator."""
 
         async def read() -> None:
             status, body = await self.world.call(host, 8306, "GET", "/configuration/describe")
             self.statuses[name] = status
             self.reads[name] = body
 
-        self._spawn(read())
+        self._start_task(read())
 
     def do_evacuate(self, host: str, zone: str, verb: str) -> None:
         async def order() -> None:
@@ -161,26 +164,26 @@
                 await self.world.call(host, 8306, "POST", f"/evacuations/{zone}/{verb}")
             )[0]
 
-        self._spawn(order())
+        self._start_task(order())
 
     def do_ask(self, host: str, path: str, request_id: str, *options: str) -> None:
-        given = dict(option.split("=") for option in options)
+        parameters = dict(option.split("=") for option in options)
         method = "POST" if path.startswith("/unsafe") else "GET"
-        deadline = int(given.get("deadline", 2000))
-        size = int(given.get("bytes", 1))
-        for index in range(int(given.get("times", 1))):
-            name = request_id if "times" not in given else f"{request_id}{index}"
-            self._spawn(self.world.ask(host, path, name, deadline, method, size))
+        deadline = int(parameters.get("deadline", 2000))
+        size = int(parameters.get("bytes", 1))
+        for index in range(int(parameters.get("times", 1))):
+            name = request_id if "times" not in parameters else f"{request_id}{index}"
+            self._start_task(self.world.ask(host, path, name, deadline, method, size))
 
     def do_stream(self, host: str, path: str, prefix: str, per_s: str, seconds: str) -> None:
-        """Requests at an even pace, `prefix0`, `prefix1`, ..."""
+        """Send requests at a constant rate, with ids `prefix0`, `prefix1`, ..."""
 
         async def send() -> None:
             for index in range(int(float(per_s) * float(seconds))):
-                self._spawn(self.world.ask(host, path, f"{prefix}{index}"))
+                self._start_task(self.world.ask(host, path, f"{prefix}{index}"))
                 await asyncio.sleep(1 / float(per_s))
 
-        self._spawn(send())
+        self._start_task(send())
 
     # Backends.
 
@@ -192,13 +195,13 @@
         async def beat() -> None:
             self.statuses[f"beat-{host}"] = await self.world.beat(host, via)
 
-        self._spawn(beat())
+        self._start_task(beat())
 
     def do_sign_off(self, host: str, via: str) -> None:
         async def sign_off() -> None:
             self.statuses[f"sign-off-{host}"] = await self.world.sign_off(host, via)
 
-        self._spawn(sign_off())
+        self._start_task(sign_off())
 
     def do_crash(self, host: str) -> None:
         self.world.stop_backend(host)
@@ -215,12 +218,12 @@
         return None if str(found) in statuses else f"found {found}"
 
     def do_expect_read(self, name: str, version: str, text: str = "") -> str | None:
-        """What was read back holds a version, and a text."""
+        """The configuration read back has that version and contains `text`."""
         found = self.reads.get(name, b"").decode()
         return None if f'"version":"{version}"' in found and text in found else f"found {found[:80]!r}"
 
     def do_expect_one_of(self, status: str, *names: str) -> str | None:
-        """Exactly one of the orders got a status."""
+        """Exactly one of the orders got the status."""
         found = [self.statuses.get(name) for name in names]
         return None if [str(one) for one in found].count(status) == 1 else f"found {found}"
 
@@ -229,8 +232,8 @@
         found = sorted(voter.host for voter in view.voters)
         return None if found == sorted(hosts) else f"found {found}"
 
-    def do_expect_copies(self, least: str, version: str) -> str | None:
-        """So many stores at least are complete copies of the newest view and hold a version."""
+    def do_expect_copies(self, minimum: str, version: str) -> str | None:
+        """At least that many stores are complete replicas of the newest view and hold the version."""
         replicas = [p.replica for (_, role), p in self.world.programs.items() if role == "store"]
         newest = max(replica.view.epoch for replica in replicas)
         held = [
@@ -238,15 +241,15 @@
             for replica in replicas
             if replica.view.epoch == newest and replica._may_propose and replica.document.version == version
         ]
-        return None if len(held) >= int(least) else f"found {held}"
+        return None if len(held) >= int(minimum) else f"found {held}"
 
     def do_expect_disk_at_most(self, host: str, kilobytes: str) -> str | None:
         found = sum(file.stat().st_size for file in (self.world.folder / host).iterdir()) / 1024
         return None if found <= float(kilobytes) else f"found {found:.0f} KB"
 
     def do_expect_within(self, request_id: str, seconds: str) -> str | None:
-        _, took = self.world.answers.get(request_id, (0, 999.0))
-        return None if took <= float(seconds) else f"took {took:.3f}"
+        _, duration_s = self.world.answers.get(request_id, (0, 999.0))
+        return None if duration_s <= float(seconds) else f"took {duration_s:.3f}"
 
     def do_expect_runs(self, request_id: str, *counts: str) -> str | None:
         found = self.world.runs(request_id)
@@ -262,7 +265,7 @@
         return None if found == version else f"found {found!r}"
 
     def do_expect_in_force_within(self, host: str, seconds: str) -> str | None:
-        """Each version was in force at a proxy so soon after its commit, or a higher one was."""
+        """Each committed version, or a higher one, was in force at a proxy within the given time."""
         committed: dict[str, float] = {}
         applied = []
         for at, name, event, facts in self.world.story:
@@ -279,14 +282,14 @@
         return f"{len(late)} of {len(lags)} late, most {max(late.values())} s" if late else None
 
     def do_expect_registry_zones(self, host: str, own: str, *others: str) -> str | None:
-        """A proxy holds a link into its own zone, and one into another."""
+        """A proxy has one registry link into its own zone and one into another zone."""
         held = self.world.programs[(host, "proxy")]._registries._held
         found = sorted(self.world.zones[one.address.partition(":")[0]] for one in held)
         ok = len(found) == 2 and own in found and set(found) <= {own, *others} and len(set(found)) == 2
         return None if ok else f"found {found}"
 
     def do_expect_kept(self, version: str) -> str | None:
-        """The newest configuration that a primary acknowledges."""
+        """The newest committed configuration of the primary has that version."""
         for (_, role), program in self.world.programs.items():
             if role == "store" and program.replica.serving and program.replica.committed is not None:
                 found = program.replica.committed.version
@@ -294,42 +297,42 @@
         return "no primary"
 
     def do_expect_registered(self, registry: str, host: str) -> str | None:
-        """A registry knows the backend that is beside a proxy now."""
+        """A registry has exactly the current backend of a proxy in its table."""
         instance = self.world.backends[host].instance
         entries = self.world.programs[(registry, "registry")].agents.entries()
         found = [entry.instance_id for entry in entries if entry.address.startswith(f"{host}:")]
         return None if found == [instance] else f"found {found}, not {instance}"
 
-    def do_expect_most_running(self, host: str, most: str) -> str | None:
+    def do_expect_most_running(self, host: str, maximum: str) -> str | None:
         found = self.world.backends[host].most_running
-        return None if found <= int(most) else f"found {found}"
+        return None if found <= int(maximum) else f"found {found}"
 
-    def do_expect_arrivals(self, host: str, most: str) -> str | None:
-        """At most so many in any sliding second."""
+    def do_expect_arrivals(self, host: str, maximum: str) -> str | None:
+        """The backend received at most that many requests in any sliding window of one second."""
         times = self.world.backends[host].arrived
         found = max((sum(t <= other < t + 1.0 for other in times) for t in times), default=0)
-        return None if found <= int(most) else f"found {found}"
+        return None if found <= int(maximum) else f"found {found}"
 
-    def do_expect_served(self, prefix: str, least: str) -> str | None:
+    def do_expect_served(self, prefix: str, minimum: str) -> str | None:
         found = sum(
             status == 200 for name, (status, _) in self.world.answers.items() if name.startswith(prefix)
         )
-        return None if found >= int(least) else f"found {found}"
+        return None if found >= int(minimum) else f"found {found}"
 
-    def do_expect_event(self, name: str, host: str, least: str) -> str | None:
-        """A program of a host has logged an event so many times at least."""
+    def do_expect_event(self, name: str, host: str, minimum: str) -> str | None:
+        """Programs of a host have logged the event at least that many times."""
         found = sum(e.name.lower() == name and of.startswith(f"{host}/") for _, of, e, _ in self.world.story)
-        return None if found >= int(least) else f"found {found}"
+        return None if found >= int(minimum) else f"found {found}"
 
     def do_expect_answered(self, prefix: str) -> str | None:
-        """Nobody was left without an answer."""
+        """Every request with the prefix got a response."""
         lost = [
             name for name, (status, _) in self.world.answers.items() if name.startswith(prefix) and not status
         ]
         return f"no answer for {lost[:5]}" if lost else None
 
     def do_expect_no_cut(self, prefix: str) -> str | None:
-        """Whoever got no answer was not served either: its proxy did not read the request."""
+        """Requests without a response were not executed either: the proxy did not read them."""
         names = [
             name for name, (status, _) in self.world.answers.items() if name.startswith(prefix) and not status
         ]
@@ -337,7 +340,7 @@
         return f"cut {cut}" if cut else None
 
     def do_expect_refused_unrun(self, prefix: str) -> str | None:
-        """Each was served, or refused (503) without having run: no outcome is unknown."""
+        """Each request was served, or rejected with 503 without being executed; no outcome is unknown."""
         found = {
             name: status
             for name, (status, _) in self.world.answers.items()
--- a/tests/mesh/soak.py
+++ b/tests/mesh/soak.py
@@ -1,7 +1,7 @@
-"""A soak on simulated time: clients on kept connections, signals, restarts and changes in series and overlapping.
+"""Soak test on simulated time: clients on persistent connections, signals, restarts and changes, also overlapping.
 
-A soak is named by its seed and is the same each time. Clients use an open connection until its process is gone. What
-each of them saw, and what the backends ran, is judged; `python -m mesh.soak FIRST COUNT [PROXIES]` plays many by hand.
+A soak is reproducible from its seed. Clients keep using a connection until its process ends. The responses that they
+get are checked against what the backends executed. `python -m mesh.soak FIRST COUNT [PROXIES]` runs many soaks.
 """
 
 from __future__ import annotations
@@ -21,61 +21,67 @@
 from lupinreach.mesh.events import Event
 from mesh.world import CONTROL, OUTBOUND, World
 
-BEGINS_S, TROUBLED_S, CALM_S = 3.0, 30.0, 12.0
-IN_FORCE_S = 2.0  # after its acknowledgement a version is in force at calm proxies
-TOUCH_S = 3.0  # so long after trouble a proxy counts as calm again
-GRACE_S = 6.0
-SLACK_S = 1.0  # an answer may come so long after the deadline
+WARM_UP_S, DISTURBED_S, QUIET_S = 3.0, 30.0, 12.0
+CONFIG_APPLY_LIMIT_S = 2.0  # from the acknowledgement of a version until undisturbed proxies must apply it
+RECOVERY_MARGIN_S = 3.0  # after a disturbance, until a proxy counts as undisturbed again
+GRACE_PERIOD_S = 6.0
+RESPONSE_MARGIN_S = 1.0  # how long after the deadline a response may still arrive
 DEADLINE_MS = 2000
-PROMISES = (408, 421, 429, 503)  # surely not run
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # guarantee that the request was not executed
 ZONES = ("za", "zb", "zc")
 PLANNED = ("term", "hup")
 UNPLANNED = ("kill", "freeze", "reset", "core_kill", "core_freeze")
 CHANGES = ("order", "order", "order", "evacuate")
 FAULTS = ("replace_backend", "crash_backend")
-WORK_MS = (20, 100, 300)
+SERVICE_TIMES_MS = (20, 100, 300)
 
 
 @dataclass
-class Try:
-    """One request of a client."""
+class RequestRecord:
+    """One request of a client and its outcome."""
 
     request_id: str
     host: str
     path: str
-    sent: float
-    status: int = 0  # 0: its connection ended without an answer
-    ended: float = 0.0
+    sent_at: float
+    status: int = 0  # 0: the connection closed without a response; -1: no response in time
+    ended_at: float = 0.0
     connected: bool = False
 
 
 @dataclass
 class Change:
-    """A configuration that was sent."""
+    """A configuration that was sent by the operator."""
 
     version: str
     paths: frozenset[str]
-    acked: float = 0.0
+    acknowledged_at: float = 0.0  # simulated time; 0: not acknowledged
 
 
 @dataclass
 class Soak:
-    """One play."""
+    """One soak run."""
 
     seed: int
     folder: Path
     proxies: int = 6
-    broken: list[str] = field(default_factory=list)
-    tries: list[Try] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
+    records: list[RequestRecord] = field(default_factory=list)
     changes: list[Change] = field(default_factory=list)
-    troubled: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # by host: from, to
-    ran_before: list[str] = field(default_factory=list)  # by backends that were replaced
+    disturbances: dict[str, list[tuple[float, float]]] = field(
+        default_factory=dict
+    )  # by host: start and end of each
+    executed_by_replaced: list[str] = field(
+        default_factory=list
+    )  # request ids executed by backends that were replaced
     tasks: list[asyncio.Task[Any]] = field(default_factory=list)
-    busy: set[str] = field(default_factory=set)  # hosts with a signal, a kill or a freeze under way
+    busy: set[str] = field(
+        default_factory=set
+    )  # hosts with a signal, kill or freeze in progress; "evacuation" while one is in progress
 
-    def play(self) -> list[str]:
-        """Play it, and say what broke."""
-        self.chance = random.Random(self.seed)
+    def run(self) -> list[str]:
+        """Run the soak and return the violations found."""
+        self.rng = random.Random(self.seed)
         self.world = world = World(self.folder, self.seed)
         try:
             for number, zone in enumerate(ZONES, 1):
@@ -86,22 +92,22 @@
             for host in list(world.zones):
                 world.start(host)
             for backend in world.backends.values():
-                backend.work_ms = self.chance.choice(WORK_MS)
+                backend.work_ms = self.rng.choice(SERVICE_TIMES_MS)
             world.first = False
-            world.run_until(BEGINS_S)
-            self._begin(self._do_order())
-            world.run_until(BEGINS_S + 1.0)
+            world.run_until(WARM_UP_S)
+            self._start_task(self._do_order())
+            world.run_until(WARM_UP_S + 1.0)
             for host in world.backends:
                 for _ in range(2):
-                    self._begin(self._client(host))
-            self._begin(self._trouble())
-            world.run_until(BEGINS_S + TROUBLED_S + CALM_S)
-            self._judge()
+                    self._start_task(self._client(host))
+            self._start_task(self._inject_events())
+            world.run_until(WARM_UP_S + DISTURBED_S + QUIET_S)
+            self._check_results()
         finally:
             world.end()
-        return self.broken
+        return self.violations
 
-    def _begin(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         with self.world.loop.owned_by(0):
             task = self.world.loop.create_task(work)
             self.tasks.append(task)
@@ -109,19 +115,19 @@
     # Clients.
 
     async def _client(self, host: str) -> None:
-        """Requests one after the other, on one connection for as long as it lasts."""
+        """Send requests one after the other, on one connection until it closes."""
         connection: BackendConnection | None = None
         while True:
-            await asyncio.sleep(self.chance.expovariate(6.0))
-            path = self._drawn_path()
-            made = Try(f"q{len(self.tries)}", host, path, self.world.now)
-            self.tries.append(made)
+            await asyncio.sleep(self.rng.expovariate(6.0))
+            path = self._random_path()
+            record = RequestRecord(f"q{len(self.records)}", host, path, self.world.now)
+            self.records.append(record)
             if connection is None or not connection.reusable:
                 connection = await self._connect(host)
             if connection is not None:
-                made.connected = True
-                await self._send(connection, made)
-            made.ended = self.world.now
+                record.connected = True
+                await self._send(connection, record)
+            record.ended_at = self.world.now
 
     async def _connect(self, host: str) -> BackendConnection | None:
         connection = BackendConnection()
@@ -133,156 +139,158 @@
             return None
         return connection
 
-    async def _send(self, connection: BackendConnection, made: Try) -> None:
+    async def _send(self, connection: BackendConnection, record: RequestRecord) -> None:
         lines = (
-            f"Lupinreach-Request-Id: {made.request_id}\r\nLupinreach-Request-Deadline: {DEADLINE_MS}\r\n"
+            f"Lupinreach-Request-Id: {record.request_id}\r\nLupinreach-Request-Deadline: {DEADLINE_MS}\r\n"
         ).encode()
-        unsafe = made.path.startswith("/unsafe")
-        body = b"x" * self.chance.choice([1, 1, 40_000]) if unsafe else b""
+        unsafe = record.path.startswith("/unsafe")
+        body = b"x" * self.rng.choice([1, 1, 40_000]) if unsafe else b""
         method = b"POST" if unsafe else b"GET"
-        head = request(method, f"{made.path}x".encode(), (lines,), b"h.example", len(body))
+        head = request(method, f"{record.path}x".encode(), (lines,), b"h.example", len(body))
         try:
-            async with asyncio.timeout(DEADLINE_MS / 1000 + SLACK_S):
-                made.status = (await connection.probe(head + body)).head.start_line[2]
+            async with asyncio.timeout(DEADLINE_MS / 1000 + RESPONSE_MARGIN_S):
+                record.status = (await connection.probe(head + body)).head.start_line[2]
         except AttemptError:
             connection.close()
         except TimeoutError:
-            made.status = -1
+            record.status = -1
             connection.close()
 
-    def _drawn_path(self) -> str:
+    def _random_path(self) -> str:
         newest = sorted(self.changes[-1].paths) if self.changes else []
-        return self.chance.choice(["/safe/", "/unsafe/", *newest[-3:]])
+        return self.rng.choice(["/safe/", "/unsafe/", *newest[-3:]])
 
     # Operators.
 
     async def _do_order(self) -> None:
-        """Add a route, and at times take one away; sent to any registry until it is taken."""
+        """Add a route and sometimes remove one; resend to random registries until the change is accepted."""
         paths = set(self.changes[-1].paths) if self.changes else set()
         number = len(self.changes) + 1
-        if len(paths) > 2 and self.chance.random() < 0.4:
-            paths.discard(self.chance.choice(sorted(paths)))
+        if len(paths) > 2 and self.rng.random() < 0.4:
+            paths.discard(self.rng.choice(sorted(paths)))
         change = Change(f"{number:08x}", frozenset(paths | {f"/added{number}/"}))
         self.changes.append(change)
         text = _configuration(change)
         for _ in range(60):
-            core = self.chance.choice(self.world.cores)
+            core = self.rng.choice(self.world.cores)
             status, _ = await self.world.call(core, CONTROL, "POST", "/configuration/replace", text)
             if status == 200:
-                change.acked = self.world.now
+                change.acknowledged_at = self.world.now
                 return
             if 400 <= status < 500:
-                self.broken.append(f"order {change.version} refused with {status}")
+                self.violations.append(f"order {change.version} rejected with {status}")
                 return
             await asyncio.sleep(0.2)
-        self.broken.append(f"order {change.version} was not taken in {self.world.now:.1f} s")
+        self.violations.append(f"order {change.version} was not accepted by {self.world.now:.1f} s")
 
-    # Troubles.
+    # Injected events.
 
-    async def _trouble(self) -> None:
-        """Things happen at any moment, also on top of each other; in soaks of odd seeds planned ones alone."""
+    async def _inject_events(self) -> None:
+        """Start events at random times, also overlapping; soaks with an odd seed have planned events and changes only."""
         kinds = [*PLANNED * 3, *CHANGES] if self.seed % 2 else [*PLANNED * 3, *UNPLANNED, *CHANGES, *FAULTS]
-        while self.world.now < BEGINS_S + TROUBLED_S:
-            kind = self.chance.choice(kinds)
-            self._begin(getattr(self, f"_do_{kind}")())
-            await asyncio.sleep(self.chance.choice([0.0, 0.1, 0.3, 0.6, 1.2]))
-
-    def _free_host(self, hosts: list[str]) -> str | None:
-        """One whose process runs, unless half of them are under way already."""
-        free = [host for host in hosts if host not in self.busy and (host, "proxy") in self.world.programs]
-        half = len(self.busy & set(hosts)) * 2 < len(hosts)
-        return self.chance.choice(free) if free and half else None
+        while self.world.now < WARM_UP_S + DISTURBED_S:
+            kind = self.rng.choice(kinds)
+            self._start_task(getattr(self, f"_do_{kind}")())
+            await asyncio.sleep(self.rng.choice([0.0, 0.1, 0.3, 0.6, 1.2]))
+
+    def _pick_free_host(self, hosts: list[str]) -> str | None:
+        """A random host whose proxy runs undisturbed; None while half of the hosts are busy."""
+        free_hosts = [
+            host for host in hosts if host not in self.busy and (host, "proxy") in self.world.programs
+        ]
+        below_half = len(self.busy & set(hosts)) * 2 < len(hosts)
+        return self.rng.choice(free_hosts) if free_hosts and below_half else None
 
     async def _do_term(self) -> None:
-        """SIGTERM; the process ends when it is done, at the latest by SIGKILL, and starts again."""
-        host = self._free_host(sorted(self.world.backends))
+        """SIGTERM, then SIGKILL after the grace period if still running, then a restart."""
+        host = self._pick_free_host(sorted(self.world.backends))
         if host is None:
             return
         self.busy.add(host)
         program, owner = self.world.programs[(host, "proxy")], self.world.owners[(host, "proxy")]
         with self.world.loop.owned_by(owner):
             stopping = self.world.loop.create_task(program.stop())
-        await asyncio.wait([stopping], timeout=GRACE_S)
+        await asyncio.wait([stopping], timeout=GRACE_PERIOD_S)
         self.world.kill(host)
-        await asyncio.sleep(self.chance.choice([0.1, 0.5, 1.5]))
+        await asyncio.sleep(self.rng.choice([0.1, 0.5, 1.5]))
         self._start_proxy(host)
         self.busy.discard(host)
 
     def _start_proxy(self, host: str) -> None:
-        """The machine's processes start; its backend is another process and runs on."""
+        """Restart the processes of the mesh on a machine; its backend is a separate process and keeps running."""
         self.world.story.append((self.world.now, f"{host}/proxy", Event.STARTED, {}))
         self.world.start(host, with_backend=False)
 
     async def _do_hup(self) -> None:
-        host = self.chance.choice(sorted(self.world.backends))
+        host = self.rng.choice(sorted(self.world.backends))
         program = self.world.programs.get((host, "proxy"))
         if program is not None:
             program.settings_changed(self.world.settings(host))
 
-    def _unplanned(self, host: str, seconds: float) -> None:
-        began = self.world.now
-        self.troubled.setdefault(host, []).append((began, began + seconds))
+    def _record_disturbance(self, host: str, seconds: float) -> None:
+        started_at = self.world.now
+        self.disturbances.setdefault(host, []).append((started_at, started_at + seconds))
 
     async def _do_kill(self) -> None:
-        host = self._free_host(sorted(self.world.backends))
+        host = self._pick_free_host(sorted(self.world.backends))
         if host is not None:
-            await self._kill(host)
+            await self._kill_and_restart(host)
 
     async def _do_core_kill(self) -> None:
-        host = self._free_core()
+        host = self._pick_free_core()
         if host is not None:
-            await self._kill(host)
+            await self._kill_and_restart(host)
 
-    def _free_core(self) -> str | None:
-        """One core machine may be lost at once."""
-        return None if self.busy & set(self.world.cores) else self.chance.choice(self.world.cores)
+    def _pick_free_core(self) -> str | None:
+        """A random core machine; None while one is busy, since only one may fail at a time."""
+        return None if self.busy & set(self.world.cores) else self.rng.choice(self.world.cores)
 
-    async def _kill(self, host: str) -> None:
+    async def _kill_and_restart(self, host: str) -> None:
         self.busy.add(host)
-        down_s = self.chance.choice([0.1, 1.0, 3.0])
-        self._unplanned(host, down_s)
+        down_s = self.rng.choice([0.1, 1.0, 3.0])
+        self._record_disturbance(host, down_s)
         self.world.kill(host)
         await asyncio.sleep(down_s)
         self._start_proxy(host)
         if host in self.world.cores:
-            await asyncio.sleep(4.0)  # until it has caught up
+            await asyncio.sleep(4.0)  # until its store has caught up
         self.busy.discard(host)
 
     async def _do_freeze(self) -> None:
-        host = self._free_host(sorted(self.world.backends))
+        host = self._pick_free_host(sorted(self.world.backends))
         if host is not None:
-            await self._freeze(host)
+            await self._freeze_for_a_while(host)
 
     async def _do_core_freeze(self) -> None:
-        host = self._free_core()
+        host = self._pick_free_core()
         if host is not None:
-            await self._freeze(host)
+            await self._freeze_for_a_while(host)
 
-    async def _freeze(self, host: str) -> None:
+    async def _freeze_for_a_while(self, host: str) -> None:
         self.busy.add(host)
-        seconds = self.chance.choice([0.3, 1.0, 2.5])
-        self._unplanned(host, seconds)
+        seconds = self.rng.choice([0.3, 1.0, 2.5])
+        self._record_disturbance(host, seconds)
         self.world.freeze(host, seconds)
         await asyncio.sleep(seconds + (4.0 if host in self.world.cores else 0.0))
         self.busy.discard(host)
 
     async def _do_reset(self) -> None:
-        """Half of a host's connections are reset."""
-        host = self.chance.choice(sorted(self.world.zones))
-        self._unplanned(host, 0.0)
+        """Reset about half of the connections of a host."""
+        host = self.rng.choice(sorted(self.world.zones))
+        self._record_disturbance(host, 0.0)
         for transport in list(self.world.loop.transports):
-            if transport.open and transport.host == host and self.chance.random() < 0.5:
+            if transport.open and transport.host == host and self.rng.random() < 0.5:
                 transport.abort()
         self.world.loop.transports = [one for one in self.world.loop.transports if one.open]
 
     async def _do_evacuate(self) -> None:
-        zone = self.chance.choice(ZONES)
+        zone = self.rng.choice(ZONES)
         if "evacuation" in self.busy:
             return
         self.busy.add("evacuation")
         for verb, pause_s in (("start", 3.0), ("stop", 1.0)):
             for _ in range(40):
-                core = self.chance.choice(self.world.cores)
+                core = self.rng.choice(self.world.cores)
                 if (await self.world.call(core, CONTROL, "POST", f"/evacuations/{zone}/{verb}"))[0] == 200:
                     break
                 await asyncio.sleep(0.2)
@@ -290,90 +298,106 @@
         self.busy.discard("evacuation")
 
     async def _do_replace_backend(self) -> None:
-        host = self.chance.choice(sorted(self.world.backends))
-        self._new_instance(host)
+        host = self.rng.choice(sorted(self.world.backends))
+        self._replace_instance(host)
         if (host, "backend") in self.world.owners:
             self.world.stop_backend(host)
         self.world.start_backend(host)
 
-    def _new_instance(self, host: str) -> None:
-        """Another backend takes the place of one, whose runs still count."""
+    def _replace_instance(self, host: str) -> None:
+        """Replace the backend of a host; requests executed by the old one still count."""
         old = self.world.backends[host]
-        self.ran_before += old.ran
+        self.executed_by_replaced += old.ran
         self.world.new_instance(host)
         self.world.backends[host].work_ms = old.work_ms
 
     async def _do_crash_backend(self) -> None:
-        host = self.chance.choice(sorted(self.world.backends))
+        host = self.rng.choice(sorted(self.world.backends))
         if (host, "backend") not in self.world.owners:
             return
         self.world.stop_backend(host)
-        self._unplanned(host, 2.0)
+        self._record_disturbance(host, 2.0)
         await asyncio.sleep(2.0)
         if (host, "backend") not in self.world.owners:
-            self._new_instance(host)
+            self._replace_instance(host)
             self.world.start_backend(host)
 
-    # Judgement.
+    # Checks.
 
-    def _calm(self, host: str, since: float, until: float) -> bool:
-        """No unplanned trouble at a host, or at any core machine, from shortly before to the end."""
-        spans = [span for of in (host, *self.world.cores) for span in self.troubled.get(of, [])]
-        return not any(began < until and ended + TOUCH_S > since for began, ended in spans)
+    def _undisturbed(self, host: str, since: float, until: float) -> bool:
+        """No unplanned event at a host or a core machine from shortly before `since` until `until`."""
+        disturbed_spans = [span for of in (host, *self.world.cores) for span in self.disturbances.get(of, [])]
+        return not any(
+            started_at < until and ended_at + RECOVERY_MARGIN_S > since
+            for started_at, ended_at in disturbed_spans
+        )
 
-    def _all_calm(self, since: float, until: float) -> bool:
-        return all(self._calm(host, since, until) for host in self.world.zones)
+    def _all_undisturbed(self, since: float, until: float) -> bool:
+        return all(self._undisturbed(host, since, until) for host in self.world.zones)
 
-    def _judge(self) -> None:
-        runs = Counter(self.ran_before)
+    def _check_results(self) -> None:
+        runs = Counter(self.executed_by_replaced)
         for backend in self.world.backends.values():
             runs.update(backend.ran)
-        for made in self.tries:
-            if made.ended:
-                self._judge_try(made, runs[made.request_id])
-        self._judge_versions()
-        last = [
-            made for made in self.tries if made.sent > BEGINS_S + TROUBLED_S + CALM_S - 3.0 and made.ended
+        for record in self.records:
+            if record.ended_at:
+                self._check_record(record, runs[record.request_id])
+        self._check_versions()
+        quiet_records = [
+            record
+            for record in self.records
+            if record.sent_at > WARM_UP_S + DISTURBED_S + QUIET_S - 3.0 and record.ended_at
         ]
-        unserved = [
-            (made.request_id, made.host, made.path, made.status) for made in last if made.status != 200
+        failed = [
+            (record.request_id, record.host, record.path, record.status)
+            for record in quiet_records
+            if record.status != 200
         ]
-        if unserved or not last:
-            self.broken.append(
-                f"in the calm at the end {len(unserved)} of {len(last)} unserved: {unserved[:3]}"
+        if failed or not quiet_records:
+            self.violations.append(
+                f"in the quiet period at the end {len(failed)} of {len(quiet_records)} unserved: {failed[:3]}"
             )
-        told = [str(fault.get("exception") or fault.get("message")) for fault in self.world.loop.faults]
-        faults = [fault for fault in told if "destroyed but it is pending" not in fault]
+        messages = [str(fault.get("exception") or fault.get("message")) for fault in self.world.loop.faults]
+        faults = [fault for fault in messages if "destroyed but it is pending" not in fault]
         faults += [repr(task.exception()) for task in self.tasks if task.done() and task.exception()]
-        self.broken += [f"fault: {fault}" for fault in faults[:3]]
-
-    def _judge_try(self, made: Try, ran: int) -> None:
-        what = f"{made.request_id} {made.path} at {made.host}, {made.sent:.2f} to {made.ended:.2f} s"
-        if made.path == "/unsafe/" and ran > 1:
-            self.broken.append(f"TWICE: {what}: ran {ran} times")
-        if made.path == "/unsafe/" and ran and made.status in PROMISES:
-            self.broken.append(f"REFUSED: {what}: ran, and got {made.status}")
-        if made.status == -1 and self._calm(made.host, made.sent, made.ended):
-            self.broken.append(f"no answer: {what}")
-        if made.status == 0 and made.connected and ran and self._all_calm(made.sent, made.ended):
-            self.broken.append(f"LOST: {what}: ran, and its connection ended")
-        if made.status == 404 and self._surely_there(made):
-            self.broken.append(f"CONFIG: {what}: 404")
-
-    def _surely_there(self, made: Try) -> bool:
-        """If every configuration that may be in force holds its route."""
-        if made.path in ("/safe/", "/unsafe/"):
+        self.violations += [f"fault: {fault}" for fault in faults[:3]]
+
+    def _check_record(self, record: RequestRecord, ran: int) -> None:
+        what = f"{record.request_id} {record.path} at {record.host}, {record.sent_at:.2f} to {record.ended_at:.2f} s"
+        if record.path == "/unsafe/" and ran > 1:
+            self.violations.append(f"TWICE: {what}: ran {ran} times")
+        if record.path == "/unsafe/" and ran and record.status in NOT_EXECUTED_STATUSES:
+            self.violations.append(f"REFUSED: {what}: ran, and got {record.status}")
+        if record.status == -1 and self._undisturbed(record.host, record.sent_at, record.ended_at):
+            self.violations.append(f"no answer: {what}")
+        if (
+            record.status == 0
+            and record.connected
+            and ran
+            and self._all_undisturbed(record.sent_at, record.ended_at)
+        ):
+            self.violations.append(f"LOST: {what}: ran, and its connection ended")
+        if record.status == 404 and self._route_certainly_present(record):
+            self.violations.append(f"CONFIG: {what}: 404")
+
+    def _route_certainly_present(self, record: RequestRecord) -> bool:
+        """Whether every configuration that may be in force contains the route of the request."""
+        if record.path in ("/safe/", "/unsafe/"):
             return True
-        if not self._calm(made.host, made.sent, made.ended):
+        if not self._undisturbed(record.host, record.sent_at, record.ended_at):
             return False
-        acked = [one for one in self.changes if one.acked and one.acked + IN_FORCE_S < made.sent]
-        if not acked:
+        acknowledged = [
+            one
+            for one in self.changes
+            if one.acknowledged_at and one.acknowledged_at + CONFIG_APPLY_LIMIT_S < record.sent_at
+        ]
+        if not acknowledged:
             return False
-        oldest = self.changes.index(max(acked, key=lambda one: version_number(one.version)))
-        return all(made.path in one.paths for one in self.changes[oldest:])
+        oldest = self.changes.index(max(acknowledged, key=lambda one: version_number(one.version)))
+        return all(record.path in one.paths for one in self.changes[oldest:])
 
-    def _judge_versions(self) -> None:
-        """Within a life a proxy never goes back; at the end all hold the newest that was acknowledged."""
+    def _check_versions(self) -> None:
+        """A proxy process never reverts to a lower version; at the end all have the newest acknowledged one."""
         held: dict[str, int] = {}
         for at, name, event, facts in self.world.story:
             if event is Event.STARTED:
@@ -381,46 +405,48 @@
             if event is Event.CONFIGURATION_APPLIED:
                 version = version_number(facts["version"])
                 if version < held.get(name, 0):
-                    self.broken.append(f"CONFIG: {name} went back to {version:x} at {at:.2f} s")
+                    self.violations.append(f"CONFIG: {name} reverted to {version:x} at {at:.2f} s")
                 held[name] = version
-        newest = max((one.version for one in self.changes if one.acked), key=version_number)
+        newest = max((one.version for one in self.changes if one.acknowledged_at), key=version_number)
         for (host, role), program in self.world.programs.items():
             if role == "proxy" and version_number(program.news.version or "0") < version_number(newest):
-                self.broken.append(f"CONFIG: {host} holds {program.news.version!r} at the end, not {newest}")
+                self.violations.append(
+                    f"CONFIG: {host} holds {program.news.version!r} at the end, not {newest}"
+                )
 
 
 def _configuration(change: Change) -> bytes:
-    """`/safe/` and `/unsafe/` of alpha, and the added routes of either service, with aims of their own."""
-    rules = [
+    """Routes `/safe/` and `/unsafe/` of alpha, and the added routes of both services with different target latencies."""
+    path_rules = [
         f'{{"name":"{kind}","path_prefix":"/{kind}/","route_type":"{kind}","timeout_ms":2000,'
         f'"target_latency_ms":400,"priority":1,"target_service":"alpha","max_attempts":2}}'
         for kind in ("safe", "unsafe")
     ]
     for place, path in enumerate(sorted(change.paths)):
-        rules.append(
+        path_rules.append(
             f'{{"name":"{path.strip("/")}","path_prefix":"{path}","route_type":"safe","timeout_ms":2000,'
             f'"target_latency_ms":{1000 - 200 * (place % 4)},"priority":0,'
             f'"target_service":"{("alpha", "beta")[place % 2]}","max_attempts":2}}'
         )
     services = '{"name":"alpha","cold_per_s":50},{"name":"beta","cold_per_s":50}'
-    hosts = f'{{"hostname":"h.example","path_rules":[{",".join(rules)}]}}'
+    hosts = f'{{"hostname":"h.example","path_rules":[{",".join(path_rules)}]}}'
     return f'{{"version":"{change.version}","services":[{services}],"limits":{{}},"virtual_hosts":[{hosts}]}}'.encode()
 
 
 def main() -> int:
-    """Play COUNT soaks from seed FIRST on, and print what broke."""
+    """Run COUNT soaks with seeds from FIRST on, and print the violations."""
     first, count = int(sys.argv[1]), int(sys.argv[2])
     proxies = int(sys.argv[3]) if len(sys.argv) > 3 else 6
     bad = 0
     for seed in range(first, first + count):
         with tempfile.TemporaryDirectory() as folder:
             soak = Soak(seed, Path(folder), proxies)
-            broken = soak.play()
+            broken = soak.run()
         bad += bool(broken)
-        served = sum(made.status == 200 for made in soak.tries)
-        acked = sum(bool(change.acked) for change in soak.changes)
+        served = sum(record.status == 200 for record in soak.records)
+        acknowledged = sum(bool(change.acknowledged_at) for change in soak.changes)
         print(
-            f"seed {seed}: {len(soak.tries)} requests, {served} served, {acked} changes, {len(broken)} broken"
+            f"seed {seed}: {len(soak.records)} requests, {served} served, {acknowledged} changes, {len(broken)} broken"
         )
         for line in broken[:6]:
             print(f"    {line}")
--- a/tests/mesh/test_catalogue.py
+++ b/tests/mesh/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue of events names each event of the code, and no other."""
+"""The event catalogue lists exactly the events of the code; logging does not leak references."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 CATALOGUE = Path(__file__).parents[2] / "docs" / "events.md"
 
 
-def test_catalogue_and_code_agree() -> None:
+def test_event_catalogue_matches_code() -> None:
     rows = re.findall(r"^\| (\d+) \| (\w+) \|", CATALOGUE.read_text(), re.MULTILINE)
     assert {int(number): name for number, name in rows} == {int(event): event.name.lower() for event in Event}
 
 
-class _Held:
-    """Something that a function holds while it logs."""
+class _Referenced:
+    """An object referenced by a function that logs."""
 
 
-def _log_while_holding(log: EventLog) -> weakref.ref[_Held]:
-    held = _Held()
+def _log_while_referencing(log: EventLog) -> weakref.ref[_Referenced]:
+    referenced = _Referenced()
     log.write(Event.STARTED, version="00000001")
-    return weakref.ref(held)
+    return weakref.ref(referenced)
 
 
-def test_a_line_keeps_nothing_of_its_caller_alive(capfd: pytest.CaptureFixture[str]) -> None:
+def test_logging_keeps_no_reference_to_the_caller(capfd: pytest.CaptureFixture[str]) -> None:
     log = EventLog("n1/proxy")
-    left = [_log_while_holding(log) for _ in range(10)]
+    references = [_log_while_referencing(log) for _ in range(10)]
     gc.collect()
-    assert [reference() for reference in left] == [None] * 10
+    assert [reference() for reference in references] == [None] * 10
     assert capfd.readouterr().err.count("n1/proxy E100 started version=00000001\n") == 10
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of the three programs: what names the place, and that each program tells them as text."""
+"""Metrics: command-line arguments, and the metrics text that each of the three programs serves."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 @pytest.mark.parametrize(
     "arguments", [["--metrics"], ["--metrics", "9464"], ["--metrics", "0/m"], ["--port", "1/m"]]
 )
-def test_faulty_arguments_are_named(arguments: list[str]) -> None:
+def test_invalid_arguments_are_rejected(arguments: list[str]) -> None:
     read = read_arguments(arguments)
     assert isinstance(read, Err) and "--metrics" in read.err_value
 
 
-def test_place() -> None:
+def test_endpoint_is_parsed() -> None:
     assert read_arguments(["--metrics", "9464/metrics"]) == Ok(MetricsEndpoint(9464, "metrics"))
     assert read_arguments([]) == Ok(None)
 
 
-def test_programs_tell_their_figures(tmp_path: Path) -> None:
+def test_programs_serve_their_metrics(tmp_path: Path) -> None:
     world = World(tmp_path)
     try:
         world.start_small()
         world.loop.run_until_complete(world.order("c1", "0000000a"))
         world.run_until(4.0)
-        told = {}
+        rendered = {}
         for port, (key, program) in enumerate(sorted(world.programs.items()), 9500):
             with world.loop.owned_by(world.owners[key]):
                 serving = world.loop.create_task(
@@ -43,17 +43,17 @@
                 )
             world.loop.run_until_complete(asyncio.wait([serving]))
             status, text = world.loop.run_until_complete(world.call(key[0], port, "GET", "/metrics"))
-            told[key] = text.decode()
+            rendered[key] = text.decode()
             assert status == 200
-        assert "\nlupinreach_proxy_configuration_version 10\n" in told[("s1", "proxy")]
-        assert "\nlupinreach_registry_proxies_behind 0\n" in told[("c1", "registry")]
-        assert sum("\nlupinreach_store_serving 1\n" in text for text in told.values()) == 1
+        assert "\nlupinreach_proxy_configuration_version 10\n" in rendered[("s1", "proxy")]
+        assert "\nlupinreach_registry_proxies_behind 0\n" in rendered[("c1", "registry")]
+        assert sum("\nlupinreach_store_serving 1\n" in text for text in rendered.values()) == 1
     finally:
         world.end()
 
 
-class _Written:
-    """Keeps the events that are logged."""
+class _RecordingLog:
+    """Records logged events."""
 
     def __init__(self) -> None:
         self.events: list[tuple[Event, dict[str, object]]] = []
@@ -62,8 +62,8 @@
         self.events.append((event, facts))
 
 
-def test_a_kind_that_a_gate_hardly_takes_is_told() -> None:
-    counts, log = GateCounts(), _Written()
+def test_starved_request_kind_is_logged_and_counted() -> None:
+    counts, log = GateCounts(), _RecordingLog()
     usual, starved = RequestKind(2, 400), RequestKind(0, 1000)
     for _ in range(60):
         counts.taken(usual)
@@ -74,7 +74,7 @@
     facts = {"kind": "p0-1000ms", "taken": 0, "asked": 6, "of_all": 0.48}
     assert log.events == [(Event.KIND_STARVED, facts)]
     counts.check(log)  # type: ignore[arg-type]
-    assert len(log.events) == 1  # nothing came since
+    assert len(log.events) == 1  # no requests since the last check
     text = render(counts.metrics()).decode()
     assert 'lupinreach_proxy_gate_refused_total{kind="p0-1000ms",reason="full"} 6\n' in text
     assert text.count("# HELP lupinreach_proxy_gate_taken_total") == 1
--- a/tests/mesh/test_reading.py
+++ b/tests/mesh/test_reading.py
@@ -1,4 +1,4 @@
-"""Settings and heartbeats: a complaint names the key."""
+"""Parsing of settings, heartbeats and configurations: errors name the invalid key."""
 
 from __future__ import annotations
 
@@ -24,17 +24,24 @@
     "bounds": {"retry_budget_ratio": 0.25, "unknown": True},
     "unknown": 1,
 }
-BEAT = {"target_service": "s", "address": "a", "zone": "z", "capacity": 4, "state": "ready", "sequence": 1}
+HEARTBEAT = {
+    "target_service": "s",
+    "address": "a",
+    "zone": "z",
+    "capacity": 4,
+    "state": "ready",
+    "sequence": 1,
+}
 
 
-def test_settings_are_read_and_unknown_fields_skipped() -> None:
+def test_settings_ignore_unknown_fields() -> None:
     read = parse_settings(orjson.dumps(SETTINGS))
     assert isinstance(read, Ok)
     assert read.ok_value.bounds.retry_budget_ratio == 0.25
 
 
 @pytest.mark.parametrize(
-    ("change", "complaint"),
+    ("change", "expected_key"),
     [
         ({"node_name": None}, "node_name"),
         ({"zones": {"a": 1}}, "zones.a"),
@@ -46,20 +53,20 @@
         ({"first_start": 1}, "first_start"),
     ],
 )
-def test_a_faulty_setting_is_named(change: dict[str, object], complaint: str) -> None:
+def test_invalid_setting_is_named(change: dict[str, object], expected_key: str) -> None:
     read = parse_settings(orjson.dumps(SETTINGS | change))
     assert isinstance(read, Err)
-    assert read.err_value.startswith(f"{complaint}:")
+    assert read.err_value.startswith(f"{expected_key}:")
 
 
-@pytest.mark.parametrize("key", list(BEAT))
-def test_a_heartbeat_without_a_field_names_it(key: str) -> None:
-    beat = {name: value for name, value in BEAT.items() if name != key}
-    assert parse_heartbeat(orjson.dumps(beat)) == Err(f"{key}: missing")
-    assert isinstance(parse_heartbeat(orjson.dumps(BEAT)), Ok)
+@pytest.mark.parametrize("key", list(HEARTBEAT))
+def test_missing_heartbeat_field_is_named(key: str) -> None:
+    heartbeat = {name: value for name, value in HEARTBEAT.items() if name != key}
+    assert parse_heartbeat(orjson.dumps(heartbeat)) == Err(f"{key}: missing")
+    assert isinstance(parse_heartbeat(orjson.dumps(HEARTBEAT)), Ok)
 
 
-def test_a_configuration_travels_as_it_was_checked() -> None:
+def test_configuration_survives_a_round_trip() -> None:
     parsed = parse_configuration(orjson.dumps(CONFIGURATION))
     assert isinstance(parsed, Ok)
     assert Configuration.from_list(parsed.ok_value.to_list()) == parsed.ok_value
--- a/tests/mesh/test_scenarios.py
+++ b/tests/mesh/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario file of this folder, and what its stores decided."""
+"""Runs every scenario file, and compares the decisions of the stores with a snapshot."""
 
 from __future__ import annotations
 
@@ -17,4 +17,4 @@
     scenario = Scenario(path, tmp_path)
     scenario.play()
     assert scenario.failures == []
-    assert scenario.story() == snapshot
+    assert scenario.control_events() == snapshot
--- a/tests/mesh/test_soak.py
+++ b/tests/mesh/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: a few seeds of `soak.py`, each the same every time."""
+"""Short soak tests: a few seeds of `soak.py`, each deterministic."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 @pytest.mark.parametrize(("seed", "proxies"), [(1, 6), (2, 6), (3, 6), (4, 6), (5, 9), (6, 12)])
 def test_soak(seed: int, proxies: int, tmp_path: Path) -> None:
     soak = Soak(seed, tmp_path, proxies)
-    assert soak.play() == []
-    assert sum(made.status == 200 for made in soak.tries) > len(soak.tries) / 2
-    assert sum(bool(change.acked) for change in soak.changes) >= 5
+    assert soak.run() == []
+    assert sum(record.status == 200 for record in soak.records) > len(soak.records) / 2
+    assert sum(bool(change.acknowledged_at) for change in soak.changes) >= 5
