--- a/lupinreach/mesh/configuration_update.py
+++ b/lupinreach/mesh/configuration_update.py
@@ -121,6 +121,7 @@
 
     @property
     def version(self) -> str:
+        """The newest version; "" if there is none yet."""
         return self.table.version if self.table is not None else ""
 
     def advance(self, configuration: Configuration) -> None:
--- a/lupinreach/mesh/process.py
+++ b/lupinreach/mesh/process.py
@@ -26,12 +26,16 @@
 class Program(Protocol):
     """A program of the mesh: proxy, registry or store."""
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Start serving; raises OSError if an address can't be bound."""
+        ...
 
     async def stop(self) -> None:
         """Finish work in progress; returns within the grace period."""
 
-    def settings_changed(self, settings: Settings) -> None: ...
+    def settings_changed(self, settings: Settings) -> None:
+        """Apply reloaded settings."""
+        ...
 
     def metrics(self) -> list[Metric]:
         """The current metric samples of the process."""
--- a/lupinreach/mesh/reader.py
+++ b/lupinreach/mesh/reader.py
@@ -30,7 +30,7 @@
         self._pieces: list[bytes] = []
         self._size = 0
         self._length: int | None = 0
-        self._chunks: ChunkedDecoder | None = None
+        self._chunked_decoder: ChunkedDecoder | None = None
 
     @property
     def begun(self) -> bool:
@@ -54,8 +54,8 @@
 
     def at_end(self) -> WholeMessage | None:
         """The response that is complete because the connection was closed, if any."""
-        if self.head is not None and self._chunks is None and self._length is None:
-            return self._finish()
+        if self.head is not None and self._chunked_decoder is None and self._length is None:
+            return self._take_message()
         return None
 
     def _read_head(self) -> bool:
@@ -69,7 +69,7 @@
         self._pending = self._pending[head.size :]
         self.head = head
         self._size = 0
-        self._chunks = ChunkedDecoder() if head.chunked else None
+        self._chunked_decoder = ChunkedDecoder() if head.chunked else None
         self._length = self._body_length(head)
         if self._length is not None and self._length > self.body_limit:
             raise Ended(End.TOO_LARGE)
@@ -85,15 +85,15 @@
         return head.length  # None: the body ends when the connection is closed
 
     def _read_body(self) -> WholeMessage | None:
-        if self._chunks is not None:
-            pieces, used = self._chunks.feed(memoryview(self._pending))
+        if self._chunked_decoder is not None:
+            pieces, used = self._chunked_decoder.feed(memoryview(self._pending))
             self._pieces.extend([bytes(piece) for piece in pieces])
             self._size += sum(map(len, pieces))
             self._pending = self._pending[used:]
-            done = self._chunks.done
+            done = self._chunked_decoder.done
         else:
-            wanted = len(self._pending) if self._length is None else self._length - self._size
-            piece = self._pending[:wanted]
+            missing_bytes = len(self._pending) if self._length is None else self._length - self._size
+            piece = self._pending[:missing_bytes]
             self._pending = self._pending[len(piece) :]
             if piece:
                 self._pieces.append(piece)
@@ -101,9 +101,9 @@
             done = self._size == self._length
         if self._size > self.body_limit:
             raise Ended(End.TOO_LARGE)
-        return self._finish() if done else None
+        return self._take_message() if done else None
 
-    def _finish(self) -> WholeMessage:
+    def _take_message(self) -> WholeMessage:
         assert self.head is not None
         whole = WholeMessage(self.head, self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces))
         self.head = None
--- a/lupinreach/mesh/send_window.py
+++ b/lupinreach/mesh/send_window.py
@@ -21,6 +21,7 @@
 
     @property
     def empty(self) -> bool:
+        """True if every message has been acknowledged."""
         return not self._sizes
 
     def allows(self, size: int) -> bool:
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -31,10 +31,12 @@
 
     @property
     def method(self) -> bytes:
+        """Request method, such as `GET`."""
         return self.head.start_line[0]
 
     @property
     def target(self) -> bytes:
+        """Request target: path and query."""
         return self.head.start_line[1]
 
     def header(self, name: bytes) -> bytes | None:
@@ -61,7 +63,7 @@
     return HttpResponse(template.status, headers, text.encode() + b"\n")
 
 
-Handle = Callable[[HttpRequest], Awaitable[HttpResponse]]
+RequestHandler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 @dataclass(slots=True)
@@ -94,6 +96,8 @@
 
 @dataclass(slots=True)
 class _Exchange:
+    """A queued request, its budget reservation and its response once known."""
+
     request: HttpRequest
     reserved_bytes: int
     task: asyncio.Task[None] | None = None
@@ -108,7 +112,7 @@
 
     def __init__(
         self,
-        handle: Handle,
+        handle: RequestHandler,
         may_overlap: Callable[[HttpRequest], bool] = lambda request: False,
         budget: BufferBudget | None = None,
         on_fault: Callable[[BaseException], None] = lambda fault: None,
@@ -125,7 +129,7 @@
         self._sweeper: asyncio.Task[None] | None = None
 
     async def listen(self, address: Address) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), *address, backlog=1024, reuse_address=True
@@ -177,6 +181,8 @@
 
 
 class _Connection(asyncio.Protocol):
+    """One client connection with its queue of pipelined requests."""
+
     def __init__(self, server: HttpServer) -> None:
         self._server = server
         self._loop = asyncio.get_running_loop()
@@ -210,13 +216,16 @@
 
     @property
     def busy(self) -> bool:
+        """True while a request is being received or served on this connection."""
         return bool(self._queue) or self._reader.begun
 
     def close_if_idle(self) -> None:
+        """Close the connection unless it is busy."""
         if not self.busy and self._transport is not None:
             self._transport.close()
 
     def abandon(self) -> None:
+        """Answer all queued requests with an error and read no more; see `HttpServer.abandon`."""
         for exchange in self._queue:
             if exchange.response is None:
                 if exchange.task is not None:
@@ -266,6 +275,7 @@
             self._accept(whole)
 
     def _on_partial(self) -> None:
+        """Reserve budget for a partly received body, and send `100 Continue` if it was requested."""
         head = self._reader.head
         if head is None:
             return
@@ -277,6 +287,7 @@
             self._transport.write(CONTINUE)
 
     def _charge(self, size: int) -> bool:
+        """Extend the reservation to `size` bytes; false if the budget does not allow it."""
         extra_bytes = size - self._reserved_bytes
         if size <= UNCHARGED_BODY_BYTES or extra_bytes <= 0:
             return True
@@ -317,6 +328,7 @@
         self._flush()
 
     def _flush(self) -> None:
+        """Write the responses that are due in request order, then start and read further requests."""
         while self._queue and self._queue[0].response is not None:
             exchange = self._queue.popleft()
             self._server.budget.release(exchange.reserved_bytes)
--- a/lupinreach/mesh/settings.py
+++ b/lupinreach/mesh/settings.py
@@ -11,8 +11,6 @@
 from lupinreach.mesh.link import Address, parse_address
 
 SETTINGS_VARIABLE = "LUPINREACH_SETTINGS"
-
-
 CONFIG_MODE_HIGHEST = "highest"  # the highest configuration version is in force; the only supported mode
 
 
@@ -81,14 +79,17 @@
 
     @property
     def store_port(self) -> int:
+        """Port on which the store listens for links."""
         return self.internal_port_range[0]
 
     @property
     def registry_port(self) -> int:
+        """Port on which the registry listens for links."""
         return self.internal_port_range[0] + 1
 
     @property
     def seed_hosts(self) -> list[str]:
+        """Hosts of the seed nodes, without ports."""
         return [parse_address(seed)[0] for seed in self.seed_nodes]
 
 
