--- a/tests/mesh/soak.py
+++ b/tests/mesh/soak.py
@@ -29,6 +29,7 @@
 DEADLINE_MS = 2000
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # guarantee that the request was not executed
 ZONES = ("za", "zb", "zc")
+# Kinds of injected events; each is the name of a `_do_` method.
 PLANNED = ("term", "hup")
 UNPLANNED = ("kill", "freeze", "reset", "core_kill", "core_freeze")
 CHANGES = ("order", "order", "order", "evacuate")
@@ -68,16 +69,13 @@
     violations: list[str] = field(default_factory=list)
     records: list[RequestRecord] = field(default_factory=list)
     changes: list[Change] = field(default_factory=list)
-    disturbances: dict[str, list[tuple[float, float]]] = field(
-        default_factory=dict
-    )  # by host: start and end of each
-    executed_by_replaced: list[str] = field(
-        default_factory=list
-    )  # request ids executed by backends that were replaced
+    # Start and end of each unplanned event, by host.
+    disturbances: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
+    # Ids of requests executed by backends that were replaced since.
+    executed_by_replaced: list[str] = field(default_factory=list)
     tasks: list[asyncio.Task[Any]] = field(default_factory=list)
-    busy: set[str] = field(
-        default_factory=set
-    )  # hosts with a signal, kill or freeze in progress; "evacuation" while one is in progress
+    # Hosts with a signal, kill or freeze in progress, and "evacuation" during one.
+    busy: set[str] = field(default_factory=set)
 
     def run(self) -> list[str]:
         """Run the soak and return the violations found."""
@@ -108,6 +106,7 @@
         return self.violations
 
     def _start_task(self, work: Any) -> None:
+        """Run a coroutine as a task outside all simulated processes."""
         with self.world.loop.owned_by(0):
             task = self.world.loop.create_task(work)
             self.tasks.append(task)
