--- a/benchmarks/configuration_news.py
+++ b/benchmarks/configuration_news.py
@@ -18,8 +18,8 @@
 from lupinreach.mesh.configuration_update import (
     ConfigurationHistory,
     ConfigurationUpdate,
-    pack_whole,
-    unpack_whole,
+    pack_configuration,
+    unpack_configuration,
 )
 
 RUNS = 9
@@ -63,7 +63,7 @@
     history = ConfigurationHistory()
     history.advance(configuration(routes, 1))
     assert history.table is not None
-    held = unpack_whole(pack_whole(history.table))
+    held = unpack_configuration(pack_configuration(history.table))
     held.checksum  # noqa: B018  # a proxy computes it once, with its first update
     costs: dict[str, list[float]] = {}
     for version in range(2, RUNS + 2):
@@ -74,8 +74,8 @@
         apply_ms, (_, held) = timed(
             lambda packed=packed, held=held: ConfigurationUpdate.unpack(packed).apply(held)
         )
-        pack_ms, whole = timed(lambda: pack_whole(history.table))
-        unpack_ms, _ = timed(lambda whole=whole: unpack_whole(whole))
+        pack_ms, whole = timed(lambda: pack_configuration(history.table))
+        unpack_ms, _ = timed(lambda whole=whole: unpack_configuration(whole))
         for name, cost in (
             ("take ms", take_ms),
             ("update ms", update_ms),
--- a/lupinreach/mesh/configuration_update.py
+++ b/lupinreach/mesh/configuration_update.py
@@ -90,14 +90,14 @@
         return Applied.IN_FORCE, table
 
 
-def pack_whole(table: RouteTable) -> bytes:
+def pack_configuration(table: RouteTable) -> bytes:
     """Encode a complete configuration for sending."""
     packed: bytes = msgpack.packb(table.configuration().to_list())
     return packed
 
 
-def unpack_whole(packed: bytes) -> RouteTable:
-    """The inverse of `pack_whole`."""
+def unpack_configuration(packed: bytes) -> RouteTable:
+    """The inverse of `pack_configuration`."""
     return RouteTable(Configuration.from_list(msgpack.unpackb(packed)))
 
 
@@ -187,7 +187,7 @@
         if base and self._encoded_by_base[base]:
             return base, self._encoded_by_base[base]
         if "" not in self._encoded_by_base:
-            self._encoded_by_base[""] = pack_whole(self.table)
+            self._encoded_by_base[""] = pack_configuration(self.table)
         return "", self._encoded_by_base[""]
 
     def _build_update(self, base: str) -> ConfigurationUpdate:
--- a/lupinreach/mesh/proxy/news.py
+++ b/lupinreach/mesh/proxy/news.py
@@ -6,7 +6,12 @@
 from collections.abc import Callable
 
 from lupinreach.mesh.configuration import is_newer
-from lupinreach.mesh.configuration_update import Applied, ConfigurationUpdate, pack_whole, unpack_whole
+from lupinreach.mesh.configuration_update import (
+    Applied,
+    ConfigurationUpdate,
+    pack_configuration,
+    unpack_configuration,
+)
 from lupinreach.mesh.messages import News
 from lupinreach.mesh.route_table import RouteTable
 
@@ -75,11 +80,11 @@
         if news.base:
             applied, self.table = ConfigurationUpdate.unpack(news.config).apply(self.table)
         else:
-            applied, self.table = Applied.IN_FORCE, unpack_whole(news.config)
+            applied, self.table = Applied.IN_FORCE, unpack_configuration(news.config)
         self.applied += applied is Applied.IN_FORCE
         return applied
 
     def as_news(self) -> News:
         """All that is held, as one message; a proxy can't know that it is the newest."""
-        whole = pack_whole(self.table) if self.table is not None else None
+        whole = pack_configuration(self.table) if self.table is not None else None
         return News(list(self.stamp), self.version, whole, self.evacuations, fresh=False)
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -16,7 +16,7 @@
     Applied,
     ConfigurationHistory,
     ConfigurationUpdate,
-    unpack_whole,
+    unpack_configuration,
 )
 from lupinreach.mesh.messages import AgentHello, Message, News, NewsAcknowledged, decode
 from lupinreach.mesh.proxy.news import NewsHolder
@@ -101,7 +101,7 @@
     assert history.base_for(versions[6].version) == versions[6].version
     history.advance(_configuration(0xFFFF, {("new.example", f"/n{number}/"): 1.0 for number in range(50)}))
     base, packed = history.packed_from(versions[-1].version)
-    assert base == "" and unpack_whole(packed).version == "0000ffff"
+    assert base == "" and unpack_configuration(packed).version == "0000ffff"
 
 
 class _Wire:
