--- a/lupinreach/mesh/backend_client.py
+++ b/lupinreach/mesh/backend_client.py
@@ -8,7 +8,7 @@
 
 from lupinreach.mesh.errors import AttemptFailure
 from lupinreach.mesh.link import Address, tune
-from lupinreach.mesh.reader import MessageReader, WholeMessage
+from lupinreach.mesh.reader import CompleteMessage, MessageReader
 from lupinreach.net.ends import Ended
 
 REQUEST_ID = b"lupinreach-request-id"
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self._reader = MessageReader(responses=True, body_limit=MAX_RESPONSE_BYTES)
         self._transport: Any = None
-        self._future: asyncio.Future[WholeMessage] | None = None
+        self._future: asyncio.Future[CompleteMessage] | None = None
         self._request_id = b""
         self._stale_responses = 0
         self._accepts_any_id = False
@@ -75,7 +75,7 @@
         if whole is not None:
             self._finish(whole)
 
-    def _is_expected(self, whole: WholeMessage) -> bool:
+    def _is_expected(self, whole: CompleteMessage) -> bool:
         """False for interim responses and those to earlier requests, which the request id identifies."""
         if whole.head.start_line[2] < 200:
             return False
@@ -87,7 +87,7 @@
             self._fail(AttemptFailure.GARBLED)
         return False
 
-    def _finish(self, whole: WholeMessage) -> None:
+    def _finish(self, whole: CompleteMessage) -> None:
         assert self._future is not None
         # A response may arrive before the end of a long request body was sent.
         request_sent = self._transport.get_write_buffer_size() == 0
@@ -105,7 +105,7 @@
             self._future.set_exception(AttemptError(failure, ran=True))
         self.close()
 
-    async def exchange(self, data: bytes, request_id: bytes, without_body: bool) -> WholeMessage:
+    async def exchange(self, data: bytes, request_id: bytes, without_body: bool) -> CompleteMessage:
         """Send one request and wait for its response; raises AttemptError if none arrives."""
         self._request_id = request_id
         self._stale_responses = 0
@@ -117,7 +117,7 @@
         finally:
             self._future = None
 
-    async def probe(self, data: bytes) -> WholeMessage:
+    async def probe(self, data: bytes) -> CompleteMessage:
         """Like `exchange`, for a health check, whose response carries no request id."""
         self._accepts_any_id = True
         try:
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -21,7 +21,7 @@
 from lupinreach.mesh.proxy.local_backend import BackendState, Heartbeat, LocalBackend
 from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.request_kind import RequestKind
-from lupinreach.mesh.reader import WholeMessage
+from lupinreach.mesh.reader import CompleteMessage
 
 DEADLINE = b"lupinreach-request-deadline"
 NOT_EXECUTED = b"lupinreach-not-executed"
@@ -230,7 +230,7 @@
         parent, dot, _ = request_id.rpartition(b".")
         return self._running.get(parent) if dot else None
 
-    async def _exchange(self, asked: Request, until: float, instance_id: str) -> WholeMessage:
+    async def _exchange(self, asked: Request, until: float, instance_id: str) -> CompleteMessage:
         connection = await self._pool.acquire(asked.repeatable)
         request_id = _header_value(asked.headers, b"lupinreach-request-id")
         self._running[request_id] = asked.again
@@ -254,7 +254,7 @@
         self._pool.release(connection)
         return whole
 
-    def _answer(self, asked: Request, whole: WholeMessage) -> Answer:
+    def _answer(self, asked: Request, whole: CompleteMessage) -> Answer:
         stays = HOP_BY_HOP_HEADERS | whole.head.options
         headers = b"".join([bytes(line) for name, line in whole.head.lines if name not in stays])
         return Answer(
--- a/lupinreach/mesh/reader.py
+++ b/lupinreach/mesh/reader.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class WholeMessage:
+class CompleteMessage:
     """A complete message: its head, and its body without transfer framing."""
 
     head: Head
@@ -46,13 +46,13 @@
         """Append received bytes."""
         self._pending = self._pending + data if self._pending else data
 
-    def next(self) -> WholeMessage | None:
+    def next(self) -> CompleteMessage | None:
         """The next complete message, or None if more bytes are needed."""
         if self.head is None and not self._read_head():
             return None
         return self._read_body()
 
-    def at_end(self) -> WholeMessage | None:
+    def at_end(self) -> CompleteMessage | None:
         """The response that is complete because the connection was closed, if any."""
         if self.head is not None and self._chunked_decoder is None and self._length is None:
             return self._take_message()
@@ -84,7 +84,7 @@
             return 0
         return head.length  # None: the body ends when the connection is closed
 
-    def _read_body(self) -> WholeMessage | None:
+    def _read_body(self) -> CompleteMessage | None:
         if self._chunked_decoder is not None:
             pieces, used = self._chunked_decoder.feed(memoryview(self._pending))
             self._pieces.extend([bytes(piece) for piece in pieces])
@@ -103,9 +103,11 @@
             raise Ended(End.TOO_LARGE)
         return self._take_message() if done else None
 
-    def _take_message(self) -> WholeMessage:
+    def _take_message(self) -> CompleteMessage:
         assert self.head is not None
-        whole = WholeMessage(self.head, self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces))
+        whole = CompleteMessage(
+            self.head, self._pieces[0] if len(self._pieces) == 1 else b"".join(self._pieces)
+        )
         self.head = None
         self._pieces = []
         self._size = 0
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -11,7 +11,7 @@
 from lupinreach.http1.message import CONTINUE, Head, response_head
 from lupinreach.mesh.errors import ERROR_RESPONSES, ErrorKind
 from lupinreach.mesh.link import Address, tune
-from lupinreach.mesh.reader import MessageReader, WholeMessage
+from lupinreach.mesh.reader import CompleteMessage, MessageReader
 from lupinreach.mesh.tasks import spawn
 from lupinreach.net.ends import End, Ended
 
@@ -296,7 +296,7 @@
         self._reserved_bytes = size
         return True
 
-    def _accept(self, whole: WholeMessage) -> None:
+    def _accept(self, whole: CompleteMessage) -> None:
         self._sent_continue = False
         if not self._charge(len(whole.body)):
             self._reject(ErrorKind.OUT_OF_MEMORY)
