--- a/lupinreach/mesh/demo.py
+++ b/lupinreach/mesh/demo.py
@@ -111,6 +111,7 @@
         self._statuses: Counter[int] = Counter()
 
     async def start(self) -> None:
+        """Start all processes and the stub backends."""
         for name in CORES:
             await self._launch(name, "store")
             await self._launch(name, "registry")
@@ -193,6 +194,7 @@
         ] += 1
 
     async def report(self) -> int:
+        """Print the results; returns the exit code."""
         self._print_line(f"responses by status: {dict(self._statuses)}")
         self._print_line(f"requests by backend: {dict(self._handled)}")
         for host, _ in list(CORES.values())[1:]:
@@ -204,6 +206,7 @@
         return 0 if successful and successful >= 0.95 * sum(self._statuses.values()) else 1
 
     async def stop(self) -> None:
+        """Kill all processes and wait for them."""
         for process in self._processes:
             if process.returncode is None:
                 process.kill()
