--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -445,11 +445,11 @@
 
 def head_of(**more) -> http.Head:
     given = {
-        "first": (b"POST", b"/", 0),
+        "start_line": (b"POST", b"/", 0),
         "headers": {},
         "lines": [],
         "options": frozenset(),
-        "keeps": True,
+        "keep_alive": True,
         "length": None,
         "chunked": False,
         "size": 0,
