--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -10,7 +10,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lupinreach.http1.message import OF_CONNECTION, request
+from lupinreach.http1.message import HOP_BY_HOP_HEADERS, request
 from lupinreach.mesh.backend_client import AttemptError, BackendPool
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.errors import AttemptFailure, NotTakenReason
@@ -21,7 +21,7 @@
 from lupinreach.mesh.proxy.local_backend import BackendState, Heartbeat, LocalBackend
 from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.request_kind import RequestKind
-from lupinreach.mesh.reader import WholeMessage
+from lupinreach.mesh.reader import CompleteMessage
 
 DEADLINE = b"lupinreach-request-deadline"
 NOT_EXECUTED = b"lupinreach-not-executed"
@@ -215,8 +215,8 @@
                 self.backend.on_refused()
                 self.refresh()
             return self._failed(asked, failed.failure, failed.ran)
-        if NOT_EXECUTED in whole.head.headers or whole.head.first[2] == MISDIRECTED:
-            if whole.head.first[2] == MISDIRECTED:
+        if NOT_EXECUTED in whole.head.headers or whole.head.start_line[2] == MISDIRECTED:
+            if whole.head.start_line[2] == MISDIRECTED:
                 self.backend.on_misdirected(instance_id)
                 self.refresh()
             return self._not_taken(asked, NotTakenReason.BACKEND_DECLINED, self.admission.retry_ms())
@@ -230,8 +230,8 @@
         parent, dot, _ = request_id.rpartition(b".")
         return self._running.get(parent) if dot else None
 
-    async def _exchange(self, asked: Request, until: float, instance_id: str) -> WholeMessage:
-        connection = await self._pool.take(asked.repeatable)
+    async def _exchange(self, asked: Request, until: float, instance_id: str) -> CompleteMessage:
+        connection = await self._pool.acquire(asked.repeatable)
         request_id = _header_value(asked.headers, b"lupinreach-request-id")
         self._running[request_id] = asked.again
         try:
@@ -251,15 +251,15 @@
             raise
         finally:
             self._running.pop(request_id, None)
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return whole
 
-    def _answer(self, asked: Request, whole: WholeMessage) -> Answer:
-        stays = OF_CONNECTION | whole.head.options
+    def _answer(self, asked: Request, whole: CompleteMessage) -> Answer:
+        stays = HOP_BY_HOP_HEADERS | whole.head.options
         headers = b"".join([bytes(line) for name, line in whole.head.lines if name not in stays])
         return Answer(
             number=asked.number,
-            status=whole.head.first[2],
+            status=whole.head.start_line[2],
             headers=headers,
             body=whole.body,
             running=self.admission.running - 1,
@@ -277,7 +277,7 @@
     async def probe(self, path: str) -> None:
         """Ask the backend's health once, as after a start of this process in the middle of traffic."""
         try:
-            connection = await self._pool.take(True)
+            connection = await self._pool.acquire(True)
         except AttemptError:
             return
         head = request(b"GET", path.encode(), (), self._pool.address[0].encode())
@@ -287,10 +287,10 @@
         except (AttemptError, TimeoutError):
             connection.close()
             return
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         headers = whole.head.headers
         instance_id = headers.get(b"lupinreach-instance-id", b"").decode("latin-1")
-        if whole.head.first[2] == 200 and instance_id:
+        if whole.head.start_line[2] == 200 and instance_id:
             load = headers.get(b"lupinreach-server-load", b"").split(b",")
             capacity = int(load[2]) if len(load) == 3 and load[2].strip().isdigit() else 4
             cold = headers.get(b"lupinreach-cold-remaining", b"0").strip()
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass, field
 
-from lupinreach.http1.message import OF_CONNECTION
+from lupinreach.http1.message import HOP_BY_HOP_HEADERS
 from lupinreach.mesh.configuration import Route
 from lupinreach.mesh.errors import AttemptFailure, ErrorKind, NotTakenReason
 from lupinreach.mesh.messages import Answer, Failed, Request, RequestRejected
@@ -15,7 +15,7 @@
 from lupinreach.mesh.proxy.peers import Peer, PeerTable
 from lupinreach.mesh.proxy.pool_policy import DEFAULT_AIM_MS, Choice, PoolPolicy
 from lupinreach.mesh.proxy.retry_budget import RetryBudget
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, error_response
 
 REQUEST_ID = b"lupinreach-request-id"
 SET_BY_MESH = frozenset((DEADLINE, b"lupinreach-target-instance", b"lupinreach-caller-service"))
@@ -83,21 +83,21 @@
         host = (request.header(b"host") or b"").decode("latin-1")
         return self._news.table.find(host, request.target.decode("latin-1"))
 
-    async def handle(self, request: HttpRequest) -> HttpAnswer:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """The answer to one request of a client."""
         if self._news.table is None:
-            return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=200)
+            return error_response(ErrorKind.NOT_CONFIGURED, retry_ms=200)
         if not request.header(REQUEST_ID):
-            return error_answer(ErrorKind.NO_REQUEST_ID)
+            return error_response(ErrorKind.NO_REQUEST_ID)
         route = self._route(request)
         if route is None:
-            return error_answer(ErrorKind.NO_ROUTE)
+            return error_response(ErrorKind.NO_ROUTE)
         return await self._pass(self._passage(request, route))
 
     def _passage(self, request: HttpRequest, route: Route) -> _Passage:
         given = request.header(DEADLINE) or b""
         time_ms = min(route.timeout_ms, float(given)) if given.isdigit() else route.timeout_ms
-        stays = OF_CONNECTION | SET_BY_MESH | request.head.options
+        stays = HOP_BY_HOP_HEADERS | SET_BY_MESH | request.head.options
         lines = [bytes(line) for name, line in request.head.lines if name not in stays]
         run = self._gate.run_that_calls(request.header(REQUEST_ID) or b"")
         return _Passage(
@@ -112,7 +112,7 @@
             is_repeat=bool(run),
         )
 
-    async def _pass(self, passage: _Passage) -> HttpAnswer:
+    async def _pass(self, passage: _Passage) -> HttpResponse:
         loop = asyncio.get_running_loop()
         while True:
             now = loop.time()
@@ -173,7 +173,7 @@
 
     def _judge(
         self, passage: _Passage, peer: Peer, outcome: Outcome, sent: float, candidates: list[Peer]
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         """The answer that an outcome gives, or None for another attempt."""
         now = asyncio.get_running_loop().time()
         if isinstance(outcome, RequestRejected):
@@ -191,9 +191,11 @@
         if failed and passage.route.repeatable and self._may_repeat(passage):
             return None
         self._learn_size(passage, outcome)
-        return HttpAnswer(outcome.status, outcome.headers, outcome.body)
+        return HttpResponse(outcome.status, outcome.headers, outcome.body)
 
-    def _judge_not_taken(self, passage: _Passage, peer: Peer, outcome: RequestRejected) -> HttpAnswer | None:
+    def _judge_not_taken(
+        self, passage: _Passage, peer: Peer, outcome: RequestRejected
+    ) -> HttpResponse | None:
         self._policy.released(peer, passage.aim_ms)
         passage.excluded.add(peer.address)
         passage.refusals += 1
@@ -211,7 +213,7 @@
             return self._no_backend(passage)
         return None
 
-    def _judge_failed(self, passage: _Passage, outcome: Failed) -> HttpAnswer | None:
+    def _judge_failed(self, passage: _Passage, outcome: Failed) -> HttpResponse | None:
         failure = AttemptFailure(outcome.failure)
         kind = ErrorKind.TIMED_OUT if failure is AttemptFailure.TIMED_OUT else ErrorKind.OUTCOME_UNKNOWN
         if not outcome.ran:
@@ -222,8 +224,8 @@
             passage.repeat_paid = False
             return None
         if not passage.route.repeatable or failure is AttemptFailure.TIMED_OUT:
-            return error_answer(kind)
-        return None if self._may_repeat(passage) else error_answer(kind)
+            return error_response(kind)
+        return None if self._may_repeat(passage) else error_response(kind)
 
     def _may_fail_over(self, passage: _Passage, silent: Peer) -> bool:
         """If an attempt at a peer that has fallen silent is given up.
@@ -248,10 +250,10 @@
     def _may_repeat(self, passage: _Passage) -> bool:
         return passage.attempts < passage.route.max_attempts and self._budget.spend(passage.service)
 
-    def _give_up(self, passage: _Passage, kind: ErrorKind) -> HttpAnswer:
-        return error_answer(kind, retry_ms=RETRY_AFTER_SHARE * passage.aim_ms)
+    def _give_up(self, passage: _Passage, kind: ErrorKind) -> HttpResponse:
+        return error_response(kind, retry_ms=RETRY_AFTER_SHARE * passage.aim_ms)
 
-    def _no_backend(self, passage: _Passage) -> HttpAnswer:
+    def _no_backend(self, passage: _Passage) -> HttpResponse:
         """Refuse at once; the request has not run, unless a repeatable one failed before."""
         kind = (
             ErrorKind.FULL
@@ -259,7 +261,7 @@
             else ErrorKind.NO_BACKEND
         )
         retry_ms = max(passage.retry_ms, RETRY_AFTER_SHARE * passage.aim_ms) * random.uniform(0.7, 1.3)
-        return error_answer(kind, retry_ms=retry_ms)
+        return error_response(kind, retry_ms=retry_ms)
 
     def _learn_size(self, passage: _Passage, answer: Answer) -> None:
         key = (passage.service, passage.aim_ms)
--- a/lupinreach/mesh/registry/news_feed.py
+++ b/lupinreach/mesh/registry/news_feed.py
@@ -10,7 +10,7 @@
 from lupinreach.mesh.events import Event, EventLog
 from lupinreach.mesh.link import Link
 from lupinreach.mesh.messages import AgentHello, StateUpdate, StateUpdateAcknowledged, encode
-from lupinreach.mesh.send_window import NewsProgress
+from lupinreach.mesh.send_window import UpdateProgress
 
 LATE_AFTER_S = 1.0  # a proxy that has not acknowledged a change for this long is logged
 
@@ -22,7 +22,7 @@
     link: Link
     address: str
     takes_updates: bool
-    progress: NewsProgress
+    progress: UpdateProgress
     needs_full: bool = False  # it could not apply an update and needs the complete configuration
     behind_since: float | None = None  # loop time since which it has not acknowledged the newest state
     late_logged: bool = False  # NEWS_LATE was logged and NEWS_CAUGHT_UP not yet
@@ -62,7 +62,7 @@
 
     def join(self, link: Link, hello: AgentHello) -> None:
         """Add a proxy that has opened a link; its hello says which configuration it holds."""
-        progress = NewsProgress(hello.config_version)
+        progress = UpdateProgress(hello.config_version)
         receiver = Receiver(link, hello.address, hello.takes_updates, progress)
         self._receivers[link] = receiver
         if self.stamp:
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -9,10 +9,10 @@
 
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.configuration_check import parse_configuration
-from lupinreach.mesh.dispatch import ANY, Dispatcher
+from lupinreach.mesh.dispatch import ANY_SEGMENT, Dispatcher
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.events import Event, EventLog
-from lupinreach.mesh.instance_calls import JSON_TYPE, add_instance_calls
+from lupinreach.mesh.instance_calls import JSON_CONTENT_TYPE_HEADER, add_instance_calls
 from lupinreach.mesh.link import Dialer, Link, listen
 from lupinreach.mesh.messages import (
     AgentEntry,
@@ -34,7 +34,7 @@
 from lupinreach.mesh.registry.heartbeat_forwarder import HeartbeatForwarder
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.registry.orders import OrderFailure, StoreLinks
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer, error_response
 from lupinreach.mesh.settings import Settings
 from lupinreach.mesh.store.document import OrderKind
 from lupinreach.mesh.tasks import spawn
@@ -58,8 +58,8 @@
         calls = Dispatcher()
         calls.add("POST", "configuration", "replace", call=self._replace_configuration)
         calls.add("GET", "configuration", "describe", call=self._describe_configuration)
-        calls.add("POST", "evacuations", ANY, "start", call=self._start_evacuation)
-        calls.add("POST", "evacuations", ANY, "stop", call=self._stop_evacuation)
+        calls.add("POST", "evacuations", ANY_SEGMENT, "start", call=self._start_evacuation)
+        calls.add("POST", "evacuations", ANY_SEGMENT, "stop", call=self._stop_evacuation)
         control_port = settings.listen_address("control_plane")[1]
         add_instance_calls(calls, HeartbeatForwarder(self.agents, control_port))
         self._server = HttpServer(
@@ -219,47 +219,47 @@
         if news.config is not None and is_newer(news.config_version, self.feed.history.version):
             parsed = parse_configuration(news.config)  # already validated before it was sent to the store
             if isinstance(parsed, Ok):
-                self.feed.history.take(parsed.ok_value)
+                self.feed.history.advance(parsed.ok_value)
         self.feed.publish(news.stamp, news.evacuations)
 
     # Operators' calls.
 
-    async def _replace_configuration(self, request: HttpRequest) -> HttpAnswer:
+    async def _replace_configuration(self, request: HttpRequest) -> HttpResponse:
         parsed = parse_configuration(request.body)
         if isinstance(parsed, Err):
             self._log.write(Event.ORDER_REFUSED, why=parsed.err_value)
-            return error_answer(ErrorKind.INVALID_CONFIGURATION, parsed.err_value)
+            return error_response(ErrorKind.INVALID_CONFIGURATION, parsed.err_value)
         version = parsed.ok_value.version.lower()
         return await self._order(OrderKind.REPLACE_CONFIGURATION, version=version, payload=request.body)
 
-    async def _describe_configuration(self, request: HttpRequest) -> HttpAnswer:
+    async def _describe_configuration(self, request: HttpRequest) -> HttpResponse:
         result = await self._stores.order(OrderKind.READ_CONFIGURATION)
         if isinstance(result, Err):
             return self._rejection(result.err_value)
         if not result.ok_value:
-            return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=500)
-        return HttpAnswer(200, JSON_TYPE, result.ok_value)
+            return error_response(ErrorKind.NOT_CONFIGURED, retry_ms=500)
+        return HttpResponse(200, JSON_CONTENT_TYPE_HEADER, result.ok_value)
 
-    async def _start_evacuation(self, request: HttpRequest, zone: str) -> HttpAnswer:
+    async def _start_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
         return await self._evacuate(OrderKind.START_EVACUATION, zone)
 
-    async def _stop_evacuation(self, request: HttpRequest, zone: str) -> HttpAnswer:
+    async def _stop_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
         return await self._evacuate(OrderKind.STOP_EVACUATION, zone)
 
-    async def _evacuate(self, kind: OrderKind, zone: str) -> HttpAnswer:
+    async def _evacuate(self, kind: OrderKind, zone: str) -> HttpResponse:
         if zone not in self._settings.zones:
-            return error_answer(ErrorKind.UNKNOWN_ZONE, zone)
+            return error_response(ErrorKind.UNKNOWN_ZONE, zone)
         return await self._order(kind, zone=zone)
 
     async def _order(
         self, kind: OrderKind, version: str = "", payload: bytes = b"", zone: str = ""
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         result = await self._stores.order(kind, version, payload, zone)
         if isinstance(result, Err):
             return self._rejection(result.err_value)
         self._log.write(Event.ORDER_TAKEN, kind=kind.name.lower(), version=version or "-", zone=zone or "-")
-        return HttpAnswer(200, JSON_TYPE, b"{}")
+        return HttpResponse(200, JSON_CONTENT_TYPE_HEADER, b"{}")
 
-    def _rejection(self, failure: OrderFailure) -> HttpAnswer:
+    def _rejection(self, failure: OrderFailure) -> HttpResponse:
         self._log.write(Event.ORDER_REFUSED, why=failure.kind.name.lower(), detail=failure.detail or "-")
-        return error_answer(failure.kind, failure.detail, retry_ms=ORDER_RETRY_AFTER_MS)
+        return error_response(failure.kind, failure.detail, retry_ms=ORDER_RETRY_AFTER_MS)
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -183,9 +183,9 @@
         try:
             async with asyncio.timeout(silence):
                 head = await http.read_head(channel, answer=True)
-            if head.first[2] != 200 or not head.chunked:
+            if head.start_line[2] != 200 or not head.chunked:
                 raise Ended(End.FAULT)
-            chunks, line = http.Chunks(bound=False), bytearray()
+            chunks, line = http.ChunkedDecoder(bound=False), bytearray()
             while True:
                 pieces, used = chunks.feed(memoryview(channel.buffer)[channel.start : channel.end])
                 channel.start += used
@@ -209,7 +209,7 @@
         self._counters.directory["called"] += 1
         host = b"%s:%d" % (address[0].encode(), address[1])
         channel = await connect(
-            self._sockets, address, SILENT_BEATS * protocol.BEAT, http.MOST_HEAD + MOST_LIST
+            self._sockets, address, SILENT_BEATS * protocol.BEAT, http.MAX_HEAD_BYTES + MOST_LIST
         )
         channel.write(http.request(b"GET", target, (), host))
         return channel
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -12,11 +12,11 @@
 from lupinreach.bed.ways.loop import VirtualLoop
 from lupinreach.mesh.configuration import Configuration, Route, RouteType, Service, VirtualHost
 from lupinreach.mesh.configuration_update import (
-    MOST_VERSIONS,
+    MAX_REMEMBERED_VERSIONS,
     Applied,
     ConfigurationHistory,
     ConfigurationUpdate,
-    unpack_whole,
+    unpack_configuration,
 )
 from lupinreach.mesh.messages import AgentHello, Message, StateUpdate, StateUpdateAcknowledged, decode
 from lupinreach.mesh.proxy.news import NewsHolder
@@ -64,7 +64,7 @@
     versions = _random_versions(rng, 40)
     history = ConfigurationHistory()
     for version in versions:
-        history.take(version)
+        history.advance(version)
     for first in range(0, 40, 7):
         base, packed = history.packed_from(versions[first].version)
         assert base == versions[first].version
@@ -84,8 +84,8 @@
     before, missed = _configuration(1, routes), _configuration(2, routes | {key: 5.0})
     after = _configuration(3, routes | {("h.example", "/p4/"): 9.0})
     history = ConfigurationHistory()
-    history.take(before)
-    history.take(after)
+    history.advance(before)
+    history.advance(after)
     _, packed = history.packed_from(history.base_for(missed.version))
     assert ConfigurationUpdate.unpack(packed).apply(RouteTable(missed))[0] is Applied.UNFIT
     applied, table = ConfigurationUpdate.unpack(packed).apply(RouteTable(before))
@@ -93,15 +93,15 @@
 
 
 def test_forgotten_versions_and_large_changes_get_the_full_configuration() -> None:
-    versions = _random_versions(random.Random(6), MOST_VERSIONS + 5)
+    versions = _random_versions(random.Random(6), MAX_REMEMBERED_VERSIONS + 5)
     history = ConfigurationHistory()
     for version in versions:
-        history.take(version)
+        history.advance(version)
     assert history.base_for(versions[0].version) == "" == history.base_for("")
     assert history.base_for(versions[6].version) == versions[6].version
-    history.take(_configuration(0xFFFF, {("new.example", f"/n{number}/"): 1.0 for number in range(50)}))
+    history.advance(_configuration(0xFFFF, {("new.example", f"/n{number}/"): 1.0 for number in range(50)}))
     base, packed = history.packed_from(versions[-1].version)
-    assert base == "" and unpack_whole(packed).version == "0000ffff"
+    assert base == "" and unpack_configuration(packed).version == "0000ffff"
 
 
 class _QueuedLink:
@@ -152,7 +152,7 @@
     for sequence, version in enumerate(versions, 1):
         for number, (feed, link) in enumerate(zip(feeds, links, strict=True)):
             if rng.random() < 0.7 or sequence == len(versions):
-                feed.history.take(version)
+                feed.history.advance(version)
                 feed.publish([1, sequence], {"za": sequence % 3 == 0})
             if rng.random() < 0.4:
                 link.flush()
@@ -193,7 +193,7 @@
         feed.join(link, AgentHello("s1:1", 1, "", [], True))
         routes = {("h.example", f"/p{number}/"): 1.0 for number in range(400)}
         for number in range(1, 50):
-            feed.history.take(_configuration(number, {key: float(number) for key in routes}))
+            feed.history.advance(_configuration(number, {key: float(number) for key in routes}))
             feed.publish([1, number], {})
         assert len(link.queued) == 1
         feed.on_acknowledged(link, StateUpdateAcknowledged([1, 1], "00000001"))
--- a/tests/mesh/test_entry_feed.py
+++ b/tests/mesh/test_entry_feed.py
@@ -11,7 +11,7 @@
 from lupinreach.mesh.messages import AgentEntry, decode
 from lupinreach.mesh.registry.agents import AgentTable
 from lupinreach.mesh.registry.entry_feed import MAX_UNSENT_BYTES, EntryFeed
-from lupinreach.mesh.send_window import NewsProgress
+from lupinreach.mesh.send_window import UpdateProgress
 
 
 class _Link:
@@ -106,7 +106,7 @@
 
 
 def test_send_window_is_not_used_for_a_receiver_without_acknowledgements() -> None:
-    progress = NewsProgress(acknowledges=False)
+    progress = UpdateProgress(acknowledges=False)
     for sequence in range(1000):
         assert progress.allows(60_000)
         progress.sent(60_000, "00000001", [1, sequence])
