--- a/lupinreach/mesh/proxy/news.py
+++ b/lupinreach/mesh/proxy/configuration_state.py
@@ -14,7 +14,7 @@
 STALE_PATIENCE_S = 1.0  # a proxy without a configuration waits so long for one that is surely the newest
 
 
-class NewsHolder:
+class ConfigurationState:
     """Highest configuration and newest evacuations that any registry or neighbour told."""
 
     def __init__(self) -> None:
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -17,9 +17,9 @@
 from lupinreach.mesh.link import parse_address
 from lupinreach.mesh.messages import Answer, BackendStatus, Failed, NotTaken, Request
 from lupinreach.mesh.proxy.admission import Admission, NotAdmitted
+from lupinreach.mesh.proxy.configuration_state import ConfigurationState
 from lupinreach.mesh.proxy.gate_counts import GateCounts
 from lupinreach.mesh.proxy.local_backend import BackendState, Heartbeat, LocalBackend
-from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.request_kind import RequestKind
 from lupinreach.mesh.reader import WholeMessage
 
@@ -35,7 +35,7 @@
 class Gate:
     """Passes requests to the local backend."""
 
-    def __init__(self, backend: LocalBackend, app_address: str, zone: str, news: NewsHolder) -> None:
+    def __init__(self, backend: LocalBackend, app_address: str, zone: str, news: ConfigurationState) -> None:
         self.backend = backend
         self.admission = Admission()
         self.counts = GateCounts()
--- a/lupinreach/mesh/proxy/gossip.py
+++ b/lupinreach/mesh/proxy/gossip.py
@@ -8,7 +8,7 @@
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.link import Dialer, Link, parse_address
 from lupinreach.mesh.messages import Message, News, NewsPull, PeerHello, Shuffle, Shuffled
-from lupinreach.mesh.proxy.news import NewsHolder
+from lupinreach.mesh.proxy.configuration_state import ConfigurationState
 from lupinreach.mesh.proxy.partial_view import PartialView
 from lupinreach.mesh.tasks import spawn
 
@@ -20,7 +20,7 @@
 class Gossip:
     """One exchange with one neighbour each round."""
 
-    def __init__(self, own_address: str, news: NewsHolder) -> None:
+    def __init__(self, own_address: str, news: ConfigurationState) -> None:
         self._own = own_address
         self._news = news
         self.view = PartialView(own_address, random.Random(random.getrandbits(64)))
--- a/lupinreach/mesh/proxy/inbound.py
+++ b/lupinreach/mesh/proxy/inbound.py
@@ -22,9 +22,9 @@
     Shuffle,
 )
 from lupinreach.mesh.proxy.body_credit import BodyReceiver
+from lupinreach.mesh.proxy.configuration_state import ConfigurationState
 from lupinreach.mesh.proxy.gate import Gate, Outcome
 from lupinreach.mesh.proxy.gossip import Gossip
-from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.request_age import LinkDelay, SeenRequests
 from lupinreach.mesh.tasks import spawn
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         gate: Gate,
-        news: NewsHolder,
+        news: ConfigurationState,
         gossip: Gossip,
         describe: Callable[[], dict[str, Any]],
         on_beat: Callable[[ForwardedBeat], bool],
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -10,8 +10,8 @@
 from lupinreach.mesh.configuration import Route
 from lupinreach.mesh.errors import AttemptFailure, ErrorKind, NotTakenReason
 from lupinreach.mesh.messages import Answer, Failed, NotTaken, Request
+from lupinreach.mesh.proxy.configuration_state import ConfigurationState
 from lupinreach.mesh.proxy.gate import DEADLINE, Gate, Outcome
-from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.peers import Peer, PeerTable
 from lupinreach.mesh.proxy.pool_policy import DEFAULT_AIM_MS, Choice, PoolPolicy
 from lupinreach.mesh.proxy.retry_budget import RetryBudget
@@ -55,7 +55,7 @@
     def __init__(
         self,
         caller: str,
-        news: NewsHolder,
+        news: ConfigurationState,
         gate: Gate,
         peers: PeerTable,
         policy: PoolPolicy,
--- a/lupinreach/mesh/proxy/program.py
+++ b/lupinreach/mesh/proxy/program.py
@@ -17,11 +17,11 @@
 from lupinreach.mesh.instance_calls import add_instance_calls, parse_heartbeat
 from lupinreach.mesh.messages import AgentEntry, AgentHello, ForwardedBeat
 from lupinreach.mesh.metrics import Metric
+from lupinreach.mesh.proxy.configuration_state import ConfigurationState
 from lupinreach.mesh.proxy.gate import Gate
 from lupinreach.mesh.proxy.gossip import Gossip
 from lupinreach.mesh.proxy.inbound import Inbound
 from lupinreach.mesh.proxy.local_backend import BackendState, Heartbeat, LocalBackend
-from lupinreach.mesh.proxy.news import NewsHolder
 from lupinreach.mesh.proxy.outbound import Outbound
 from lupinreach.mesh.proxy.peers import LocalPeer, PeerTable
 from lupinreach.mesh.proxy.pool_policy import PoolPolicy
@@ -67,7 +67,7 @@
         self._probed = False
         self._was_evacuated = False
         self._address = settings.listen_addresses["inbound"]
-        self.news = NewsHolder()
+        self.news = ConfigurationState()
         self.backend = LocalBackend(settings.target_service)
         self.gate = Gate(self.backend, settings.app_address, settings.zone, self.news)
         self.peers = PeerTable(self._address, settings.zone, lambda: self.news.version)
--- a/lupinreach/mesh/proxy/registry_client.py
+++ b/lupinreach/mesh/proxy/registry_client.py
@@ -17,7 +17,7 @@
     NewsPull,
     RegistryStatus,
 )
-from lupinreach.mesh.proxy.news import NewsHolder
+from lupinreach.mesh.proxy.configuration_state import ConfigurationState
 from lupinreach.mesh.rendezvous import rendezvous_rank
 from lupinreach.mesh.tasks import spawn
 
@@ -50,7 +50,7 @@
         zone: str,
         hello: Callable[[], AgentHello],
         own_entry: Callable[[], AgentEntry],
-        news: NewsHolder,
+        news: ConfigurationState,
         on_entry: Callable[[AgentEntry], None],
         log: EventLog,
     ) -> None:
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -19,7 +19,7 @@
     unpack_whole,
 )
 from lupinreach.mesh.messages import AgentHello, Message, News, NewsAcknowledged, decode
-from lupinreach.mesh.proxy.news import NewsHolder
+from lupinreach.mesh.proxy.configuration_state import ConfigurationState
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.route_table import RouteTable
 
@@ -130,7 +130,7 @@
     """Two registries that each miss versions tell a proxy over links that deliver at drawn moments."""
     chance = random.Random(seed)
     versions = _drawn(chance, 60)
-    holder = NewsHolder()
+    holder = ConfigurationState()
     feeds, wires = [], []
     for _ in range(2):
         feed = NewsFeed(lambda: True, _Quiet())  # type: ignore[arg-type]
