--- a/tests/mesh/scenario.py
+++ b/tests/mesh/scenario.py
@@ -46,7 +46,11 @@
 
     def story(self) -> list[str]:
         """What the stores decided, in order, without what chance names."""
-        return [f"{name} {event.name}" for _, name, event, _ in self.world.story if event in CONTROL_EVENTS]
+        return [
+            f"{name} {event.name}"
+            for _, name, event, _ in self.world.recorded_events
+            if event in CONTROL_EVENTS
+        ]
 
     def _spawn(self, work: Any) -> None:
         with self.world.loop.owned_by(0):
@@ -265,7 +269,7 @@
         """Each version was in force at a proxy so soon after its commit, or a higher one was."""
         committed: dict[str, float] = {}
         applied = []
-        for at, name, event, facts in self.world.story:
+        for at, name, event, facts in self.world.recorded_events:
             if event is Event.ORDER_COMMITTED:
                 committed.setdefault(facts["version"], at)
             elif event is Event.CONFIGURATION_APPLIED and name == f"{host}/proxy":
@@ -318,7 +322,9 @@
 
     def do_expect_event(self, name: str, host: str, least: str) -> str | None:
         """A program of a host has logged an event so many times at least."""
-        found = sum(e.name.lower() == name and of.startswith(f"{host}/") for _, of, e, _ in self.world.story)
+        found = sum(
+            e.name.lower() == name and of.startswith(f"{host}/") for _, of, e, _ in self.world.recorded_events
+        )
         return None if found >= int(least) else f"found {found}"
 
     def do_expect_answered(self, prefix: str) -> str | None:
--- a/tests/mesh/soak.py
+++ b/tests/mesh/soak.py
@@ -210,7 +210,7 @@
 
     def _start_proxy(self, host: str) -> None:
         """The machine's processes start; its backend is another process and runs on."""
-        self.world.story.append((self.world.now, f"{host}/proxy", Event.STARTED, {}))
+        self.world.recorded_events.append((self.world.now, f"{host}/proxy", Event.STARTED, {}))
         self.world.start(host, with_backend=False)
 
     async def _do_hup(self) -> None:
@@ -375,7 +375,7 @@
     def _judge_versions(self) -> None:
         """Within a life a proxy never goes back; at the end all hold the newest that was acknowledged."""
         held: dict[str, int] = {}
-        for at, name, event, facts in self.world.story:
+        for at, name, event, facts in self.world.recorded_events:
             if event is Event.STARTED:
                 held.pop(name, None)
             if event is Event.CONFIGURATION_APPLIED:
--- a/tests/mesh/world.py
+++ b/tests/mesh/world.py
@@ -148,14 +148,14 @@
         return near, near.protocol
 
 
-class StoryLog:
+class EventRecorder:
     """Keeps the events of one process."""
 
     def __init__(self, world: World, name: str) -> None:
         self._world, self._name = world, name
 
     def write(self, event: Event, **facts: Any) -> None:
-        self._world.story.append((self._world.now, self._name, event, facts))
+        self._world.recorded_events.append((self._world.now, self._name, event, facts))
 
 
 class FaultyDisk:
@@ -207,7 +207,7 @@
         random.seed(seed)
         self.loop = MeshLoop()
         self.folder = folder
-        self.story: list[tuple[float, str, Event, dict[str, Any]]] = []
+        self.recorded_events: list[tuple[float, str, Event, dict[str, Any]]] = []
         self.programs: dict[tuple[str, str], Any] = {}
         self.owners: dict[tuple[str, str], int] = {}
         self.zones: dict[str, str] = {}
@@ -291,7 +291,7 @@
         random.seed(
             f"{host} {role} {OWNER.get()}"
         )  # what one process draws must not move with what others drew
-        log = StoryLog(self, f"{host}/{role}")
+        log = EventRecorder(self, f"{host}/{role}")
         if role == "proxy":
             program: Any = ProxyProgram(settings, log, lambda: self.now + self.clock_steps.get(host, 1e6))
         else:
