--- a/tests/mesh/scenario.py
+++ b/tests/mesh/scenario.py
@@ -134,7 +134,7 @@
         name = given.pop("as", version)
 
         async def order() -> None:
-            self.statuses[name] = await self.world.order(host, version, **given)
+            self.statuses[name] = await self.world.replace_configuration(host, version, **given)
 
         self._spawn(order())
 
@@ -144,7 +144,7 @@
 
         async def send() -> None:
             for number in range(int(first, 16), int(first, 16) + int(count)):
-                await self.world.order(host, f"{number:08x}", **given)
+                await self.world.replace_configuration(host, f"{number:08x}", **given)
                 await asyncio.sleep(float(every))
 
         self._spawn(send())
@@ -174,14 +174,14 @@
         size = int(given.get("bytes", 1))
         for index in range(int(given.get("times", 1))):
             name = request_id if "times" not in given else f"{request_id}{index}"
-            self._spawn(self.world.ask(host, path, name, deadline, method, size))
+            self._spawn(self.world.send_request(host, path, name, deadline, method, size))
 
     def do_stream(self, host: str, path: str, prefix: str, per_s: str, seconds: str) -> None:
         """Requests at an even pace, `prefix0`, `prefix1`, ..."""
 
         async def send() -> None:
             for index in range(int(float(per_s) * float(seconds))):
-                self._spawn(self.world.ask(host, path, f"{prefix}{index}"))
+                self._spawn(self.world.send_request(host, path, f"{prefix}{index}"))
                 await asyncio.sleep(1 / float(per_s))
 
         self._spawn(send())
@@ -194,7 +194,7 @@
 
     def do_beat(self, host: str, via: str = "") -> None:
         async def beat() -> None:
-            self.statuses[f"beat-{host}"] = await self.world.beat(host, via)
+            self.statuses[f"beat-{host}"] = await self.world.send_heartbeat(host, via)
 
         self._spawn(beat())
 
@@ -253,7 +253,7 @@
         return None if took <= float(seconds) else f"took {took:.3f}"
 
     def do_expect_runs(self, request_id: str, *counts: str) -> str | None:
-        found = self.world.runs(request_id)
+        found = self.world.run_count(request_id)
         return None if str(found) in counts else f"ran {found} times"
 
     def do_expect_serving(self, *hosts: str) -> str | None:
@@ -339,7 +339,7 @@
         names = [
             name for name, (status, _) in self.world.answers.items() if name.startswith(prefix) and not status
         ]
-        cut = [name for name in names if self.world.runs(name)]
+        cut = [name for name in names if self.world.run_count(name)]
         return f"cut {cut}" if cut else None
 
     def do_expect_refused_unrun(self, prefix: str) -> str | None:
@@ -347,7 +347,7 @@
         found = {
             name: status
             for name, (status, _) in self.world.answers.items()
-            if name.startswith(prefix) and status != 200 and (status != 503 or self.world.runs(name))
+            if name.startswith(prefix) and status != 200 and (status != 503 or self.world.run_count(name))
         }
         return f"{len(found)} not: {dict(list(found.items())[:3])}" if found else None
 
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -33,7 +33,7 @@
     world = World(tmp_path)
     try:
         world.start_small()
-        world.loop.run_until_complete(world.order("c1", "0000000a"))
+        world.loop.run_until_complete(world.replace_configuration("c1", "0000000a"))
         world.run_until(4.0)
         told = {}
         for port, (key, program) in enumerate(sorted(world.programs.items()), 9500):
--- a/tests/mesh/test_subscribe.py
+++ b/tests/mesh/test_subscribe.py
@@ -28,12 +28,12 @@
     world = World(tmp_path)
     try:
         world.start_small()
-        assert world.loop.run_until_complete(world.order("c1", "00000001")) == 200
+        assert world.loop.run_until_complete(world.replace_configuration("c1", "00000001")) == 200
         primary = world.serving()[0]
         others = [host for host in world.cores if host != primary]
         for host in others:
             world.freeze(host, 0.6)
-        order = world.loop.create_task(world.order(primary, "00000002"))
+        order = world.loop.create_task(world.replace_configuration(primary, "00000002"))
         world.run_until(world.now + 0.05)
         _restart_registry(world, primary)
         world.run_until(world.now + 0.3)
--- a/tests/mesh/world.py
+++ b/tests/mesh/world.py
@@ -338,7 +338,7 @@
             server = HttpServer(handle, lambda asked: True)
             await server.listen((host, APP))
             while True:
-                await self.beat(host)
+                await self.send_heartbeat(host)
                 await asyncio.sleep(1.0)
 
         with self.loop.owned_by(self._owner):
@@ -357,7 +357,7 @@
         instance = self.backends[host].instance
         return (await self.call(via, CONTROL, "POST", f"/instances/{instance}/deregister"))[0]
 
-    async def beat(self, host: str, via: str = "") -> int:
+    async def send_heartbeat(self, host: str, via: str = "") -> int:
         backend = self.backends[host]
         backend.sequence += 1
         body = (
@@ -406,7 +406,7 @@
             connection.close()
         return whole.head.first[2], whole.body
 
-    async def ask(
+    async def send_request(
         self,
         host: str,
         path: str,
@@ -423,7 +423,9 @@
         self.answers[request_id] = (status, self.now - began)
         return status
 
-    async def order(self, host: str, version: str, service: str = "alpha", **wrong: Any) -> int:
+    async def replace_configuration(
+        self, host: str, version: str, service: str = "alpha", **wrong: Any
+    ) -> int:
         """An operator's configuration: `/safe/` and `/unsafe/` of one service; `/added/` with an aim if asked for."""
         timeout = wrong.get("timeout", 2000)
         target = wrong.get("unknown", service)
@@ -454,7 +456,7 @@
             text = text[: len(text) // 2]
         return (await self.call(host, CONTROL, "POST", "/configuration/replace", text))[0]
 
-    def runs(self, request_id: str) -> int:
+    def run_count(self, request_id: str) -> int:
         return sum(b.ran.count(request_id) for b in self.backends.values())
 
     def serving(self) -> list[str]:
