--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -193,7 +193,7 @@
             if (until - self._now()) * 1000 < MIN_RUN_MS:
                 return self._not_taken(asked, NotTakenReason.EXPIRED, 0.0)
             began = self._now()
-            self.counts.taken(RequestKind.of(asked))
+            self.counts.count_taken(RequestKind.of(asked))
             outcome = await self._attempt(asked, until)
             if isinstance(outcome, Answer):
                 served = self._now() - began
@@ -268,7 +268,7 @@
 
     def _not_taken(self, asked: Request, reason: NotTakenReason, retry_ms: float) -> NotTaken:
         admission = self.admission
-        self.counts.refused(RequestKind.of(asked), reason)
+        self.counts.count_refused(RequestKind.of(asked), reason)
         return NotTaken(asked.number, int(reason), int(retry_ms), admission.running, admission.waiting)
 
     def _failed(self, asked: Request, failure: AttemptFailure, ran: bool) -> Failed:
--- a/lupinreach/mesh/proxy/gate_counts.py
+++ b/lupinreach/mesh/proxy/gate_counts.py
@@ -28,13 +28,13 @@
         label = str(kind)
         return label if label in self._taken or len(self._taken) < MOST_KINDS else "other"
 
-    def taken(self, kind: RequestKind) -> None:
+    def count_taken(self, kind: RequestKind) -> None:
         """A request was passed to the backend."""
         label = self._label(kind)
         self._taken[label] += 1
         self._lately_taken[label] += 1
 
-    def refused(self, kind: RequestKind, reason: NotTakenReason) -> None:
+    def count_refused(self, kind: RequestKind, reason: NotTakenReason) -> None:
         """A request was turned away."""
         label = self._label(kind)
         self._taken[label] += 0
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -66,10 +66,10 @@
     counts, log = GateCounts(), _Written()
     usual, starved = RequestKind(2, 400), RequestKind(0, 1000)
     for _ in range(60):
-        counts.taken(usual)
-        counts.refused(usual, NotTakenReason.FULL)
+        counts.count_taken(usual)
+        counts.count_refused(usual, NotTakenReason.FULL)
     for _ in range(6):
-        counts.refused(starved, NotTakenReason.FULL)
+        counts.count_refused(starved, NotTakenReason.FULL)
     counts.check(log)  # type: ignore[arg-type]
     facts = {"kind": "p0-1000ms", "taken": 0, "asked": 6, "of_all": 0.48}
     assert log.events == [(Event.KIND_STARVED, facts)]
