--- a/lupinreach/mesh/proxy/configuration_state.py
+++ b/lupinreach/mesh/proxy/configuration_state.py
@@ -79,7 +79,7 @@
         self.applied += applied is Applied.IN_FORCE
         return applied
 
-    def as_news(self) -> News:
+    def to_message(self) -> News:
         """All that is held, as one message; a proxy can't know that it is the newest."""
         whole = pack_whole(self.table) if self.table is not None else None
         return News(list(self.stamp), self.version, whole, self.evacuations, fresh=False)
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -35,7 +35,9 @@
 class Gate:
     """Passes requests to the local backend."""
 
-    def __init__(self, backend: LocalBackend, app_address: str, zone: str, news: ConfigurationState) -> None:
+    def __init__(
+        self, backend: LocalBackend, app_address: str, zone: str, configuration: ConfigurationState
+    ) -> None:
         self.backend = backend
         self.admission = Admission()
         self.counts = GateCounts()
@@ -43,7 +45,7 @@
         self.in_flight = 0
         self._running: dict[bytes, bool] = {}  # by request id: if the run is a repeat
         self._zone = zone
-        self._news = news
+        self._configuration = configuration
         self._pool = BackendPool(parse_address(app_address))
         self._on_status: list[Callable[[BackendStatus], None]] = []
         self._told: tuple[object, ...] = ()
@@ -82,7 +84,9 @@
         backend, admission = self.backend, self.admission
         admission.capacity = backend.capacity
         admission.cold_until = now + backend.cold_s(now)
-        service = self._news.table.services.get(backend.service) if self._news.table else None
+        service = (
+            self._configuration.table.services.get(backend.service) if self._configuration.table else None
+        )
         admission.cold_per_s = service.cold_per_s if service else 0.0
         reason = self._closed_reason()
         if reason is not None:
@@ -104,7 +108,7 @@
             cold_ms=int(1000 * self.backend.cold_s(self._now())),
             running=self.admission.running,
             waiting=self.admission.waiting,
-            config_version=self._news.version,
+            config_version=self._configuration.version,
             takes_offers=True,
         )
 
@@ -116,13 +120,13 @@
         """Why nothing at all is taken now, or None."""
         if self.stopping:
             return NotTakenReason.STOPPING
-        if self._news.table is None:
+        if self._configuration.table is None:
             return NotTakenReason.NO_BACKEND
         if self.backend.state is BackendState.DRAINING:
             return NotTakenReason.DRAINING
         if not self.backend.serving:
             return NotTakenReason.NO_BACKEND
-        if self._news.evacuated(self._zone):
+        if self._configuration.evacuated(self._zone):
             return NotTakenReason.EVACUATED
         return None
 
@@ -134,13 +138,13 @@
             return NotTakenReason.NO_BACKEND
         if asked.instance_id and asked.instance_id != self.backend.instance_id:
             return NotTakenReason.NO_BACKEND
-        if is_newer(self._news.version, asked.config_version) and not self._route_allows(asked):
+        if is_newer(self._configuration.version, asked.config_version) and not self._route_allows(asked):
             return NotTakenReason.STALE_ROUTE
         return None
 
     def _route_allows(self, asked: Request) -> bool:
-        assert self._news.table is not None
-        route = self._news.table.find(asked.host.decode("latin-1"), asked.target.decode("latin-1"))
+        assert self._configuration.table is not None
+        route = self._configuration.table.find(asked.host.decode("latin-1"), asked.target.decode("latin-1"))
         return route is not None and route.allows(asked.service)
 
     # A request.
--- a/lupinreach/mesh/proxy/gossip.py
+++ b/lupinreach/mesh/proxy/gossip.py
@@ -20,9 +20,9 @@
 class Gossip:
     """One exchange with one neighbour each round."""
 
-    def __init__(self, own_address: str, news: ConfigurationState) -> None:
+    def __init__(self, own_address: str, configuration: ConfigurationState) -> None:
         self._own = own_address
-        self._news = news
+        self._configuration = configuration
         self.view = PartialView(own_address, random.Random(random.getrandbits(64)))
         self._task = spawn(self._run())
 
@@ -43,12 +43,12 @@
                 asking = spawn(self._pull_if_behind(link, message, done))
                 self._asking = asking
             elif isinstance(message, News):
-                self._news.apply(message)
+                self._configuration.apply(message)
                 done.set()
 
         def on_up(link: Link) -> None:
-            link.send(PeerHello(self._own, self._news.version, asyncio.get_running_loop().time()))
-            link.send(Shuffle(sample, self._news.version, list(self._news.stamp)))
+            link.send(PeerHello(self._own, self._configuration.version, asyncio.get_running_loop().time()))
+            link.send(Shuffle(sample, self._configuration.version, list(self._configuration.stamp)))
 
         dialer = Dialer(parse_address(partner), on_up, on_message, lambda link: None)
         try:
@@ -69,11 +69,11 @@
 
     def _is_behind(self, told: Shuffled) -> bool:
         """If the neighbour holds anything newer."""
-        return is_newer(told.config_version, self._news.version) or told.evacuation_stamp > list(
-            self._news.stamp
+        return is_newer(told.config_version, self._configuration.version) or told.evacuation_stamp > list(
+            self._configuration.stamp
         )
 
     def answer(self, link: Link, message: Shuffle) -> None:
         """A neighbour shuffles with this proxy."""
         entries = self.view.answer(message.entries)
-        link.send(Shuffled(entries, self._news.version, list(self._news.stamp)))
+        link.send(Shuffled(entries, self._configuration.version, list(self._configuration.stamp)))
--- a/lupinreach/mesh/proxy/inbound.py
+++ b/lupinreach/mesh/proxy/inbound.py
@@ -37,7 +37,7 @@
     def __init__(
         self,
         gate: Gate,
-        news: ConfigurationState,
+        configuration: ConfigurationState,
         gossip: Gossip,
         describe: Callable[[], dict[str, Any]],
         on_beat: Callable[[ForwardedBeat], bool],
@@ -45,7 +45,7 @@
     ) -> None:
         self._on_beat = on_beat
         self._gate = gate
-        self._news = news
+        self._configuration = configuration
         self._gossip = gossip
         self._describe = describe
         self._links: dict[Link, dict[int, asyncio.Task[None]]] = {}
@@ -85,7 +85,7 @@
         elif isinstance(message, Shuffle):
             self._gossip.answer(link, message)
         elif isinstance(message, NewsPull):
-            link.send(self._news.as_news())
+            link.send(self._configuration.to_message())
         elif isinstance(message, ForwardedBeat):
             if self._on_beat(message):
                 link.send(BeatTaken(message.number))
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -55,7 +55,7 @@
     def __init__(
         self,
         caller: str,
-        news: ConfigurationState,
+        configuration: ConfigurationState,
         gate: Gate,
         peers: PeerTable,
         policy: PoolPolicy,
@@ -63,7 +63,7 @@
         careful_s: float = 0.0,  # this process may have been restarted as planned, so long ago at most
     ) -> None:
         self._caller_line = b"Lupinreach-Caller-Service: " + caller.encode() + b"\r\n"
-        self._news = news
+        self._configuration = configuration
         self._gate = gate
         self._peers = peers
         self._policy = policy
@@ -78,14 +78,14 @@
         return route is None or route.repeatable
 
     def _route(self, request: HttpRequest) -> Route | None:
-        if self._news.table is None:
+        if self._configuration.table is None:
             return None
         host = (request.header(b"host") or b"").decode("latin-1")
-        return self._news.table.find(host, request.target.decode("latin-1"))
+        return self._configuration.table.find(host, request.target.decode("latin-1"))
 
     async def handle(self, request: HttpRequest) -> HttpAnswer:
         """The answer to one request of a client."""
-        if self._news.table is None:
+        if self._configuration.table is None:
             return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=200)
         if not request.header(REQUEST_ID):
             return error_answer(ErrorKind.NO_REQUEST_ID)
@@ -143,7 +143,7 @@
         asked = Request(
             service=passage.service,
             instance_id=peer.status.instance_id,
-            config_version=self._news.version,
+            config_version=self._configuration.version,
             remaining_ms=int(remaining_ms),
             repeatable=passage.route.repeatable,
             again=passage.is_repeat or passage.attempts > 0,
--- a/lupinreach/mesh/proxy/program.py
+++ b/lupinreach/mesh/proxy/program.py
@@ -67,28 +67,28 @@
         self._probed = False
         self._was_evacuated = False
         self._address = settings.listen_addresses["inbound"]
-        self.news = ConfigurationState()
+        self.configuration = ConfigurationState()
         self.backend = LocalBackend(settings.target_service)
-        self.gate = Gate(self.backend, settings.app_address, settings.zone, self.news)
-        self.peers = PeerTable(self._address, settings.zone, lambda: self.news.version)
+        self.gate = Gate(self.backend, settings.app_address, settings.zone, self.configuration)
+        self.peers = PeerTable(self._address, settings.zone, lambda: self.configuration.version)
         self.peers.add_local(LocalPeer(self._address, settings.zone, self.gate))
         zones = settings.zones
         self.policy = PoolPolicy(settings.zone, lambda zone: zones.get(zone, ""), log.write)
         self.budget = RetryBudget(settings.bounds.retry_budget_ratio, settings.bounds.retry_budget_slack)
         self.outbound = Outbound(
             settings.target_service,
-            self.news,
+            self.configuration,
             self.gate,
             self.peers,
             self.policy,
             self.budget,
             settings.bounds.grace_period_s + RESTARTED_S,
         )
-        self.gossip = Gossip(self._address, self.news)
+        self.gossip = Gossip(self._address, self.configuration)
         self.peers.on_new = self.gossip.view.offer
         self.inbound = Inbound(
             self.gate,
-            self.news,
+            self.configuration,
             self.gossip,
             self.describe,
             self._on_forwarded,
@@ -116,7 +116,7 @@
         await self._readiness_server.listen(settings.listen_address("readiness"))
         await self._server.listen(settings.listen_address("outbound"))
         self.gate.on_status(lambda status: self._announce())
-        self.news.on_change(self._on_news)
+        self.configuration.on_change(self._on_news)
         seeds = [f"{host}:{settings.registry_port}" for host in settings.seed_hosts]
         self._registries = RegistryClient(
             self._address,
@@ -124,7 +124,7 @@
             settings.zone,
             self._hello,
             self._own_entry,
-            self.news,
+            self.configuration,
             self._on_entry,
             self._log,
         )
@@ -178,7 +178,7 @@
     # News.
 
     def _on_news(self) -> None:
-        table = self.news.table
+        table = self.configuration.table
         if table is None:
             return
         if self.state is ProxyState.STARTING:
@@ -187,7 +187,7 @@
         self._server.limits = ServerLimits(
             limits.max_body_bytes, limits.header_timeout_ms, limits.idle_timeout_ms
         )
-        evacuated = self.news.evacuated(self._settings.zone)
+        evacuated = self.configuration.evacuated(self._settings.zone)
         if self._was_evacuated and not evacuated:
             self.gate.evacuation_ended()
         self._was_evacuated = evacuated
@@ -196,18 +196,24 @@
             self._probed = True
             asyncio.get_running_loop().call_later(PROBE_AFTER_S, self._probe)
         self._log.write(
-            Event.CONFIGURATION_APPLIED, version=table.version, evacuations=_names(self.news.evacuations)
+            Event.CONFIGURATION_APPLIED,
+            version=table.version,
+            evacuations=_names(self.configuration.evacuations),
         )
 
     def _probe(self) -> None:
-        service = self.news.table.services.get(self.backend.service) if self.news.table else None
+        service = (
+            self.configuration.table.services.get(self.backend.service) if self.configuration.table else None
+        )
         if self.backend.state is BackendState.UNKNOWN and service is not None:
             self._probing = spawn(self.gate.probe(service.health_check_path))
 
     # Links to registries.
 
     def _hello(self) -> AgentHello:
-        return AgentHello(self._address, self._life, self.news.version, list(self.news.stamp), True)
+        return AgentHello(
+            self._address, self._life, self.configuration.version, list(self.configuration.stamp), True
+        )
 
     def _own_entry(self) -> AgentEntry:
         status = self.gate.status()
@@ -256,9 +262,9 @@
             "role": "proxy",
             "node": self._settings.node_name,
             "state": self.state.value,
-            "config_version": self.news.version,
-            "news_stamp": list(self.news.stamp),
-            "evacuations": self.news.evacuations,
+            "config_version": self.configuration.version,
+            "news_stamp": list(self.configuration.stamp),
+            "evacuations": self.configuration.evacuations,
             "registry_links": self._registries.connected if self._registries is not None else 0,
             "backend": {
                 "service": backend.service,
@@ -279,8 +285,12 @@
         admission = self.gate.admission
         registries = self._registries
         return [
-            Metric("proxy_configuration_version", version_number(self.news.version or "0"), "in force"),
-            Metric("proxy_configurations_applied_total", self.news.applied, "put in force in this life"),
+            Metric(
+                "proxy_configuration_version", version_number(self.configuration.version or "0"), "in force"
+            ),
+            Metric(
+                "proxy_configurations_applied_total", self.configuration.applied, "put in force in this life"
+            ),
             Metric("proxy_registry_links", registries.connected if registries else 0, "that are up"),
             Metric(
                 "proxy_registry_silent_seconds",
--- a/lupinreach/mesh/proxy/registry_client.py
+++ b/lupinreach/mesh/proxy/registry_client.py
@@ -50,7 +50,7 @@
         zone: str,
         hello: Callable[[], AgentHello],
         own_entry: Callable[[], AgentEntry],
-        news: ConfigurationState,
+        configuration: ConfigurationState,
         on_entry: Callable[[AgentEntry], None],
         log: EventLog,
     ) -> None:
@@ -58,7 +58,7 @@
         self._zone = zone
         self._hello = hello
         self._own_entry = own_entry
-        self._news = news
+        self._configuration = configuration
         self._on_entry = on_entry
         self._log = log
         self._known: dict[str, str] = dict.fromkeys(seeds, "")  # address: zone, empty while unknown
@@ -150,10 +150,10 @@
 
     def _message(self, held: _Held, message: Message) -> None:
         if isinstance(message, News):
-            if self._news.apply(message) is Applied.UNFIT:
+            if self._configuration.apply(message) is Applied.UNFIT:
                 self._log.write(Event.UPDATE_UNFIT, registry=held.address, version=message.config_version)
                 self._send(held, NewsPull())
-            self._send(held, NewsAcknowledged(list(self._news.stamp), self._news.version))
+            self._send(held, NewsAcknowledged(list(self._configuration.stamp), self._configuration.version))
         elif isinstance(message, AgentEntry):
             self._on_entry(message)
         elif isinstance(message, RegistryStatus):
--- a/tests/mesh/scenario.py
+++ b/tests/mesh/scenario.py
@@ -262,7 +262,7 @@
         return None if ok else f"found {found}"
 
     def do_expect_version(self, host: str, version: str) -> str | None:
-        found = self.world.programs[(host, "proxy")].news.version
+        found = self.world.programs[(host, "proxy")].configuration.version
         return None if found == version else f"found {found!r}"
 
     def do_expect_in_force_within(self, host: str, seconds: str) -> str | None:
--- a/tests/mesh/soak.py
+++ b/tests/mesh/soak.py
@@ -385,8 +385,12 @@
                 held[name] = version
         newest = max((one.version for one in self.changes if one.acked), key=version_number)
         for (host, role), program in self.world.programs.items():
-            if role == "proxy" and version_number(program.news.version or "0") < version_number(newest):
-                self.broken.append(f"CONFIG: {host} holds {program.news.version!r} at the end, not {newest}")
+            if role == "proxy" and version_number(program.configuration.version or "0") < version_number(
+                newest
+            ):
+                self.broken.append(
+                    f"CONFIG: {host} holds {program.configuration.version!r} at the end, not {newest}"
+                )
 
 
 def _configuration(change: Change) -> bytes:
--- a/tests/mesh/test_subscribe.py
+++ b/tests/mesh/test_subscribe.py
@@ -41,7 +41,7 @@
         assert registry.feed.history.version == "00000001"  # the write is still under way
         world.run_until(world.now + 1.5)
         assert registry.feed.history.version == "00000002"
-        assert world.programs[("s1", "proxy")].news.version == "00000002"
+        assert world.programs[("s1", "proxy")].configuration.version == "00000002"
         world.loop.run_until_complete(asyncio.wait([order]))
     finally:
         world.end()
