--- a/lupinreach/mesh/proxy/admission.py
+++ b/lupinreach/mesh/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests to one backend: concurrency, a short queue, and the bound of a cold backend."""
+"""Admission of requests to one backend: concurrency limit, bounded wait queue, rate limit of a cold backend."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from lupinreach.mesh.proxy.request_kind import RequestKind
 from lupinreach.mesh.proxy.service_times import ServiceTimes
 
-COLD_WINDOW_S = 1.0
-WAIT_FLOOR_MS = 5
+COLD_WINDOW_S = 1.0  # window of the rate limit of a cold backend
+MIN_QUEUE_WAIT_MS = 5  # a request that may wait for less is not queued
 
 
 class NotAdmitted(Exception):
@@ -24,14 +24,14 @@
 
 
 class SlidingWindow:
-    """Counts events so that no window of `span_s` seconds, at any offset, holds more than a limit."""
+    """Rate limiter: no window of `span_s` seconds, at any offset, holds more events than a limit."""
 
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
         self._times: deque[float] = deque()
 
     def wait_s(self, now: float, limit: int) -> float:
-        """Seconds until one more event is allowed; 0 where it is allowed now."""
+        """Return the seconds until one more event is allowed, 0 if it is allowed now; drops expired events."""
         while self._times and self._times[0] <= now - self._span_s:
             self._times.popleft()
         if len(self._times) < limit:
@@ -39,22 +39,22 @@
         return self._times[len(self._times) - limit] + self._span_s - now
 
     def add(self, now: float) -> None:
-        """Count one event."""
+        """Record one event."""
         self._times.append(now)
 
 
 class Admission:
-    """Lets in what the backend can bear; the rest waits in a queue that is fair to all kinds of requests."""
+    """Admits requests up to the backend's limits; the others wait in a queue that is fair to all kinds."""
 
     def __init__(self) -> None:
         self.running = 0
         self.capacity = 1
-        self.cold_per_s = 0.0  # bound while cold, 0: none
-        self.cold_until = 0.0
-        self._arrivals = SlidingWindow(COLD_WINDOW_S)
+        self.cold_per_s = 0.0  # limit on admissions while the backend is cold; 0: no limit
+        self.cold_until = 0.0  # loop time
+        self._admitted = SlidingWindow(COLD_WINDOW_S)
         self._service_times = ServiceTimes()
         self._queue = FairQueue(self._service_times.relative)
-        self._timer: asyncio.TimerHandle | None = None
+        self._cold_wakeup_timer: asyncio.TimerHandle | None = None
 
     @property
     def waiting(self) -> int:
@@ -62,53 +62,56 @@
 
     @property
     def mean_service_s(self) -> float:
-        """Smoothed; 0: none seen."""
+        """Moving average of the service time; 0 before the first sample."""
         return self._service_times.mean_s
 
     def retry_ms(self) -> float:
-        """When there may be room again, as an estimate."""
+        """Estimate the time until there is capacity again."""
         return 1000 * self.mean_service_s * (self.waiting + 1) / max(1, self.capacity)
 
-    async def enter(self, kind: RequestKind, due: float, wait_ms: float) -> None:
-        """Wait for a slot, among its kind the earliest `due` first (loop time); NotAdmitted after `wait_ms`."""
+    async def acquire(self, kind: RequestKind, due: float, wait_ms: float) -> None:
+        """Wait for a slot; within a kind the earliest `due` (loop time) is first.
+
+        Raises NotAdmitted after `wait_ms`, or at once if the expected wait is longer.
+        """
         now = asyncio.get_running_loop().time()
-        if not self.waiting and self._has_room(now):
-            self._let_in(now)
+        if not self.waiting and self._has_capacity(now):
+            self._admit(now)
             return
-        refused = self.would_refuse(kind, wait_ms)
-        if refused is not None:
-            raise refused
-        await self._wait(kind, due, wait_ms)
+        refusal = self.refusal_if_full(kind, wait_ms)
+        if refusal is not None:
+            raise refusal
+        await self._wait_in_queue(kind, due, wait_ms)
 
-    def would_refuse(self, kind: RequestKind, wait_ms: float) -> NotAdmitted | None:
-        """What a request that may wait for so long would be told at once, if anything."""
+    def refusal_if_full(self, kind: RequestKind, wait_ms: float) -> NotAdmitted | None:
+        """Return the refusal that a request with this queue wait limit would get at once, or None."""
         now = asyncio.get_running_loop().time()
-        if not self.waiting and self._has_room(now):
+        if not self.waiting and self._has_capacity(now):
             return None
-        if wait_ms < WAIT_FLOOR_MS or self._expected_wait_s(kind) * 1000 > wait_ms:
+        if wait_ms < MIN_QUEUE_WAIT_MS or self._expected_wait_s(kind) * 1000 > wait_ms:
             return NotAdmitted(self._full_reason(now), self.retry_ms())
         return None
 
-    async def _wait(self, kind: RequestKind, due: float, wait_ms: float) -> None:
+    async def _wait_in_queue(self, kind: RequestKind, due: float, wait_ms: float) -> None:
         loop = asyncio.get_running_loop()
         future: asyncio.Future[None] = loop.create_future()
         self._queue.push(kind, due, future)
         timer = loop.call_later(wait_ms / 1000, self._expire, kind, future)
-        self._pump()
+        self._admit_waiting()
         try:
             await future
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and future.exception() is None:
-                self.leave(kind, None)  # it was let in at the moment when its client went away
+                self.release(kind, None)  # it was admitted just before its client went away
             raise
         finally:
             timer.cancel()
             if future.cancelled():
-                self._queue.left(kind)
+                self._queue.on_entry_done(kind)
 
     def _expire(self, kind: RequestKind, future: asyncio.Future[None]) -> None:
         if not future.done():
-            self._queue.left(kind)
+            self._queue.on_entry_done(kind)
             now = asyncio.get_running_loop().time()
             future.set_exception(NotAdmitted(self._full_reason(now), self.retry_ms()))
 
@@ -116,47 +119,47 @@
         return NotTakenReason.COLD if now < self.cold_until else NotTakenReason.FULL
 
     def _expected_wait_s(self, kind: RequestKind) -> float:
-        return self.mean_service_s * (self._queue.turns_before(kind) + 0.5) / max(1, self.capacity)
+        return self.mean_service_s * (self._queue.estimate_entries_ahead(kind) + 0.5) / max(1, self.capacity)
 
     def _cold_wait_s(self, now: float) -> float:
         if now >= self.cold_until or not self.cold_per_s:
             return 0.0
-        return self._arrivals.wait_s(now, max(1, int(self.cold_per_s)))
+        return self._admitted.wait_s(now, max(1, int(self.cold_per_s)))
 
-    def _has_room(self, now: float) -> bool:
+    def _has_capacity(self, now: float) -> bool:
         return self.running < self.capacity and not self._cold_wait_s(now)
 
-    def _let_in(self, now: float) -> None:
+    def _admit(self, now: float) -> None:
         self.running += 1
-        self._arrivals.wait_s(now, 1)
-        self._arrivals.add(now)
+        self._admitted.wait_s(now, 1)
+        self._admitted.add(now)
 
-    def leave(self, kind: RequestKind, service_s: float | None) -> None:
-        """A request that was let in has ended; with its service time where it was served."""
+    def release(self, kind: RequestKind, service_s: float | None) -> None:
+        """Free the slot of an admitted request; `service_s` is its service time, None if it was not served."""
         self.running -= 1
         if service_s is not None:
             self._service_times.add(kind, service_s)
-        self._pump()
+        self._admit_waiting()
 
-    def _pump(self) -> None:
+    def _admit_waiting(self) -> None:
         now = asyncio.get_running_loop().time()
-        while self.waiting and self._has_room(now):
+        while self.waiting and self._has_capacity(now):
             future = self._queue.pop()
             if future is None:
                 break
-            self._let_in(now)
+            self._admit(now)
             future.set_result(None)
-        self._wake_when_cold_allows(now)
+        self._schedule_cold_wakeup(now)
 
-    def _wake_when_cold_allows(self, now: float) -> None:
+    def _schedule_cold_wakeup(self, now: float) -> None:
         wait_s = self._cold_wait_s(now)
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        if self._cold_wakeup_timer is not None:
+            self._cold_wakeup_timer.cancel()
+            self._cold_wakeup_timer = None
         if self.waiting and wait_s and self.running < self.capacity:
-            self._timer = asyncio.get_running_loop().call_later(wait_s, self._pump)
+            self._cold_wakeup_timer = asyncio.get_running_loop().call_later(wait_s, self._admit_waiting)
 
     def refuse_all(self, reason: NotTakenReason) -> None:
-        """Turn away all that waits."""
+        """Refuse all waiting requests."""
         for future in self._queue.drain():
             future.set_exception(NotAdmitted(reason))
--- a/lupinreach/mesh/proxy/fair_queue.py
+++ b/lupinreach/mesh/proxy/fair_queue.py
@@ -1,9 +1,9 @@
-"""Queue of what waits for one backend: the most urgent first, but no kind of request falls far behind its share.
+"""Queue of requests waiting for one backend: earliest due first, bounded by fair queueing between kinds.
 
-Urgency alone starves: while more comes than the backend takes, whatever is less urgent than the newcomers is overtaken
-until its wait ends. So each kind keeps a count of its turns (start-time fair queueing), a turn being the work of one mean
-request; one that is behind the others by `MOST_AHEAD` turns goes first, whatever is more urgent. While several kinds wait,
-each gets its share of the backend's time at least, and what one does not use goes to the others.
+Ordering by due time alone starves: under overload, less urgent requests are overtaken by newcomers until they time
+out. So each kind of request is a flow with a virtual time, as in start-time fair queueing; the unit is the work of one
+mean request. A flow that lags the most urgent one by `MAX_VIRTUAL_LEAD` is served first. While several kinds wait, each
+gets at least its share of the backend's time, and the unused share of a kind goes to the others.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 from lupinreach.mesh.proxy.request_kind import RequestKind
 
-MOST_AHEAD = 2.0  # turns that the more urgent kind may be ahead of another that waits
-CALL_WEIGHT = 3.0  # turns of calls to one of any other kind: a refused call wastes the run that made it
+MAX_VIRTUAL_LEAD = 2.0  # mean requests by which the most urgent flow may be ahead of another that waits
+CALL_WEIGHT = 3.0  # share of calls relative to any other kind: a refused call wastes the run that made it
 
 Entry = asyncio.Future[None]
 
 
 @dataclass(slots=True)
-class _Lane:
-    """What waits of one kind."""
+class _Flow:
+    """The waiting requests of one kind."""
 
     kind: RequestKind
     weight: float
-    turns: float  # taken so far, by weight, on the scale of all lanes
+    virtual_time: float  # work served so far divided by weight, in mean requests; comparable between flows
     heap: list[tuple[float, int, Entry]] = field(default_factory=list)  # by due time
     waiting: int = 0  # entries that are not done
 
     def head(self) -> tuple[float, int, Entry] | None:
-        """The most urgent entry that still waits."""
+        """Return the most urgent entry that still waits, or None."""
         while self.heap and self.heap[0][2].done():
             heapq.heappop(self.heap)
         return self.heap[0] if self.heap else None
@@ -44,64 +44,73 @@
 
 
 class FairQueue:
-    """Entries are futures: one that is done, for whatever reason, no longer waits.
+    """Fair queue of futures; an entry that is done, for whatever reason, no longer waits.
 
-    `cost` tells the work of a request of a kind, in that of the mean request.
+    `cost` returns the work of a request of a kind relative to the mean request.
     """
 
     def __init__(self, cost: Callable[[RequestKind], float] = lambda kind: 1.0) -> None:
         self._cost = cost
-        self._lanes: dict[RequestKind, _Lane] = {}
-        self._order = count()
+        self._flows: dict[RequestKind, _Flow] = {}
+        self._arrival_numbers = count()
         self.waiting = 0
 
     def push(self, kind: RequestKind, due: float, entry: Entry) -> None:
-        """Let an entry wait; `due` orders it among those of its kind."""
+        """Add an entry; `due` orders it among the entries of its kind."""
         if not self.waiting:
-            self._lanes.clear()
-        floor = min((lane.turns for lane in self._lanes.values() if lane.waiting), default=0.0)
-        lane = self._lanes.setdefault(kind, _Lane(kind, _weight(kind), floor))
-        if not lane.waiting:
-            lane.turns = max(lane.turns, floor)  # what it did not use is not saved up
-        heapq.heappush(lane.heap, (due, next(self._order), entry))
-        lane.waiting += 1
+            self._flows.clear()
+        min_virtual_time = min(
+            (flow.virtual_time for flow in self._flows.values() if flow.waiting), default=0.0
+        )
+        flow = self._flows.setdefault(kind, _Flow(kind, _weight(kind), min_virtual_time))
+        if not flow.waiting:
+            # An idle flow saves up no credit.
+            flow.virtual_time = max(flow.virtual_time, min_virtual_time)
+        heapq.heappush(flow.heap, (due, next(self._arrival_numbers), entry))
+        flow.waiting += 1
         self.waiting += 1
 
-    def left(self, kind: RequestKind) -> None:
-        """An entry of a kind waits no longer: its time ran out, or its client has gone."""
-        self._lanes[kind].waiting -= 1
+    def on_entry_done(self, kind: RequestKind) -> None:
+        """Account for an entry that stopped waiting because it timed out or its client went away."""
+        self._flows[kind].waiting -= 1
         self.waiting -= 1
 
     def pop(self) -> Entry | None:
-        """The entry whose turn it is; None where nothing waits."""
-        heads = [(lane, head) for lane in self._lanes.values() if (head := lane.head()) is not None]
+        """Remove and return the next entry to serve, or None if nothing waits."""
+        heads = [(flow, head) for flow in self._flows.values() if (head := flow.head()) is not None]
         if not heads:
             return None
-        urgent = min(heads, key=lambda found: found[1][:2])
-        behind = min(heads, key=lambda found: (found[0].turns, found[1][:2]))
-        lane, head = behind if urgent[0].turns - behind[0].turns >= MOST_AHEAD else urgent
-        heapq.heappop(lane.heap)
-        lane.turns += self._cost(lane.kind) / lane.weight
-        lane.waiting -= 1
+        most_urgent = min(heads, key=lambda candidate: candidate[1][:2])
+        lagging = min(heads, key=lambda candidate: (candidate[0].virtual_time, candidate[1][:2]))
+        flow, head = (
+            lagging
+            if most_urgent[0].virtual_time - lagging[0].virtual_time >= MAX_VIRTUAL_LEAD
+            else most_urgent
+        )
+        heapq.heappop(flow.heap)
+        flow.virtual_time += self._cost(flow.kind) / flow.weight
+        flow.waiting -= 1
         self.waiting -= 1
         return head[2]
 
     def drain(self) -> list[Entry]:
-        """All that waits, which leaves the queue."""
+        """Remove and return all waiting entries."""
         drained: list[Entry] = []
-        for lane in self._lanes.values():
-            entries = [entry for *_, entry in lane.heap if not entry.done()]
-            lane.heap.clear()
-            lane.waiting -= len(entries)
-            drained += entries
+        for flow in self._flows.values():
+            remaining = [entry for *_, entry in flow.heap if not entry.done()]
+            flow.heap.clear()
+            flow.waiting -= len(remaining)
+            drained += remaining
         self.waiting -= len(drained)
         return drained
 
-    def turns_before(self, kind: RequestKind) -> float:
-        """How many would go before an entry that is pushed now, as an estimate."""
-        own = self._lanes.get(kind)
-        others = [lane for other, lane in self._lanes.items() if lane.waiting and other != kind]
-        weights = sum([lane.weight for lane in others]) / _weight(kind)
-        own_waiting = own.waiting if own is not None else 0
-        by_share = own_waiting + (own_waiting + 1) * weights + MOST_AHEAD * len(others)
-        return min(float(self.waiting), by_share)
+    def estimate_entries_ahead(self, kind: RequestKind) -> float:
+        """Estimate how many entries would be served before one that is pushed now."""
+        own_flow = self._flows.get(kind)
+        other_flows = [flow for other, flow in self._flows.items() if flow.waiting and other != kind]
+        relative_weight = sum([flow.weight for flow in other_flows]) / _weight(kind)
+        own_waiting = own_flow.waiting if own_flow is not None else 0
+        fair_share_position = (
+            own_waiting + (own_waiting + 1) * relative_weight + MAX_VIRTUAL_LEAD * len(other_flows)
+        )
+        return min(float(self.waiting), fair_share_position)
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -156,7 +156,7 @@
             reason = NotTakenReason.EXPIRED
         if reason is not None:
             return self._not_taken(asked, reason, 0.0)
-        full = self.admission.would_refuse(RequestKind.of(asked), asked.wait_ms - 1000 * age_s)
+        full = self.admission.refusal_if_full(RequestKind.of(asked), asked.wait_ms - 1000 * age_s)
         return self._not_taken(asked, full.reason, full.retry_ms) if full is not None else None
 
     def refuse_full(self, asked: Request, retry_ms: float) -> NotTaken:
@@ -179,7 +179,7 @@
         self.in_flight += 1
         try:
             due = began + asked.rank / 1000
-            await self.admission.enter(RequestKind.of(asked), due, max(0.0, wait_ms))
+            await self.admission.acquire(RequestKind.of(asked), due, max(0.0, wait_ms))
         except NotAdmitted as refused:
             return self._not_taken(asked, refused.reason, refused.retry_ms)
         finally:
@@ -205,7 +205,7 @@
             return outcome
         finally:
             self.in_flight -= 1
-            self.admission.leave(RequestKind.of(asked), served)
+            self.admission.release(RequestKind.of(asked), served)
 
     async def _attempt(self, asked: Request, until: float) -> Outcome:
         instance_id = self.backend.instance_id
--- a/lupinreach/mesh/proxy/request_kind.py
+++ b/lupinreach/mesh/proxy/request_kind.py
@@ -1,4 +1,4 @@
-"""Kinds of requests, as far as a gate tells them apart when its backend is full."""
+"""Classification of requests by which a gate shares out a saturated backend."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """Requests that the operator wants alike: the same priority and the same latency aim."""
+    """A class of requests that are treated alike: same priority and same latency target, or calls of runs."""
 
     priority: int = 0  # 0 is highest
-    aim_ms: int = 0  # 0: the sender does not tell it
-    is_call: bool = False  # made by a run at a backend, whose work is lost with a refusal
+    latency_target_ms: int = 0  # 0: not reported by the sender
+    is_call: bool = False  # made by a run at a backend, whose work is lost if the call is refused
 
     @classmethod
-    def of(cls, asked: Request) -> RequestKind:
-        """The kind of a request that another proxy sends."""
-        if asked.is_call:
+    def of(cls, request: Request) -> RequestKind:
+        """Return the kind of a request that a proxy has sent."""
+        if request.is_call:
             return CALL
-        return cls(asked.priority, asked.aim_ms)
+        return cls(request.priority, request.aim_ms)
 
     def __str__(self) -> str:
-        return "call" if self.is_call else f"p{self.priority}-{self.aim_ms}ms"
+        return "call" if self.is_call else f"p{self.priority}-{self.latency_target_ms}ms"
 
 
 CALL = RequestKind(is_call=True)
--- a/lupinreach/mesh/proxy/service_times.py
+++ b/lupinreach/mesh/proxy/service_times.py
@@ -1,30 +1,30 @@
-"""How long a backend is at work on requests, over all and by kind."""
+"""Service times of a backend, over all requests and by kind of request."""
 
 from __future__ import annotations
 
 from lupinreach.mesh.proxy.request_kind import RequestKind
 
-NEWEST = 0.1  # weight of the newest sample in a mean
-MOST_KINDS = 64  # that are remembered: operators' aims change
-LEAST_MEAN_S = 0.0001
+SMOOTHING_FACTOR = 0.1  # weight of the newest sample in the moving averages
+MAX_KINDS = 64  # bounds memory: each change of a latency target by an operator adds a kind
+MIN_MEAN_S = 0.0001
 
 
 class ServiceTimes:
-    """Smoothed means in seconds; 0 while none is known."""
+    """Exponential moving averages of service times in seconds; 0 before the first sample."""
 
     def __init__(self) -> None:
         self.mean_s = 0.0
         self._by_kind: dict[RequestKind, float] = {}
 
     def add(self, kind: RequestKind, service_s: float) -> None:
-        """A request was served."""
-        known = self.mean_s or service_s
-        self.mean_s = known + NEWEST * (service_s - known)
-        of_kind = self._by_kind.pop(kind, service_s)
-        self._by_kind[kind] = of_kind + NEWEST * (service_s - of_kind)
-        if len(self._by_kind) > MOST_KINDS:
+        """Record the service time of one request."""
+        mean_s_before = self.mean_s or service_s
+        self.mean_s = mean_s_before + SMOOTHING_FACTOR * (service_s - mean_s_before)
+        kind_mean_s = self._by_kind.pop(kind, service_s)
+        self._by_kind[kind] = kind_mean_s + SMOOTHING_FACTOR * (service_s - kind_mean_s)
+        if len(self._by_kind) > MAX_KINDS:
             del self._by_kind[next(iter(self._by_kind))]
 
     def relative(self, kind: RequestKind) -> float:
-        """The work of a request of a kind beside that of the mean request; 1 while nothing is known."""
-        return self._by_kind.get(kind, self.mean_s) / max(self.mean_s, LEAST_MEAN_S) or 1.0
+        """Mean service time of a kind divided by the mean of all requests; 1 before the first sample."""
+        return self._by_kind.get(kind, self.mean_s) / max(self.mean_s, MIN_MEAN_S) or 1.0
--- a/tests/mesh/test_fair_queue.py
+++ b/tests/mesh/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The queue at a gate: shares of kinds that wait for long, order within them, and what leaves the queue early."""
+"""Fair queue of a gate: shares of saturated kinds, order within a kind, entries that leave the queue early."""
 
 from __future__ import annotations
 
@@ -19,27 +19,30 @@
 SHORT, LONG = RequestKind(2, 400), RequestKind(0, 1000)
 
 
-def in_loop(work: Callable[[asyncio.AbstractEventLoop], None]) -> None:
+def run_in_loop(work: Callable[[asyncio.AbstractEventLoop], None]) -> None:
     async def run() -> None:
         work(asyncio.get_running_loop())
 
     asyncio.run(run())
 
 
-def taken_while_full(
-    demand: dict[RequestKind, int], rounds: int, costs: dict[RequestKind, float] | None = None
+def served_while_saturated(
+    demand: dict[RequestKind, int], rounds: int, relative_costs: dict[RequestKind, float] | None = None
 ) -> Counter[RequestKind]:
-    """Turns of each kind while it has so many entries waiting at any time; the first named is the most urgent."""
-    taken: Counter[RequestKind] = Counter()
+    """Return how many entries of each kind are served while `demand` entries of it always wait.
+
+    The first kind in `demand` is the most urgent.
+    """
+    served: Counter[RequestKind] = Counter()
 
     def work(loop: asyncio.AbstractEventLoop) -> None:
-        queue, kinds = FairQueue(lambda kind: (costs or {}).get(kind, 1.0)), {}
-        urgency = {kind: float(place) for place, kind in enumerate(demand)}
+        queue, kinds = FairQueue(lambda kind: (relative_costs or {}).get(kind, 1.0)), {}
+        due_offsets = {kind: float(place) for place, kind in enumerate(demand)}
 
         def push(kind: RequestKind, at: float) -> None:
             entry: Entry = loop.create_future()
             kinds[entry] = kind
-            queue.push(kind, at + 10 * urgency[kind], entry)
+            queue.push(kind, at + 10 * due_offsets[kind], entry)
 
         for kind, size in demand.items():
             for _ in range(size):
@@ -48,45 +51,45 @@
             entry = queue.pop()
             assert entry is not None
             entry.set_result(None)
-            taken[kinds[entry]] += 1
+            served[kinds[entry]] += 1
             push(kinds[entry], turn * 0.01)
 
-    in_loop(work)
-    return taken
+    run_in_loop(work)
+    return served
 
 
-def test_kinds_that_always_wait_share_alike_whatever_their_urgency() -> None:
-    taken = taken_while_full({SHORT: 20, LONG: 1, RequestKind(1, 5000): 3}, 300)
-    assert all(95 <= count <= 105 for count in taken.values())
+def test_saturated_kinds_get_equal_shares_regardless_of_urgency() -> None:
+    served = served_while_saturated({SHORT: 20, LONG: 1, RequestKind(1, 5000): 3}, 300)
+    assert all(95 <= count <= 105 for count in served.values())
 
 
-def test_shares_are_of_the_time_at_work() -> None:
-    taken = taken_while_full({SHORT: 10, LONG: 10}, 500, {SHORT: 0.5, LONG: 2.0})
-    assert 395 <= taken[SHORT] <= 405
+def test_shares_are_measured_in_service_time() -> None:
+    served = served_while_saturated({SHORT: 10, LONG: 10}, 500, {SHORT: 0.5, LONG: 2.0})
+    assert 395 <= served[SHORT] <= 405
 
 
-def test_calls_have_three_turns_to_one_of_any_other_kind() -> None:
-    taken = taken_while_full({CALL: 10, SHORT: 10}, 400)
-    assert 295 <= taken[CALL] <= 305
+def test_calls_get_three_times_the_share_of_another_kind() -> None:
+    served = served_while_saturated({CALL: 10, SHORT: 10}, 400)
+    assert 295 <= served[CALL] <= 305
 
 
-def test_a_kind_that_empties_between_turns_gains_nothing_by_it() -> None:
-    """The urgent kind has one entry at a time: each newcomer finds its lane empty, while the other waits."""
+def test_a_kind_whose_queue_empties_gains_no_advantage() -> None:
+    """The urgent kind has one entry at a time, so its flow is empty at each push while the other kind waits."""
 
     def work(loop: asyncio.AbstractEventLoop) -> None:
-        queue, patient = FairQueue(), loop.create_future()
-        queue.push(LONG, 1000.0, patient)
+        queue, least_urgent = FairQueue(), loop.create_future()
+        queue.push(LONG, 1000.0, least_urgent)
         for turn in range(10):
             queue.push(SHORT, float(turn), loop.create_future())
-            if queue.pop() is patient:
+            if queue.pop() is least_urgent:
                 assert turn == 2
                 return
-        raise AssertionError("never its turn")
+        raise AssertionError("the less urgent entry was never served")
 
-    in_loop(work)
+    run_in_loop(work)
 
 
-def test_while_nothing_falls_behind_the_most_urgent_goes_first() -> None:
+def test_the_earliest_due_entry_is_first_while_no_kind_lags() -> None:
     def work(loop: asyncio.AbstractEventLoop) -> None:
         queue = FairQueue()
         late, soon, sooner = loop.create_future(), loop.create_future(), loop.create_future()
@@ -95,46 +98,46 @@
         queue.push(SHORT, 1.0, sooner)
         assert [queue.pop(), queue.pop(), queue.pop(), queue.pop()] == [sooner, soon, late, None]
 
-    in_loop(work)
+    run_in_loop(work)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_whatever_leaves_and_when_the_count_of_what_waits_is_kept(seed: int) -> None:
-    """Entries are let in, run out, are cancelled and are turned away at random moments."""
+def test_waiting_and_running_counts_return_to_zero(seed: int) -> None:
+    """Requests are admitted, time out, are cancelled and are refused at random moments."""
 
     async def run() -> None:
-        chance, admission = random.Random(seed), Admission()
+        rng, admission = random.Random(seed), Admission()
         admission.capacity = 2
-        ends: Counter[str] = Counter()
+        outcomes: Counter[str] = Counter()
 
-        async def ask(kind: RequestKind) -> None:
+        async def request(kind: RequestKind) -> None:
             try:
-                await admission.enter(kind, chance.random(), chance.choice([6.0, 12.0, 30.0]))
-            except NotAdmitted as refused:
-                ends[refused.reason.name] += 1
+                await admission.acquire(kind, rng.random(), rng.choice([6.0, 12.0, 30.0]))
+            except NotAdmitted as refusal:
+                outcomes[refusal.reason.name] += 1
                 return
             except asyncio.CancelledError:
-                ends["cancelled"] += 1
+                outcomes["cancelled"] += 1
                 raise
-            ends["in"] += 1
+            outcomes["admitted"] += 1
             try:
                 await asyncio.sleep(0.001)
             finally:
-                admission.leave(kind, 0.001)
+                admission.release(kind, 0.001)
 
         tasks: list[asyncio.Task[Any]] = []
         for _ in range(120):
-            tasks.append(asyncio.ensure_future(ask(chance.choice([SHORT, LONG, CALL]))))
-            if chance.random() < 0.2:
-                chance.choice(tasks).cancel()
-            if chance.random() < 0.05:
+            tasks.append(asyncio.ensure_future(request(rng.choice([SHORT, LONG, CALL]))))
+            if rng.random() < 0.2:
+                rng.choice(tasks).cancel()
+            if rng.random() < 0.05:
                 admission.refuse_all(NotTakenReason.DRAINING)
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 await asyncio.sleep(0)
         await asyncio.wait(tasks)
         assert (admission.waiting, admission.running) == (0, 0)
-        faults = [task for task in tasks if not task.cancelled() and task.exception() is not None]
-        assert faults == []
+        unexpected = [task for task in tasks if not task.cancelled() and task.exception() is not None]
+        assert unexpected == []
 
     loop = VirtualLoop()
     loop.run_until_complete(run())
