--- a/lupinreach/mesh/proxy/body_credit.py
+++ b/lupinreach/mesh/proxy/body_credit.py
@@ -1,8 +1,8 @@
-"""Credit for the bodies of requests: a sender offers a large body, and the receiving proxy asks for its parts.
+"""Credit-based flow control for request bodies: a sender offers a large body, the receiving proxy grants its parts.
 
-What is on its way into a machine and was not asked for can't be held back there: it stands on the machine's link
-before everything else. So a proxy lets no more bytes of bodies come at once than its link carries in `QUEUE_S`,
-the most urgent body first; small requests, answers and news wait no longer than that.
+Bytes that are sent unasked can't be held back by the receiver: they queue on its link ahead of everything else. So a
+proxy grants no more body bytes at a time than its link carries in `WINDOW_S`, the earliest due body first. This bounds
+the queueing delay of small requests, answers and configuration messages.
 """
 
 from __future__ import annotations
@@ -15,59 +15,65 @@
 from lupinreach.mesh.link import Link
 from lupinreach.mesh.messages import BodyCredit, BodyPart, Request
 
-OFFER_FROM = 16 << 10  # bytes; smaller bodies travel with their request
-QUEUE_S = 0.12  # of the link's rate: bytes that may be on their way
-LEAST_WINDOW = 32 << 10
+MAX_INLINE_BODY_BYTES = 16 << 10  # larger bodies are offered; also the least credit granted at a time
+WINDOW_S = 0.12  # the credit window holds the bytes that the link carries in this time
+MIN_WINDOW_BYTES = 32 << 10
 PARTS_PER_WINDOW = 3
 BITS_PER_MEGABIT = 1_000_000
-STALLED_S = 0.4  # a sender that does not use its credit for so long no longer holds the window up
+STALL_TIMEOUT_S = (
+    0.4  # after this time without a part, unused credit of a sender no longer occupies the window
+)
 
 
 @dataclass(slots=True)
-class _Body:
-    """One body that was offered."""
+class _OfferedBody:
+    """A body that a sender has offered and that is not received whole."""
 
     link: Link
     number: int
-    size: int
-    due: float  # loop time by which it should be here
+    size_bytes: int
+    due: float  # loop time by which it should be received
     done: asyncio.Future[bytes]
-    queued: bool = False  # it waits for credit
-    granted: int = 0
-    counted: int = 0  # of what was granted and not received: bytes that the window counts
-    stall: asyncio.TimerHandle | None = None
+    awaiting_credit: bool = False  # it is in the receiver's queue
+    granted_bytes: int = 0
+    counted_bytes: int = 0  # granted and not received bytes that occupy the window; 0 once the sender stalls
+    stall_timer: asyncio.TimerHandle | None = None
     parts: list[bytes] = field(default_factory=list)
-    received: int = 0
+    received_bytes: int = 0
 
     @property
     def stalled(self) -> bool:
-        """If its sender has credit that it does not use."""
-        return self.granted > self.received and not self.counted
+        """True if its sender has credit that it does not use."""
+        return self.granted_bytes > self.received_bytes and not self.counted_bytes
 
 
 class BodyReceiver:
-    """Grants credit for offered bodies, the earliest due first, within the window of this machine's link."""
+    """Grants credit for offered bodies, earliest due first, within the window of this machine's link."""
 
     def __init__(self, bandwidth_mbps: float) -> None:
         self._bytes_per_s = bandwidth_mbps * BITS_PER_MEGABIT / 8
-        self._window = max(LEAST_WINDOW, int(self._bytes_per_s * QUEUE_S))
-        self._bodies: dict[tuple[Link, int], _Body] = {}
-        self._queue: list[tuple[float, int, _Body]] = []  # those that want credit, by due time
-        self._order = count()
-        self._coming = 0  # bytes granted and not received
+        self._window_bytes = max(MIN_WINDOW_BYTES, int(self._bytes_per_s * WINDOW_S))
+        self._bodies: dict[tuple[Link, int], _OfferedBody] = {}
+        self._queue: list[tuple[float, int, _OfferedBody]] = []  # bodies that await credit, by due time
+        self._offer_numbers = count()
+        self._in_transit_bytes = 0  # granted, not received, not stalled
 
     @property
     def waiting_bytes(self) -> int:
-        """Offered and not received, but for what senders leave undone."""
-        return sum([body.size - body.received for body in self._bodies.values() if not body.stalled])
+        """Bytes offered and not received, without bodies of stalled senders."""
+        return sum(
+            [body.size_bytes - body.received_bytes for body in self._bodies.values() if not body.stalled]
+        )
 
     def expected_wait_s(self) -> float:
-        """Seconds until a body that is offered now could come, as an estimate."""
-        return max(0, self.waiting_bytes - self._window) / self._bytes_per_s
+        """Estimate the seconds until a body that is offered now would get credit."""
+        return max(0, self.waiting_bytes - self._window_bytes) / self._bytes_per_s
 
     async def receive(self, link: Link, offer: Request, due: float) -> bytes:
-        """The offered body, whole; cancel this to give it up."""
-        body = _Body(link, offer.number, offer.body_size, due, asyncio.get_running_loop().create_future())
+        """Grant credit for an offered body and return it whole; cancelling abandons it."""
+        body = _OfferedBody(
+            link, offer.number, offer.body_size, due, asyncio.get_running_loop().create_future()
+        )
         self._bodies[(link, offer.number)] = body
         self._enqueue(body)
         self._grant()
@@ -75,84 +81,89 @@
             return await body.done
         finally:
             del self._bodies[(link, offer.number)]
-            body.granted = body.size  # it gets no more credit
-            self._release(body)
+            body.granted_bytes = body.size_bytes  # it gets no more credit
+            self._stop_counting(body)
 
     def on_part(self, link: Link, message: BodyPart) -> None:
-        """A part has come; those of bodies that were given up are dropped."""
+        """Store a received part; parts of abandoned bodies and parts beyond the credit are dropped."""
         body = self._bodies.get((link, message.number))
-        if body is None or body.done.done() or body.received + len(message.part) > body.granted:
+        if body is None or body.done.done() or body.received_bytes + len(message.part) > body.granted_bytes:
             return
         body.parts.append(message.part)
-        body.received += len(message.part)
-        self._count(body, body.counted - min(body.counted, len(message.part)))
-        if body.received == body.size:
+        body.received_bytes += len(message.part)
+        self._set_counted(body, body.counted_bytes - min(body.counted_bytes, len(message.part)))
+        if body.received_bytes == body.size_bytes:
             body.done.set_result(b"".join(body.parts))
         elif not body.stalled:
-            self._enqueue(body)  # its sender is at work again
+            self._enqueue(body)  # the sender sends again
         self._grant()
 
-    def _enqueue(self, body: _Body) -> None:
-        """Let a body wait for credit, unless it does already or needs none."""
-        if not body.queued and body.granted < body.size:
-            body.queued = True
-            heapq.heappush(self._queue, (body.due, next(self._order), body))
-
-    def _count(self, body: _Body, counted: int) -> None:
-        """Set what the window counts of a body, and watch that it comes."""
-        self._coming += counted - body.counted
-        body.counted = counted
-        if body.stall is not None:
-            body.stall.cancel()
-            body.stall = None
-        if counted:
-            body.stall = asyncio.get_running_loop().call_later(STALLED_S, self._release, body)
-
-    def _release(self, body: _Body) -> None:
-        """Its credit is not used: others may have the window."""
-        self._count(body, 0)
+    def _enqueue(self, body: _OfferedBody) -> None:
+        """Queue a body for credit unless it is queued or fully granted."""
+        if not body.awaiting_credit and body.granted_bytes < body.size_bytes:
+            body.awaiting_credit = True
+            heapq.heappush(self._queue, (body.due, next(self._offer_numbers), body))
+
+    def _set_counted(self, body: _OfferedBody, counted_bytes: int) -> None:
+        """Set how many bytes of a body occupy the window, and restart its stall timer."""
+        self._in_transit_bytes += counted_bytes - body.counted_bytes
+        body.counted_bytes = counted_bytes
+        if body.stall_timer is not None:
+            body.stall_timer.cancel()
+            body.stall_timer = None
+        if counted_bytes:
+            body.stall_timer = asyncio.get_running_loop().call_later(
+                STALL_TIMEOUT_S, self._stop_counting, body
+            )
+
+    def _stop_counting(self, body: _OfferedBody) -> None:
+        """Free the window of a body whose sender stalled or that is no longer received."""
+        self._set_counted(body, 0)
         self._grant()
 
     def _grant(self) -> None:
-        while self._queue and self._coming < self._window:
+        while self._queue and self._in_transit_bytes < self._window_bytes:
             body = self._queue[0][2]
-            more = min(body.size - body.granted, max(OFFER_FROM, self._window // PARTS_PER_WINDOW))
-            if more <= 0 or body.stalled:
-                heapq.heappop(self._queue)  # a stalled one comes back with its next part
-                body.queued = False
+            grant_bytes = min(
+                body.size_bytes - body.granted_bytes,
+                max(MAX_INLINE_BODY_BYTES, self._window_bytes // PARTS_PER_WINDOW),
+            )
+            if grant_bytes <= 0 or body.stalled:
+                heapq.heappop(self._queue)  # a stalled body is queued again by its next part
+                body.awaiting_credit = False
                 continue
-            body.granted += more
-            self._count(body, body.counted + more)
-            body.link.send(BodyCredit(body.number, body.granted))
+            body.granted_bytes += grant_bytes
+            self._set_counted(body, body.counted_bytes + grant_bytes)
+            body.link.send(BodyCredit(body.number, body.granted_bytes))
 
 
 class BodySender:
-    """Offered bodies on one link, until they are sent to their end."""
+    """Holds the bodies offered on one link until they are sent completely."""
 
     def __init__(self) -> None:
-        self._left: dict[int, tuple[bytes, int]] = {}  # by number: the body, bytes sent
+        self._unsent: dict[int, tuple[bytes, int]] = {}  # request number: (body, bytes sent)
 
     def offer(self, request: Request) -> None:
-        """Take the body out of a request, to be sent when it is asked for."""
-        self._left[request.number] = (request.body, 0)
+        """Take the body out of a request, to be sent as the receiver grants credit."""
+        self._unsent[request.number] = (request.body, 0)
         request.body_size, request.body = len(request.body), b""
 
     def on_credit(self, link: Link, message: BodyCredit) -> None:
-        """The receiver asks for the bytes up to an offset."""
-        found = self._left.get(message.number)
-        if found is None:
+        """Send the bytes up to the offset that the receiver grants."""
+        offered = self._unsent.get(message.number)
+        if offered is None:
             return
-        body, sent = found
+        body, sent = offered
         link.send(BodyPart(message.number, body[sent : message.up_to]))
         if message.up_to >= len(body):
-            del self._left[message.number]
+            del self._unsent[message.number]
         else:
-            self._left[message.number] = (body, message.up_to)
+            self._unsent[message.number] = (body, message.up_to)
 
     def unfinished(self, number: int) -> bool:
-        """If a part of an offered body was not sent: its request can't have run."""
-        return number in self._left
+        """True if part of an offered body was not sent, so that its request can't have run."""
+        return number in self._unsent
 
     def abandon(self, number: int) -> bool:
-        """The attempt is over, and no more is sent of its body; true where a part of it was not sent."""
-        return self._left.pop(number, None) is not None
+        """Stop sending the body of a finished attempt; return true if part of it was not sent."""
+        return self._unsent.pop(number, None) is not None
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -118,10 +118,10 @@
             now = loop.time()
             if (passage.until - now) * 1000 < MIN_REMAINING_MS:
                 return self._give_up(passage, ErrorKind.TIMED_OUT if passage.attempts else ErrorKind.EXPIRED)
-            candidates = self._peers.of_service(passage.service)
+            candidates = self._peers.linked_backends(passage.service)
             peer = self._policy.choose(self._choice(passage), candidates, now)
             if peer is None:
-                self._peers.widen(passage.service)
+                self._peers.link_all(passage.service)
                 return self._no_backend(passage)
             if passage.attempts == 0 and passage.refusals == 0:
                 self._budget.first(passage.service, passage.is_repeat)
@@ -237,7 +237,7 @@
             return True
         if passage.attempts + 1 >= passage.route.max_attempts:
             return False
-        others = self._peers.of_service(passage.service)
+        others = self._peers.linked_backends(passage.service)
         if not any(
             peer.reachable and peer is not silent and peer.address not in passage.excluded for peer in others
         ):
--- a/lupinreach/mesh/proxy/program.py
+++ b/lupinreach/mesh/proxy/program.py
@@ -85,7 +85,7 @@
             settings.bounds.grace_period_s + RESTARTED_S,
         )
         self.gossip = Gossip(self._address, self.configuration)
-        self.peers.on_new = self.gossip.view.offer
+        self.peers.on_proxy_added = self.gossip.view.offer
         self.inbound = Inbound(
             self.gate,
             self.configuration,
@@ -252,7 +252,7 @@
             if rounds % COUNTS_CHECKS == 0:
                 self.gate.counts.check(self._log)
             self.policy.forget_past(self.peers.linked.values())
-            self.budget.set_proxies(self.peers.proxies)
+            self.budget.set_proxies(self.peers.proxy_count)
             self.gate.refresh()
 
     def describe(self) -> dict[str, Any]:
@@ -273,7 +273,7 @@
                 "running": self.gate.admission.running,
                 "waiting": self.gate.admission.waiting,
             },
-            "proxies_known": self.peers.proxies,
+            "proxies_known": self.peers.proxy_count,
             "neighbours": self.gossip.view.addresses(),
             "retries_denied": self.budget.denied,
             "backends": self.policy.describe(self.peers.linked.values()),
@@ -281,7 +281,7 @@
 
     def metrics(self) -> list[Metric]:
         """Figures of this proxy."""
-        unsent = self.peers.unsent or [0]
+        unsent = self.peers.unsent_bytes_per_link or [0]
         admission = self.gate.admission
         registries = self._registries
         return [
--- a/tests/mesh/test_requests.py
+++ b/tests/mesh/test_requests.py
@@ -86,6 +86,6 @@
 
 def test_request_numbers_of_two_lives_differ_and_each_is_new_once() -> None:
     first, second, seen = RequestNumbers(7), RequestNumbers(8), SeenRequests()
-    numbers = [first.draw(), first.draw(), second.draw(), second.draw()]
+    numbers = [first.allocate(), first.allocate(), second.allocate(), second.allocate()]
     assert [seen.is_new(number) for number in numbers + numbers] == [True] * 4 + [False] * 4
-    assert all(seen.is_new(first.draw()) for _ in range(2 * MOST_REMEMBERED))
+    assert all(seen.is_new(first.allocate()) for _ in range(2 * MOST_REMEMBERED))
