--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -1,8 +1,8 @@
-"""The gate beside a backend: all of its arrivals pass here, so that rules which bound arrivals hold here.
+"""The gate in front of a backend: all requests to the backend pass it, so limits on arrivals are enforced here.
 
-What other proxies know may be old; the gate checks the instance, the state, evacuations, the route under the
-newest configuration, the bound of a cold backend and its concurrency. What it turns away has not reached the
-backend, and may go elsewhere.
+The state that other proxies act on may be stale. The gate checks the instance, the backend's state, evacuations,
+the route under its newest configuration, the rate limit of a cold backend, and concurrency. A request that it
+refuses has not reached the backend and may go to another one.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 from lupinreach.mesh.proxy.request_kind import RequestKind
 from lupinreach.mesh.reader import WholeMessage
 
-DEADLINE = b"lupinreach-request-deadline"
-NOT_EXECUTED = b"lupinreach-not-executed"
-MISDIRECTED = 421
-MIN_RUN_MS = 2  # with less time left a request is not passed on
-COLD_AFTER_EVACUATION_S = 10.0  # at most, until a heartbeat tells
+DEADLINE_HEADER = b"lupinreach-request-deadline"
+NOT_EXECUTED_HEADER = b"lupinreach-not-executed"
+MISDIRECTED_STATUS = 421
+MIN_RUN_TIME_MS = 2  # a request with less time left is not passed to the backend
+ASSUMED_COLD_AFTER_EVACUATION_S = 10.0  # upper bound; a heartbeat ends the assumption
 
 Outcome = Answer | NotTaken | Failed
 
 
 class Gate:
-    """Passes requests to the local backend."""
+    """Checks requests and passes them to the local backend."""
 
     def __init__(
         self, backend: LocalBackend, app_address: str, zone: str, configuration: ConfigurationState
@@ -43,43 +43,43 @@
         self.counts = GateCounts()
         self.stopping = False
         self.in_flight = 0
-        self._running: dict[bytes, bool] = {}  # by request id: if the run is a repeat
+        self._run_is_retry: dict[bytes, bool] = {}  # runs at the backend, by request id
         self._zone = zone
         self._configuration = configuration
         self._pool = BackendPool(parse_address(app_address))
-        self._on_status: list[Callable[[BackendStatus], None]] = []
-        self._told: tuple[object, ...] = ()
+        self._status_listeners: list[Callable[[BackendStatus], None]] = []
+        self._last_reported: tuple[object, ...] = ()
 
     def on_status(self, listener: Callable[[BackendStatus], None]) -> None:
-        """Call the listener at each change of what `status` tells, load aside."""
-        self._on_status.append(listener)
+        """Call the listener whenever `status` changes in anything but load."""
+        self._status_listeners.append(listener)
 
-    # Changes of state.
+    # State changes.
 
-    def heartbeat(self, instance_id: str, beat: Heartbeat) -> None:
-        """A heartbeat of the backend."""
+    def on_heartbeat(self, instance_id: str, heartbeat: Heartbeat) -> None:
+        """Apply a heartbeat of the backend."""
         replaced = instance_id != self.backend.instance_id
-        if self.backend.on_heartbeat(instance_id, beat, self._now()):
+        if self.backend.on_heartbeat(instance_id, heartbeat, self._now()):
             if replaced:
                 self._pool.close_idle()
             self.refresh()
 
-    def deregister(self, instance_id: str) -> None:
-        """The backend signs off."""
+    def on_deregister(self, instance_id: str) -> None:
+        """Apply the deregistration of the backend."""
         self.backend.on_deregister(instance_id)
         self.refresh()
 
-    def evacuation_ended(self) -> None:
-        """The zone is taken back: its backends may have gone cold meanwhile."""
-        self.backend.assume_cold(self._now() + COLD_AFTER_EVACUATION_S)
+    def on_evacuation_end(self) -> None:
+        """Assume a cold backend after the end of an evacuation: without requests it may have gone cold."""
+        self.backend.assume_cold(self._now() + ASSUMED_COLD_AFTER_EVACUATION_S)
 
     def stop(self) -> None:
-        """Take nothing more; what runs goes on."""
+        """Refuse new requests; running ones continue."""
         self.stopping = True
         self.refresh()
 
     def refresh(self) -> None:
-        """Bring the admission in line with the backend's state, and tell who listens."""
+        """Apply the backend's state to the admission, and notify the status listeners of a change."""
         now = self._now()
         backend, admission = self.backend, self.admission
         admission.capacity = backend.capacity
@@ -88,22 +88,22 @@
             self._configuration.table.services.get(backend.service) if self._configuration.table else None
         )
         admission.cold_per_s = service.cold_per_s if service else 0.0
-        reason = self._closed_reason()
+        reason = self._unavailable_reason()
         if reason is not None:
             admission.refuse_all(reason)
         status = self.status()
-        told = (status.service, status.instance_id, status.available, status.capacity, status.cold_ms > 0)
-        if told != self._told:
-            self._told = told
-            for listener in self._on_status:
+        reported = (status.service, status.instance_id, status.available, status.capacity, status.cold_ms > 0)
+        if reported != self._last_reported:
+            self._last_reported = reported
+            for listener in self._status_listeners:
                 listener(status)
 
     def status(self) -> BackendStatus:
-        """What other proxies are told."""
+        """Return the status that is reported to other proxies."""
         return BackendStatus(
             service=self.backend.service,
             instance_id=self.backend.instance_id,
-            available=self._closed_reason() is None,
+            available=self._unavailable_reason() is None,
             capacity=self.backend.capacity,
             cold_ms=int(1000 * self.backend.cold_s(self._now())),
             running=self.admission.running,
@@ -116,8 +116,8 @@
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    def _closed_reason(self) -> NotTakenReason | None:
-        """Why nothing at all is taken now, or None."""
+    def _unavailable_reason(self) -> NotTakenReason | None:
+        """Return why all requests are refused now, or None."""
         if self.stopping:
             return NotTakenReason.STOPPING
         if self._configuration.table is None:
@@ -130,156 +130,166 @@
             return NotTakenReason.EVACUATED
         return None
 
-    def _refusal(self, asked: Request) -> NotTakenReason | None:
-        reason = self._closed_reason()
+    def _refusal_reason(self, incoming: Request) -> NotTakenReason | None:
+        reason = self._unavailable_reason()
         if reason is not None:
             return reason
-        if asked.service != self.backend.service:
+        if incoming.service != self.backend.service:
             return NotTakenReason.NO_BACKEND
-        if asked.instance_id and asked.instance_id != self.backend.instance_id:
+        if incoming.instance_id and incoming.instance_id != self.backend.instance_id:
             return NotTakenReason.NO_BACKEND
-        if is_newer(self._configuration.version, asked.config_version) and not self._route_allows(asked):
+        if is_newer(self._configuration.version, incoming.config_version) and not self._route_allows(
+            incoming
+        ):
             return NotTakenReason.STALE_ROUTE
         return None
 
-    def _route_allows(self, asked: Request) -> bool:
+    def _route_allows(self, incoming: Request) -> bool:
         assert self._configuration.table is not None
-        route = self._configuration.table.find(asked.host.decode("latin-1"), asked.target.decode("latin-1"))
-        return route is not None and route.allows(asked.service)
+        route = self._configuration.table.find(
+            incoming.host.decode("latin-1"), incoming.target.decode("latin-1")
+        )
+        return route is not None and route.allows(incoming.service)
 
-    # A request.
+    # Requests.
 
-    def refuse_early(self, asked: Request, age_s: float) -> NotTaken | None:
-        """For a request whose body was not sent yet: the refusal that it would meet now, if any."""
-        reason = self._refusal(asked)
-        if reason is None and asked.remaining_ms - 1000 * age_s < MIN_RUN_MS:
+    def early_refusal(self, incoming: Request, age_s: float) -> NotTaken | None:
+        """Return the refusal that a request whose body was not sent yet would get now, or None."""
+        reason = self._refusal_reason(incoming)
+        if reason is None and incoming.remaining_ms - 1000 * age_s < MIN_RUN_TIME_MS:
             reason = NotTakenReason.EXPIRED
         if reason is not None:
-            return self._not_taken(asked, reason, 0.0)
-        full = self.admission.refusal_if_full(RequestKind.of(asked), asked.wait_ms - 1000 * age_s)
-        return self._not_taken(asked, full.reason, full.retry_ms) if full is not None else None
+            return self._not_taken(incoming, reason, 0.0)
+        refusal = self.admission.refusal_if_full(RequestKind.of(incoming), incoming.wait_ms - 1000 * age_s)
+        return self._not_taken(incoming, refusal.reason, refusal.retry_ms) if refusal is not None else None
 
-    def refuse_full(self, asked: Request, retry_ms: float) -> NotTaken:
-        """The link to this machine is too busy for its body."""
-        return self._not_taken(asked, NotTakenReason.FULL, retry_ms)
+    def refuse_full(self, incoming: Request, retry_ms: float) -> NotTaken:
+        """Refuse a request because the link to this machine has no capacity for its body."""
+        return self._not_taken(incoming, NotTakenReason.FULL, retry_ms)
 
-    async def serve(self, asked: Request, age_s: float = 0.0) -> Outcome:
-        """Pass a request to the backend if it may go there, and wait for its answer.
+    async def serve(self, incoming: Request, age_s: float = 0.0) -> Outcome:
+        """Pass a request to the backend if it is admitted, and wait for the answer.
 
-        `age_s`: how long ago it was sent here, at least.
+        `age_s` is a lower bound on the time since the request was sent.
         """
-        began = self._now() - age_s
-        until = began + asked.remaining_ms / 1000
-        reason = self._refusal(asked)
-        if reason is None and (until - self._now()) * 1000 < MIN_RUN_MS:
+        sent_at = self._now() - age_s
+        deadline = sent_at + incoming.remaining_ms / 1000
+        reason = self._refusal_reason(incoming)
+        if reason is None and (deadline - self._now()) * 1000 < MIN_RUN_TIME_MS:
             reason = NotTakenReason.EXPIRED
         if reason is not None:
-            return self._not_taken(asked, reason, 0.0)
-        wait_ms = min(asked.wait_ms, asked.remaining_ms) - 1000 * age_s
+            return self._not_taken(incoming, reason, 0.0)
+        wait_ms = min(incoming.wait_ms, incoming.remaining_ms) - 1000 * age_s
         self.in_flight += 1
         try:
-            due = began + asked.rank / 1000
-            await self.admission.acquire(RequestKind.of(asked), due, max(0.0, wait_ms))
-        except NotAdmitted as refused:
-            return self._not_taken(asked, refused.reason, refused.retry_ms)
+            due = sent_at + incoming.rank / 1000
+            await self.admission.acquire(RequestKind.of(incoming), due, max(0.0, wait_ms))
+        except NotAdmitted as refusal:
+            return self._not_taken(incoming, refusal.reason, refusal.retry_ms)
         finally:
             self.in_flight -= 1
-        return await self._run_admitted(asked, until)
+        return await self._run_admitted(incoming, deadline)
 
-    async def _run_admitted(self, asked: Request, until: float) -> Outcome:
-        served: float | None = None
+    async def _run_admitted(self, incoming: Request, deadline: float) -> Outcome:
+        service_s: float | None = None
         self.in_flight += 1
         try:
-            # The wait may have been long: what held at its start need not hold now.
-            reason = self._refusal(asked)
+            # The wait may have been long, so the checks made before it are repeated.
+            reason = self._refusal_reason(incoming)
             if reason is not None:
-                return self._not_taken(asked, reason, 0.0)
-            if (until - self._now()) * 1000 < MIN_RUN_MS:
-                return self._not_taken(asked, NotTakenReason.EXPIRED, 0.0)
-            began = self._now()
-            self.counts.count_taken(RequestKind.of(asked))
-            outcome = await self._attempt(asked, until)
+                return self._not_taken(incoming, reason, 0.0)
+            if (deadline - self._now()) * 1000 < MIN_RUN_TIME_MS:
+                return self._not_taken(incoming, NotTakenReason.EXPIRED, 0.0)
+            started_at = self._now()
+            self.counts.count_taken(RequestKind.of(incoming))
+            outcome = await self._attempt_on_backend(incoming, deadline)
             if isinstance(outcome, Answer):
-                served = self._now() - began
-                outcome.served_ms = 1000 * served
+                service_s = self._now() - started_at
+                outcome.served_ms = 1000 * service_s
             return outcome
         finally:
             self.in_flight -= 1
-            self.admission.release(RequestKind.of(asked), served)
+            self.admission.release(RequestKind.of(incoming), service_s)
 
-    async def _attempt(self, asked: Request, until: float) -> Outcome:
+    async def _attempt_on_backend(self, incoming: Request, deadline: float) -> Outcome:
         instance_id = self.backend.instance_id
         try:
-            async with asyncio.timeout_at(until):
-                whole = await self._exchange(asked, until, instance_id)
+            async with asyncio.timeout_at(deadline):
+                response = await self._exchange_with_backend(incoming, deadline, instance_id)
         except TimeoutError:
-            return self._failed(asked, AttemptFailure.TIMED_OUT, ran=True)
+            return self._failed(incoming, AttemptFailure.TIMED_OUT, ran=True)
         except AttemptError as failed:
             if failed.failure is AttemptFailure.UNREACHABLE:
                 self.backend.on_refused()
                 self.refresh()
-            return self._failed(asked, failed.failure, failed.ran)
-        if NOT_EXECUTED in whole.head.headers or whole.head.first[2] == MISDIRECTED:
-            if whole.head.first[2] == MISDIRECTED:
+            return self._failed(incoming, failed.failure, failed.ran)
+        if NOT_EXECUTED_HEADER in response.head.headers or response.head.first[2] == MISDIRECTED_STATUS:
+            if response.head.first[2] == MISDIRECTED_STATUS:
                 self.backend.on_misdirected(instance_id)
                 self.refresh()
-            return self._not_taken(asked, NotTakenReason.BACKEND_DECLINED, self.admission.retry_ms())
-        return self._answer(asked, whole)
+            return self._not_taken(incoming, NotTakenReason.BACKEND_DECLINED, self.admission.retry_ms())
+        return self._answer(incoming, response)
 
-    def run_that_calls(self, request_id: bytes) -> bool | None:
-        """If a request that begins here is a call of a run at the backend: whether that run is a repeat.
+    def calling_run_is_retry(self, request_id: bytes) -> bool | None:
+        """Return whether the run that makes a call is a retry; None if the request is not a call of a run here.
 
-        Backends derive the ids of their calls from the id of the run, behind a dot. None: no such run.
+        Backends derive the ids of their calls from the id of the run: run id, dot, suffix.
         """
         parent, dot, _ = request_id.rpartition(b".")
-        return self._running.get(parent) if dot else None
-
-    async def _exchange(self, asked: Request, until: float, instance_id: str) -> WholeMessage:
-        connection = await self._pool.take(asked.repeatable)
-        request_id = _header_value(asked.headers, b"lupinreach-request-id")
-        self._running[request_id] = asked.again
+        return self._run_is_retry.get(parent) if dot else None
+
+    async def _exchange_with_backend(
+        self, incoming: Request, deadline: float, instance_id: str
+    ) -> WholeMessage:
+        connection = await self._pool.take(incoming.repeatable)
+        request_id = _header_value(incoming.headers, b"lupinreach-request-id")
+        self._run_is_retry[request_id] = incoming.again
         try:
-            remaining_ms = max(1, int((until - self._now()) * 1000))
+            remaining_ms = max(1, int((deadline - self._now()) * 1000))
             lines = (
-                asked.headers,
+                incoming.headers,
                 b"Lupinreach-Request-Deadline: %d\r\n" % remaining_ms,
                 b"Lupinreach-Target-Instance: %b\r\n" % instance_id.encode(),
             )
-            has_length = bool(asked.body) or asked.method in (b"POST", b"PUT", b"PATCH")
+            has_length = bool(incoming.body) or incoming.method in (b"POST", b"PUT", b"PATCH")
             head = request(
-                asked.method, asked.target, lines, asked.host, len(asked.body) if has_length else 0
+                incoming.method,
+                incoming.target,
+                lines,
+                incoming.host,
+                len(incoming.body) if has_length else 0,
             )
-            whole = await connection.exchange(head + asked.body, request_id, asked.method == b"HEAD")
+            response = await connection.exchange(head + incoming.body, request_id, incoming.method == b"HEAD")
         except BaseException:
             connection.close()
             raise
         finally:
-            self._running.pop(request_id, None)
+            self._run_is_retry.pop(request_id, None)
         self._pool.give_back(connection)
-        return whole
+        return response
 
-    def _answer(self, asked: Request, whole: WholeMessage) -> Answer:
-        stays = OF_CONNECTION | whole.head.options
-        headers = b"".join([bytes(line) for name, line in whole.head.lines if name not in stays])
+    def _answer(self, incoming: Request, response: WholeMessage) -> Answer:
+        not_forwarded = OF_CONNECTION | response.head.options
+        headers = b"".join([bytes(line) for name, line in response.head.lines if name not in not_forwarded])
         return Answer(
-            number=asked.number,
-            status=whole.head.first[2],
+            number=incoming.number,
+            status=response.head.first[2],
             headers=headers,
-            body=whole.body,
+            body=response.body,
             running=self.admission.running - 1,
             waiting=self.admission.waiting,
         )
 
-    def _not_taken(self, asked: Request, reason: NotTakenReason, retry_ms: float) -> NotTaken:
+    def _not_taken(self, incoming: Request, reason: NotTakenReason, retry_ms: float) -> NotTaken:
         admission = self.admission
-        self.counts.count_refused(RequestKind.of(asked), reason)
-        return NotTaken(asked.number, int(reason), int(retry_ms), admission.running, admission.waiting)
+        self.counts.count_refused(RequestKind.of(incoming), reason)
+        return NotTaken(incoming.number, int(reason), int(retry_ms), admission.running, admission.waiting)
 
-    def _failed(self, asked: Request, failure: AttemptFailure, ran: bool) -> Failed:
-        return Failed(asked.number, int(failure), ran, self.admission.running, self.admission.waiting)
+    def _failed(self, incoming: Request, failure: AttemptFailure, ran: bool) -> Failed:
+        return Failed(incoming.number, int(failure), ran, self.admission.running, self.admission.waiting)
 
     async def probe(self, path: str) -> None:
-        """Ask the backend's health once, as after a start of this process in the middle of traffic."""
+        """Query the backend's health once, for a proxy that is started while its backend already runs."""
         try:
             connection = await self._pool.take(True)
         except AttemptError:
@@ -287,14 +297,14 @@
         head = request(b"GET", path.encode(), (), self._pool.address[0].encode())
         try:
             async with asyncio.timeout(1.0):
-                whole = await connection.probe(head)
+                response = await connection.probe(head)
         except (AttemptError, TimeoutError):
             connection.close()
             return
         self._pool.give_back(connection)
-        headers = whole.head.headers
+        headers = response.head.headers
         instance_id = headers.get(b"lupinreach-instance-id", b"").decode("latin-1")
-        if whole.head.first[2] == 200 and instance_id:
+        if response.head.first[2] == 200 and instance_id:
             load = headers.get(b"lupinreach-server-load", b"").split(b",")
             capacity = int(load[2]) if len(load) == 3 and load[2].strip().isdigit() else 4
             cold = headers.get(b"lupinreach-cold-remaining", b"0").strip()
@@ -304,7 +314,7 @@
 
 
 def _header_value(lines: bytes, name: bytes) -> bytes:
-    """The value of a header among whole lines."""
+    """Return the value of a header in a block of header lines, empty if it is absent."""
     for line in lines.split(b"\r\n"):
         key, _, value = line.partition(b":")
         if key.lower() == name:
--- a/lupinreach/mesh/proxy/inbound.py
+++ b/lupinreach/mesh/proxy/inbound.py
@@ -1,4 +1,4 @@
-"""The inbound side of a proxy: links of other proxies, whose requests go through the gate."""
+"""The inbound side of a proxy: accepts links of other proxies and passes their requests to the gate."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from lupinreach.mesh.proxy.request_age import LinkDelay, SeenRequests
 from lupinreach.mesh.tasks import spawn
 
-BODY_WAIT_SHARE = 0.5  # of the time until it is due: a body that would wait longer goes elsewhere
+MAX_BODY_WAIT_DUE_FRACTION = 0.5  # of the time until due; a body that would wait longer goes elsewhere
 
 
 class Inbound:
-    """Accepts links and serves the requests that come over them."""
+    """Accepts links and serves the requests that arrive on them."""
 
     def __init__(
         self,
@@ -40,25 +40,25 @@
         configuration: ConfigurationState,
         gossip: Gossip,
         describe: Callable[[], dict[str, Any]],
-        on_beat: Callable[[ForwardedBeat], bool],
+        on_heartbeat: Callable[[ForwardedBeat], bool],
         bandwidth_mbps: float,
     ) -> None:
-        self._on_beat = on_beat
+        self._on_heartbeat = on_heartbeat
         self._gate = gate
         self._configuration = configuration
         self._gossip = gossip
         self._describe = describe
-        self._links: dict[Link, dict[int, asyncio.Task[None]]] = {}
+        self._tasks_by_link: dict[Link, dict[int, asyncio.Task[None]]] = {}
         self._delays: dict[Link, LinkDelay] = {}
         self._bodies = BodyReceiver(bandwidth_mbps)
-        self._seen = SeenRequests()
-        self._most_age_s = 0.0  # of the requests since it was last asked for
+        self._seen_requests = SeenRequests()
+        self._max_age_s = 0.0  # of the requests since the last read
         self._server: asyncio.Server | None = None
         gate.on_status(self._broadcast)
 
     async def listen(self, address: Address) -> None:
         """Start to accept links."""
-        self._server = await listen(address, lambda: Link(self._message, self._closed))
+        self._server = await listen(address, lambda: Link(self._on_message, self._on_link_closed))
 
     def close(self) -> None:
         """Stop accepting and end all links."""
@@ -66,20 +66,20 @@
             self._server.close()
 
     def _broadcast(self, status: BackendStatus) -> None:
-        for link in self._links:
+        for link in self._tasks_by_link:
             link.send(status)
 
-    def _message(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         if isinstance(message, Request):
             self._on_request(link, message)
         elif isinstance(message, BodyPart):
             self._bodies.on_part(link, message)
         elif isinstance(message, Cancel):
-            task_out = self._links.get(link, {}).get(message.number)
-            if task_out is not None:
-                task_out.cancel()
+            pending_task = self._tasks_by_link.get(link, {}).get(message.number)
+            if pending_task is not None:
+                pending_task.cancel()
         elif isinstance(message, PeerHello):
-            self._links.setdefault(link, {})
+            self._tasks_by_link.setdefault(link, {})
             self._age_s(link, message.sent_at)
             link.send(self._gate.status())
         elif isinstance(message, Shuffle):
@@ -87,7 +87,7 @@
         elif isinstance(message, NewsPull):
             link.send(self._configuration.to_message())
         elif isinstance(message, ForwardedBeat):
-            if self._on_beat(message):
+            if self._on_heartbeat(message):
                 link.send(BeatTaken(message.number))
         elif isinstance(message, Describe):
             link.send(Description(self._describe()))
@@ -96,53 +96,56 @@
         delay = self._delays.setdefault(link, LinkDelay())
         return delay.age_s(sent_at, asyncio.get_running_loop().time())
 
-    def take_most_age_s(self) -> float:
-        """The longest that a request was on its way here beyond the usual, since this was last asked."""
-        most, self._most_age_s = self._most_age_s, 0.0
-        return most
+    def take_max_age_s(self) -> float:
+        """Return the highest age of a request on arrival since the last call, and reset it."""
+        max_age_s, self._max_age_s = self._max_age_s, 0.0
+        return max_age_s
 
-    def _on_request(self, link: Link, asked: Request) -> None:
-        """Serve a request once; a `Cancel` that came with it ends its task before that begins."""
-        if not self._seen.is_new(asked.number):
+    def _on_request(self, link: Link, request: Request) -> None:
+        """Start to serve a request, once; a `Cancel` in the same read ends its task before it begins."""
+        if not self._seen_requests.is_new(request.number):
             return
-        age_s = self._age_s(link, asked.sent_at)
-        self._most_age_s = max(self._most_age_s, age_s)
-        task = spawn(self._serve(link, asked, age_s))
-        self._links.setdefault(link, {})[asked.number] = task
+        age_s = self._age_s(link, request.sent_at)
+        self._max_age_s = max(self._max_age_s, age_s)
+        task = spawn(self._serve(link, request, age_s))
+        self._tasks_by_link.setdefault(link, {})[request.number] = task
 
-    async def _serve(self, link: Link, asked: Request, age_s: float) -> None:
+    async def _serve(self, link: Link, request: Request, age_s: float) -> None:
         try:
-            link.send(await self._outcome(link, asked, age_s))
+            link.send(await self._outcome(link, request, age_s))
         finally:
-            self._links.get(link, {}).pop(asked.number, None)
+            self._tasks_by_link.get(link, {}).pop(request.number, None)
 
-    async def _outcome(self, link: Link, asked: Request, age_s: float) -> Outcome:
-        if not asked.body_size:
-            return await self._gate.serve(asked, age_s)
-        refusal = self._gate.refuse_early(asked, age_s)
+    async def _outcome(self, link: Link, request: Request, age_s: float) -> Outcome:
+        if not request.body_size:
+            return await self._gate.serve(request, age_s)
+        refusal = self._gate.early_refusal(request, age_s)
         if refusal is not None:
             return refusal
         expected_ms = 1000 * self._bodies.expected_wait_s()
-        if expected_ms > max(asked.wait_ms, BODY_WAIT_SHARE * asked.rank) - 1000 * age_s:
-            return self._gate.refuse_full(asked, expected_ms)
+        if expected_ms > max(request.wait_ms, MAX_BODY_WAIT_DUE_FRACTION * request.rank) - 1000 * age_s:
+            return self._gate.refuse_full(request, expected_ms)
         loop = asyncio.get_running_loop()
         offered_at = loop.time()
-        until = offered_at + asked.remaining_ms / 1000 - age_s
-        self._gate.in_flight += 1  # a process that ends waits for it
+        deadline = offered_at + request.remaining_ms / 1000 - age_s
+        self._gate.in_flight += 1  # a stopping process waits for it
         try:
-            async with asyncio.timeout_at(until):
-                asked.body = await self._bodies.receive(link, asked, offered_at - age_s + asked.rank / 1000)
+            async with asyncio.timeout_at(deadline):
+                request.body = await self._bodies.receive(
+                    link, request, offered_at - age_s + request.rank / 1000
+                )
         except TimeoutError:
-            return self._gate.refuse_early(asked, until - offered_at + age_s) or self._gate.refuse_full(
-                asked, 0.0
+            return self._gate.early_refusal(request, deadline - offered_at + age_s) or self._gate.refuse_full(
+                request, 0.0
             )
         finally:
             self._gate.in_flight -= 1
-        took_s = loop.time() - offered_at
-        asked.wait_ms += int(1000 * took_s)  # the wait for the body is none for the backend
-        return await self._gate.serve(asked, age_s + took_s)
+        body_wait_s = loop.time() - offered_at
+        # The wait for the body does not use up the queue wait limit.
+        request.wait_ms += int(1000 * body_wait_s)
+        return await self._gate.serve(request, age_s + body_wait_s)
 
-    def _closed(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         self._delays.pop(link, None)
-        for task in self._links.pop(link, {}).values():
+        for task in self._tasks_by_link.pop(link, {}).values():
             task.cancel()
--- a/lupinreach/mesh/proxy/program.py
+++ b/lupinreach/mesh/proxy/program.py
@@ -137,12 +137,12 @@
 
     def _on_heartbeat(self, instance_id: str, beat: Heartbeat) -> None:
         known = (self.backend.instance_id, self.backend.state)
-        self.gate.heartbeat(instance_id, beat)
+        self.gate.on_heartbeat(instance_id, beat)
         if known != (self.backend.instance_id, self.backend.state):
             self._log_backend()
 
     def _on_deregister(self, instance_id: str) -> None:
-        self.gate.deregister(instance_id)
+        self.gate.on_deregister(instance_id)
         self._log_backend()
 
     async def heartbeat(self, instance_id: str, body: bytes, beat: Heartbeat) -> Result[str, ErrorKind]:
@@ -189,7 +189,7 @@
         )
         evacuated = self.configuration.evacuated(self._settings.zone)
         if self._was_evacuated and not evacuated:
-            self.gate.evacuation_ended()
+            self.gate.on_evacuation_end()
         self._was_evacuated = evacuated
         self.gate.refresh()
         if not self._probed and not self._settings.first_start:
@@ -251,8 +251,8 @@
             rounds += 1
             if rounds % COUNTS_CHECKS == 0:
                 self.gate.counts.check(self._log)
-            self.policy.forget_past(self.peers.linked.values())
-            self.budget.set_proxies(self.peers.proxy_count)
+            self.policy.forget_removed_instances(self.peers.linked.values())
+            self.budget.set_proxy_count(self.peers.proxy_count)
             self.gate.refresh()
 
     def describe(self) -> dict[str, Any]:
@@ -298,7 +298,7 @@
                 "since the last word",
             ),
             Metric(
-                "proxy_request_transit_seconds", self.inbound.take_most_age_s(), "most extra time on a link"
+                "proxy_request_transit_seconds", self.inbound.take_max_age_s(), "most extra time on a link"
             ),
             Metric("proxy_unsent_bytes", sum(unsent), "that wait on links to other proxies"),
             Metric("proxy_unsent_most_bytes", max(unsent), "that wait on one link"),
--- a/lupinreach/mesh/proxy/retry_budget.py
+++ b/lupinreach/mesh/proxy/retry_budget.py
@@ -1,42 +1,42 @@
-"""The share of one proxy in the mesh's limit on repeated arrivals at a service."""
+"""Retry budget: the share of one proxy in the mesh-wide limit on retries that arrive at a service."""
 
 from __future__ import annotations
 
-SHARE_OF_RATIO = 0.5  # calls of repeated runs count as repeats too, and are not seen here
-SHARE_OF_SLACK = 0.4
-LEAST_SAVED = 1.0
+RATIO_FRACTION = 0.5  # calls of retried runs count as retries too, and this proxy may not see them
+SLACK_FRACTION = 0.4
+MIN_TOKEN_LIMIT = 1.0  # tokens per service, however many proxies share the slack
 
 
 class RetryBudget:
-    """Tokens for repeats: earned by first attempts, saved up to this proxy's part of the slack.
+    """Token bucket for retries: filled by first attempts, limited to this proxy's part of the slack.
 
-    In any window the repeats of all proxies stay within `ratio x requests + slack`: each spends at most what
-    it has earned there, `SHARE_OF_RATIO x ratio` for each request, and what it had saved, `SHARE_OF_SLACK x
-    slack / proxies`.
+    In any window the retries of all proxies stay within `ratio * requests + slack`: each proxy spends at most the
+    tokens earned in the window, `RATIO_FRACTION * ratio` for each request, and those saved before it,
+    `SLACK_FRACTION * slack / proxies`.
     """
 
     def __init__(self, ratio: float, slack: float) -> None:
-        self._earned = SHARE_OF_RATIO * ratio
-        self._slack = SHARE_OF_SLACK * slack
-        self._saved: dict[str, float] = {}
-        self._most = LEAST_SAVED
+        self._tokens_per_request = RATIO_FRACTION * ratio
+        self._slack = SLACK_FRACTION * slack
+        self._tokens: dict[str, float] = {}
+        self._token_limit = MIN_TOKEN_LIMIT
         self.denied = 0
 
-    def set_proxies(self, count: int) -> None:
-        """How many proxies share the slack."""
-        self._most = max(LEAST_SAVED, self._slack / max(1, count))
+    def set_proxy_count(self, count: int) -> None:
+        """Set the number of proxies that share the slack."""
+        self._token_limit = max(MIN_TOKEN_LIMIT, self._slack / max(1, count))
 
-    def first(self, service: str, of_repeat: bool = False) -> None:
-        """A request is sent to a service for the first time; as a call of a repeated run it is a repeat too."""
-        saved = self._saved.get(service, self._most / 2)
-        change = -1.0 if of_repeat else self._earned
-        self._saved[service] = max(-self._most, min(self._most, saved + change))
+    def record_first_attempt(self, service: str, in_retried_run: bool = False) -> None:
+        """Record the first attempt of a request; as a call of a retried run it counts as a retry itself."""
+        tokens = self._tokens.get(service, self._token_limit / 2)
+        change = -1.0 if in_retried_run else self._tokens_per_request
+        self._tokens[service] = max(-self._token_limit, min(self._token_limit, tokens + change))
 
-    def spend(self, service: str) -> bool:
-        """If one more attempt may be made."""
-        saved = self._saved.get(service, self._most / 2)
-        if saved < 1.0:
+    def try_spend(self, service: str) -> bool:
+        """Take a token for a retry; return false if there is none."""
+        tokens = self._tokens.get(service, self._token_limit / 2)
+        if tokens < 1.0:
             self.denied += 1
             return False
-        self._saved[service] = saved - 1.0
+        self._tokens[service] = tokens - 1.0
         return True
