--- a/lupinreach/mesh/proxy/__init__.py
+++ b/lupinreach/mesh/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: runs beside one application backend, carries its calls and guards its arrivals."""
+"""The proxy: runs beside one backend, sends its outbound requests and admits its inbound ones."""
--- a/lupinreach/mesh/proxy/admission.py
+++ b/lupinreach/mesh/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests to one backend: concurrency limit, bounded wait queue, rate limit of a cold backend."""
+"""Admission of requests to one backend: concurrency limit, wait queue, rate limit of a cold backend."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self._times: deque[float] = deque()
 
     def wait_s(self, now: float, limit: int) -> float:
-        """Return the seconds until one more event is allowed, 0 if it is allowed now; drops expired events."""
+        """Drop expired events and return the seconds until one more is allowed; 0 if it is allowed now."""
         while self._times and self._times[0] <= now - self._span_s:
             self._times.popleft()
         if len(self._times) < limit:
@@ -135,7 +135,7 @@
         self._admitted.add(now)
 
     def release(self, kind: RequestKind, service_s: float | None) -> None:
-        """Free the slot of an admitted request; `service_s` is its service time, None if it was not served."""
+        """Free the slot of an admitted request; `service_s` is its service time, None if not served."""
         self.running -= 1
         if service_s is not None:
             self._service_times.add(kind, service_s)
--- a/lupinreach/mesh/proxy/body_credit.py
+++ b/lupinreach/mesh/proxy/body_credit.py
@@ -1,8 +1,8 @@
-"""Credit-based flow control for request bodies: a sender offers a large body, the receiving proxy grants its parts.
+"""Credit-based flow control for request bodies: a sender offers a large body, the receiver grants its parts.
 
-Bytes that are sent unasked can't be held back by the receiver: they queue on its link ahead of everything else. So a
-proxy grants no more body bytes at a time than its link carries in `WINDOW_S`, the earliest due body first. This bounds
-the queueing delay of small requests, answers and configuration messages.
+Bytes that are sent unasked can't be held back by the receiver: they queue on its link ahead of all else. So a
+proxy grants no more body bytes at a time than its link carries in `WINDOW_S`, earliest due body first. This
+bounds the queueing delay of small requests, answers and configuration messages.
 """
 
 from __future__ import annotations
--- a/lupinreach/mesh/proxy/configuration_state.py
+++ b/lupinreach/mesh/proxy/configuration_state.py
@@ -1,4 +1,4 @@
-"""The configuration news that a proxy holds: it only ever moves forward within one life."""
+"""The configuration and evacuations in force in a proxy; their versions never go back within one process."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from lupinreach.mesh.route_table import RouteTable
 
 Stamp = tuple[int, int]
-STALE_PATIENCE_S = 1.0  # a proxy without a configuration waits so long for one that is surely the newest
+STALE_CONFIGURATION_DELAY_S = 1.0  # how long a proxy without a configuration waits for a fresh one
 
 
 class ConfigurationState:
-    """Highest configuration and newest evacuations that any registry or neighbour told."""
+    """Newest configuration and newest evacuations received from any registry or neighbour."""
 
     def __init__(self) -> None:
         self.table: RouteTable | None = None
         self.stamp: Stamp = (0, 0)
         self.evacuations: dict[str, bool] = {}
-        self._stale: list[News] = []  # that senders without contact to a primary told, until it may be used
+        self._stale_messages: list[News] = []  # from senders without contact to a primary; not used yet
         self._listeners: list[Callable[[], None]] = []
-        self.applied = 0  # configurations put in force
+        self.applied = 0  # count of configurations put in force
 
     @property
     def version(self) -> str:
@@ -36,50 +36,50 @@
     def evacuated(self, zone: str) -> bool:
         return self.evacuations.get(zone, False)
 
-    def apply(self, news: News) -> Applied:
-        """Put what is newer in force.
+    def apply(self, message: News) -> Applied:
+        """Apply what is newer than the state in force.
 
-        A sender that is cut off from the primary may hold an old configuration. It is progress for a proxy
-        that holds an older one; a proxy that has just started waits a little for somebody in contact.
+        A sender without contact to the primary may hold an old configuration. A proxy with an older one
+        applies it at once; one without any first waits `STALE_CONFIGURATION_DELAY_S` for a sender in contact.
         """
-        if self.table is None and not news.fresh:
-            if not self._stale:
-                asyncio.get_running_loop().call_later(STALE_PATIENCE_S, self.use_stale)
-            self._stale.append(news)
+        if self.table is None and not message.fresh:
+            if not self._stale_messages:
+                asyncio.get_running_loop().call_later(STALE_CONFIGURATION_DELAY_S, self._apply_stale)
+            self._stale_messages.append(message)
             return Applied.NOT_NEWER
-        self._stale.clear()
-        return self._apply(news)
-
-    def use_stale(self) -> None:
-        """Nobody in contact was found in time: use what there is."""
-        stale, self._stale = self._stale, []
-        for news in stale:
-            self._apply(news)
-
-    def _apply(self, news: News) -> Applied:
-        applied = self._apply_configuration(news)
-        stamp: Stamp = (news.stamp[0], news.stamp[1])
+        self._stale_messages.clear()
+        return self._apply(message)
+
+    def _apply_stale(self) -> None:
+        """Apply the stale messages, because none came from a sender in contact with the primary."""
+        stale_messages, self._stale_messages = self._stale_messages, []
+        for message in stale_messages:
+            self._apply(message)
+
+    def _apply(self, message: News) -> Applied:
+        applied = self._apply_configuration(message)
+        stamp: Stamp = (message.stamp[0], message.stamp[1])
         changed = applied is Applied.IN_FORCE
         if stamp > self.stamp:
             self.stamp = stamp
-            changed = changed or self.evacuations != news.evacuations
-            self.evacuations = dict(news.evacuations)
+            changed = changed or self.evacuations != message.evacuations
+            self.evacuations = dict(message.evacuations)
         if changed:
             for listener in self._listeners:
                 listener()
         return applied
 
-    def _apply_configuration(self, news: News) -> Applied:
-        if news.config is None or not is_newer(news.config_version, self.version):
+    def _apply_configuration(self, message: News) -> Applied:
+        if message.config is None or not is_newer(message.config_version, self.version):
             return Applied.NOT_NEWER
-        if news.base:
-            applied, self.table = ConfigurationUpdate.unpack(news.config).apply(self.table)
+        if message.base:
+            applied, self.table = ConfigurationUpdate.unpack(message.config).apply(self.table)
         else:
-            applied, self.table = Applied.IN_FORCE, unpack_whole(news.config)
+            applied, self.table = Applied.IN_FORCE, unpack_whole(message.config)
         self.applied += applied is Applied.IN_FORCE
         return applied
 
     def to_message(self) -> News:
-        """All that is held, as one message; a proxy can't know that it is the newest."""
-        whole = pack_whole(self.table) if self.table is not None else None
-        return News(list(self.stamp), self.version, whole, self.evacuations, fresh=False)
+        """Return the whole state as one message, not fresh: a proxy can't know that it is the newest."""
+        packed_table = pack_whole(self.table) if self.table is not None else None
+        return News(list(self.stamp), self.version, packed_table, self.evacuations, fresh=False)
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -1,8 +1,8 @@
-"""The gate in front of a backend: all requests to the backend pass it, so limits on arrivals are enforced here.
+"""The gate in front of a backend: all requests to it pass here, so limits on arrivals are enforced here.
 
-The state that other proxies act on may be stale. The gate checks the instance, the backend's state, evacuations,
-the route under its newest configuration, the rate limit of a cold backend, and concurrency. A request that it
-refuses has not reached the backend and may go to another one.
+The state that other proxies act on may be stale. The gate checks the instance, the backend's state,
+evacuations, the route under its newest configuration, the rate limit of a cold backend, and concurrency.
+A request that it refuses has not reached the backend and may go to another one.
 """
 
 from __future__ import annotations
@@ -220,7 +220,7 @@
             return self._failed(incoming, AttemptFailure.TIMED_OUT, ran=True)
         except AttemptError as failed:
             if failed.failure is AttemptFailure.UNREACHABLE:
-                self.backend.on_refused()
+                self.backend.on_connection_refused()
                 self.refresh()
             return self._failed(incoming, failed.failure, failed.ran)
         if NOT_EXECUTED_HEADER in response.head.headers or response.head.first[2] == MISDIRECTED_STATUS:
@@ -231,7 +231,7 @@
         return self._answer(incoming, response)
 
     def calling_run_is_retry(self, request_id: bytes) -> bool | None:
-        """Return whether the run that makes a call is a retry; None if the request is not a call of a run here.
+        """Return whether the run that makes a call is a retry; None if the request is no call of a run here.
 
         Backends derive the ids of their calls from the id of the run: run id, dot, suffix.
         """
@@ -309,7 +309,7 @@
             capacity = int(load[2]) if len(load) == 3 and load[2].strip().isdigit() else 4
             cold = headers.get(b"lupinreach-cold-remaining", b"0").strip()
             cold_ms = float(cold) if cold.replace(b".", b"", 1).isdigit() else 0.0
-            self.backend.on_health(instance_id, cold_ms, capacity, self._now())
+            self.backend.on_health_response(instance_id, cold_ms, capacity, self._now())
             self.refresh()
 
 
--- a/lupinreach/mesh/proxy/gate_counts.py
+++ b/lupinreach/mesh/proxy/gate_counts.py
@@ -63,14 +63,14 @@
     def metrics(self) -> list[Metric]:
         """Return the counters since the start of the process."""
         taken = [
-            Metric("proxy_gate_taken_total", count, "passed to the backend", f'kind="{label}"')
+            Metric("proxy_gate_taken_total", count, "requests passed to the backend", f'kind="{label}"')
             for label, count in sorted(self._taken.items())
         ]
         refused = [
             Metric(
                 "proxy_gate_refused_total",
                 count,
-                "refused by the gate",
+                "requests refused by the gate",
                 f'kind="{label}",reason="{reason.name.lower()}"',
             )
             for (label, reason), count in sorted(self._refused.items())
--- a/lupinreach/mesh/proxy/local_backend.py
+++ b/lupinreach/mesh/proxy/local_backend.py
@@ -1,21 +1,21 @@
-"""What a proxy knows of the backend beside it, from its heartbeats and from its answers."""
+"""State of the backend beside a proxy, as known from its heartbeats and answers."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_PAST_INSTANCES = 64
+MAX_PAST_INSTANCES = 64
 
 
 class BackendState(Enum):
-    """Life of a backend as its proxy sees it."""
+    """Lifecycle state of a backend as its proxy sees it."""
 
-    UNKNOWN = "unknown"  # nothing was heard of it in this life of the proxy
+    UNKNOWN = "unknown"  # no heartbeat was received since the proxy started
     READY = "ready"
     DRAINING = "draining"
-    DOWN = "down"  # connections are refused; the next heartbeat ends this
-    GONE = "gone"  # it signed off
+    DOWN = "down"  # connections are refused or reach another instance; the next heartbeat ends this
+    DEREGISTERED = "gone"
 
 
 @dataclass(slots=True)
@@ -41,66 +41,66 @@
         self.state = BackendState.UNKNOWN
         self.capacity = 1
         self.cold_until = 0.0
-        self._cold_unknown = False
+        self._cold_assumed = False
         self._sequence = -1
-        self._past: dict[str, None] = {}
+        self._past_instances: dict[str, None] = {}
 
     @property
     def serving(self) -> bool:
         return self.state is BackendState.READY
 
     def cold_s(self, now: float) -> float:
-        """Seconds for which it stays cold, as far as is known."""
-        if self._cold_unknown:
+        """Return the seconds for which it stays cold, as far as is known."""
+        if self._cold_assumed:
             return max(0.5, self.cold_until - now)
         return max(0.0, self.cold_until - now)
 
-    def on_heartbeat(self, instance_id: str, beat: Heartbeat, now: float) -> bool:
-        """Take a heartbeat in; false where it is late or of a past instance and changes nothing."""
-        if instance_id in self._past:
+    def on_heartbeat(self, instance_id: str, heartbeat: Heartbeat, now: float) -> bool:
+        """Apply a heartbeat; return false if it is out of order or of a past instance and changes nothing."""
+        if instance_id in self._past_instances:
             return False
         if instance_id != self.instance_id:
-            self._replace(instance_id)
-        elif beat.sequence <= self._sequence or self.state is BackendState.GONE:
+            self._replace_instance(instance_id)
+        elif heartbeat.sequence <= self._sequence or self.state is BackendState.DEREGISTERED:
             return False
-        self._sequence = beat.sequence
-        self.service = beat.target_service
-        self.capacity = max(1, beat.capacity)
-        self.cold_until = now + beat.cold_remaining_ms / 1000
-        self._cold_unknown = False
-        draining = beat.state != "ready" or self.state is BackendState.DRAINING
+        self._sequence = heartbeat.sequence
+        self.service = heartbeat.target_service
+        self.capacity = max(1, heartbeat.capacity)
+        self.cold_until = now + heartbeat.cold_remaining_ms / 1000
+        self._cold_assumed = False
+        draining = heartbeat.state != "ready" or self.state is BackendState.DRAINING
         self.state = BackendState.DRAINING if draining else BackendState.READY
         return True
 
-    def _replace(self, instance_id: str) -> None:
+    def _replace_instance(self, instance_id: str) -> None:
         if self.instance_id:
-            self._past[self.instance_id] = None
-            if len(self._past) > MOST_PAST_INSTANCES:
-                del self._past[next(iter(self._past))]
+            self._past_instances[self.instance_id] = None
+            if len(self._past_instances) > MAX_PAST_INSTANCES:
+                del self._past_instances[next(iter(self._past_instances))]
         self.instance_id = instance_id
         self.state = BackendState.READY
         self._sequence = -1
 
     def on_deregister(self, instance_id: str) -> None:
-        """It signed off."""
+        """Apply a deregistration."""
         if instance_id == self.instance_id:
-            self.state = BackendState.GONE
+            self.state = BackendState.DEREGISTERED
         else:
-            self._past[instance_id] = None
+            self._past_instances[instance_id] = None
 
-    def on_refused(self) -> None:
-        """A connection to it was refused: nothing listens at its address."""
+    def on_connection_refused(self) -> None:
+        """Note that a connection to it was refused, so nothing listens at its address."""
         if self.state is BackendState.READY:
             self.state = BackendState.DOWN
 
     def on_misdirected(self, instance_id: str) -> None:
-        """The process at its address says that it is another instance."""
+        """Note that the process at its address answered that it is another instance."""
         if instance_id == self.instance_id and self.state is BackendState.READY:
             self.state = BackendState.DOWN
 
-    def on_health(self, instance_id: str, cold_ms: float, capacity: int, now: float) -> None:
-        """A health answer came in before any heartbeat of this life of the proxy."""
-        if self.state is not BackendState.UNKNOWN or instance_id in self._past:
+    def on_health_response(self, instance_id: str, cold_ms: float, capacity: int, now: float) -> None:
+        """Apply a health response; ignored once a heartbeat was received."""
+        if self.state is not BackendState.UNKNOWN or instance_id in self._past_instances:
             return
         self.instance_id = instance_id
         self.capacity = max(1, capacity)
@@ -108,6 +108,6 @@
         self.state = BackendState.READY
 
     def assume_cold(self, until: float) -> None:
-        """It may have gone cold unseen; holds until the next heartbeat tells."""
+        """Assume that it is cold until a loop time or the next heartbeat."""
         self.cold_until = max(self.cold_until, until)
-        self._cold_unknown = True
+        self._cold_assumed = True
--- a/lupinreach/mesh/proxy/outbound.py
+++ b/lupinreach/mesh/proxy/outbound.py
@@ -1,4 +1,4 @@
-"""The outbound side of a proxy: accepts a client's request, routes it, and makes attempts until it is answered."""
+"""The outbound side of a proxy: routes the requests of clients and makes attempts until they are answered."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 REQUEST_ID_HEADER = b"lupinreach-request-id"
 MESH_HEADERS = frozenset((DEADLINE_HEADER, b"lupinreach-target-instance", b"lupinreach-caller-service"))
 QUEUE_WAIT_TARGET_FRACTION = 0.22  # of the latency target: queue wait limit of a request
-# Of the time left, for a call of a run: longer than for other requests, as a refusal wastes the work of that run.
+# Of the time left, for a call of a run: longer than for other requests, as a refusal wastes the run's work.
 CALL_QUEUE_WAIT_REMAINING_FRACTION = 0.6
 MIN_REMAINING_MS = 3
 RETRY_AFTER_TARGET_FRACTION = 0.3  # of the latency target: least delay that a refused client is asked to wait
@@ -232,9 +232,9 @@
     def _may_fail_over(self, routed: _RoutedRequest, silent: Peer) -> bool:
         """True if an attempt at a silent peer is abandoned so that the request can go to another backend.
 
-        A request that is not repeatable is never abandoned. Around a planned restart of this proxy an attempt is
-        abandoned only if another one is certain to follow: the silent peer may be running the request, and no
-        request that was read may be lost then.
+        A request that is not repeatable is never abandoned. Around a planned restart of this proxy an attempt
+        is abandoned only if another one is certain to follow: the silent peer may be running the request, and
+        no request that was read may be lost then.
         """
         if not routed.route.repeatable:
             return False
@@ -257,7 +257,7 @@
         return error_answer(kind, retry_ms=RETRY_AFTER_TARGET_FRACTION * routed.latency_target_ms)
 
     def _unavailable_answer(self, routed: _RoutedRequest) -> HttpAnswer:
-        """Return the refusal of a request; it has not run, unless it is repeatable and an attempt failed before."""
+        """Return the refusal of a request, which has not run unless a repeatable one failed before."""
         kind = (
             ErrorKind.FULL
             if routed.last_refusal in (NotTakenReason.FULL, NotTakenReason.COLD)
--- a/lupinreach/mesh/proxy/peers.py
+++ b/lupinreach/mesh/proxy/peers.py
@@ -81,7 +81,7 @@
         """Hand one request to the gate beside the backend and wait for the outcome.
 
         `may_fail_over` is called once the link is silent; if it returns true the attempt fails, so that the
-        request can go to another backend. Otherwise this attempt is awaited, as the backend may be running it.
+        request can go to another backend. Otherwise the attempt is awaited, as the backend may be running it.
         """
         raise NotImplementedError
 
@@ -219,7 +219,7 @@
         self._abandon_attempt(number, AttemptFailure.TIMED_OUT)
 
     def _abandon_attempt(self, number: int, failure: AttemptFailure) -> None:
-        """Fail an attempt and cancel it at the other proxy, so that it is neither started nor continued there."""
+        """Fail an attempt and cancel it at the other proxy, so that it neither starts nor continues there."""
         pending = self._attempts.pop(number, None)
         if pending is None or pending[0].done():
             return
@@ -295,7 +295,7 @@
             self._update_links()
 
     def apply(self, entry: AgentEntry) -> None:
-        """Apply a proxy's entry from a registry unless its (life, sequence) is not newer than the known one."""
+        """Apply a proxy's entry from a registry if its (life, sequence) is newer than the known one."""
         if entry.address == self._own_address:
             return
         known = self.entries.get(entry.address)
--- a/lupinreach/mesh/proxy/pool_policy.py
+++ b/lupinreach/mesh/proxy/pool_policy.py
@@ -1,9 +1,9 @@
 """Selection of the backend for each attempt: a pool of backends that meet the latency target of the route.
 
-After QEdgeProxy: each backend's latency is smoothed per latency target; a backend whose estimate exceeds the target
-is ejected from the pool, and one successful trial request after the ejection period restores it. Within the pool the
-backend of the lowest expected cost is selected. The cost covers the expected latency, the load of the backend
-relative to its capacity, and traffic between zones.
+After QEdgeProxy: each backend's latency is smoothed per latency target; a backend whose estimate exceeds the
+target is ejected from the pool, and one successful trial after the ejection period restores it. Within the
+pool the backend of the lowest expected cost is selected. The cost covers the expected latency, the load of the
+backend relative to its capacity, and traffic between zones.
 """
 
 from __future__ import annotations
--- a/lupinreach/mesh/proxy/program.py
+++ b/lupinreach/mesh/proxy/program.py
@@ -1,4 +1,4 @@
-"""The proxy program: wires outbound side, gate, registry links and listeners together."""
+"""The proxy program: connects outbound side, gate, inbound side, registry links and listeners."""
 
 from __future__ import annotations
 
@@ -31,20 +31,22 @@
 from lupinreach.mesh.settings import Settings
 from lupinreach.mesh.tasks import spawn
 
-BODY_SHARE = 0.35  # of the process's memory, for buffered bodies
-LINGER_S = 2.6  # after SIGTERM, until the platform has noticed; no request is read after it
-GATE_OPEN_S = 1.2  # after SIGTERM the gate still takes requests for so long: its backend is sound
-RESTARTED_S = 1.5  # and the grace period: a process this young may be part of a planned restart
-GRACE_LEFT_S = 0.9  # of the grace period, kept for the end itself
-STOP_CHECK_S = 0.05
-LAST_WRITES_S = 0.1  # for the last answers to leave the process
-HOUSEKEEPING_S = 1.0
-COUNTS_CHECKS = 2  # rounds of housekeeping between two looks at what the gate refused
-PROBE_AFTER_S = 0.05  # from the first configuration to the health probe, unless a heartbeat came
+BODY_MEMORY_FRACTION = 0.35  # of the memory limit of the process, for buffered bodies
+READ_AFTER_SIGTERM_S = 2.6  # requests are read until then, as the platform notices the stop with a delay
+GATE_OPEN_AFTER_SIGTERM_S = 1.2  # the gate accepts requests until then, as its backend is not stopping
+PLANNED_RESTART_MARGIN_S = (
+    1.5  # a process younger than the grace period and this may be part of a planned restart
+)
+GRACE_RESERVE_S = 0.9  # part of the grace period that is kept for the end of the process
+STOP_POLL_INTERVAL_S = 0.05
+FINAL_FLUSH_S = 0.1  # for the last answers to be written to their connections
+HOUSEKEEPING_INTERVAL_S = 1.0
+ROUNDS_PER_COUNTS_CHECK = 2  # rounds of housekeeping between two checks for starved kinds of requests
+PROBE_DELAY_S = 0.05  # from the first configuration to the health probe, which a heartbeat makes needless
 
 
 class ProxyState(Enum):
-    """Life of the process."""
+    """Lifecycle state of the process."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -53,7 +55,7 @@
 
 
 class ProxyProgram:
-    """One proxy."""
+    """A proxy process: its parts, listeners and background tasks."""
 
     def __init__(
         self, settings: Settings, log: EventLog, wall_clock: Callable[[], float] = time.time
@@ -62,7 +64,7 @@
         self.state = ProxyState.STARTING
         self._settings = settings
         self._log = log
-        self._life = int(wall_clock() * 1000)
+        self._incarnation = int(wall_clock() * 1000)
         self._sequence = 0
         self._probed = False
         self._was_evacuated = False
@@ -82,7 +84,7 @@
             self.peers,
             self.policy,
             self.budget,
-            settings.bounds.grace_period_s + RESTARTED_S,
+            settings.bounds.grace_period_s + PLANNED_RESTART_MARGIN_S,
         )
         self.gossip = Gossip(self._address, self.configuration)
         self.peers.on_proxy_added = self.gossip.view.offer
@@ -91,32 +93,32 @@
             self.configuration,
             self.gossip,
             self.describe,
-            self._on_forwarded,
+            self._on_forwarded_heartbeat,
             settings.limits.bandwidth_mbps,
         )
-        self._server = HttpServer(
+        self._outbound_server = HttpServer(
             self.outbound.handle,
             self.outbound.may_overlap,
-            BufferBudget(int(settings.limits.memory_mb * BODY_SHARE) << 20),
-            self._fault,
+            BufferBudget(int(settings.limits.memory_mb * BODY_MEMORY_FRACTION) << 20),
+            self._on_fault,
         )
-        calls = Dispatcher()
-        add_instance_calls(calls, self)
-        self._control = HttpServer(calls.handle, on_fault=self._fault)
+        control_calls = Dispatcher()
+        add_instance_calls(control_calls, self)
+        self._control_server = HttpServer(control_calls.handle, on_fault=self._on_fault)
         readiness = Dispatcher()
         readiness.add("GET", "readiness", call=self._readiness)
-        self._readiness_server = HttpServer(readiness.handle, on_fault=self._fault)
+        self._readiness_server = HttpServer(readiness.handle, on_fault=self._on_fault)
         self._registries: RegistryClient | None = None
 
     async def start(self) -> None:
         """Open the listeners and the links to registries."""
         settings = self._settings
         await self.inbound.listen(settings.listen_address("inbound"))
-        await self._control.listen(settings.listen_address("control_plane"))
+        await self._control_server.listen(settings.listen_address("control_plane"))
         await self._readiness_server.listen(settings.listen_address("readiness"))
-        await self._server.listen(settings.listen_address("outbound"))
-        self.gate.on_status(lambda status: self._announce())
-        self.configuration.on_change(self._on_news)
+        await self._outbound_server.listen(settings.listen_address("outbound"))
+        self.gate.on_status(lambda status: self._announce_entry())
+        self.configuration.on_change(self._on_configuration_change)
         seeds = [f"{host}:{settings.registry_port}" for host in settings.seed_hosts]
         self._registries = RegistryClient(
             self._address,
@@ -125,38 +127,38 @@
             self._hello,
             self._own_entry,
             self.configuration,
-            self._on_entry,
+            self._on_registry_entry,
             self._log,
         )
-        self._housekeeper = spawn(self._housekeeping())
+        self._housekeeping_task = spawn(self._housekeeping())
 
-    def _fault(self, fault: BaseException) -> None:
+    def _on_fault(self, fault: BaseException) -> None:
         self._log.write(Event.FAULT, fault=repr(fault))
 
     # Calls of the backend and of the platform.
 
-    def _on_heartbeat(self, instance_id: str, beat: Heartbeat) -> None:
-        known = (self.backend.instance_id, self.backend.state)
-        self.gate.on_heartbeat(instance_id, beat)
-        if known != (self.backend.instance_id, self.backend.state):
-            self._log_backend()
+    def _on_heartbeat(self, instance_id: str, heartbeat: Heartbeat) -> None:
+        previous = (self.backend.instance_id, self.backend.state)
+        self.gate.on_heartbeat(instance_id, heartbeat)
+        if previous != (self.backend.instance_id, self.backend.state):
+            self._log_backend_change()
 
     def _on_deregister(self, instance_id: str) -> None:
         self.gate.on_deregister(instance_id)
-        self._log_backend()
+        self._log_backend_change()
 
-    async def heartbeat(self, instance_id: str, body: bytes, beat: Heartbeat) -> Result[str, ErrorKind]:
-        """A heartbeat of the backend beside this proxy."""
-        self._on_heartbeat(instance_id, beat)
+    async def heartbeat(self, instance_id: str, body: bytes, heartbeat: Heartbeat) -> Result[str, ErrorKind]:
+        """Handle a heartbeat of the backend beside this proxy."""
+        self._on_heartbeat(instance_id, heartbeat)
         return Ok("")
 
     async def sign_off(self, instance_id: str) -> Result[str, ErrorKind]:
-        """The backend beside this proxy signs off."""
+        """Handle the deregistration of the backend beside this proxy."""
         self._on_deregister(instance_id)
         return Ok("")
 
-    def _on_forwarded(self, forwarded: ForwardedBeat) -> bool:
-        """A beat of the backend beside this proxy came by way of a registry; true once it is in force."""
+    def _on_forwarded_heartbeat(self, forwarded: ForwardedBeat) -> bool:
+        """Handle a heartbeat or deregistration that a registry forwards; return true once it is in force."""
         if forwarded.body is None:
             self._on_deregister(forwarded.instance_id)
             return True
@@ -166,7 +168,7 @@
         self._on_heartbeat(forwarded.instance_id, parsed.ok_value)
         return True
 
-    def _log_backend(self) -> None:
+    def _log_backend_change(self) -> None:
         self._log.write(
             Event.BACKEND_CHANGED, instance=self.backend.instance_id, state=self.backend.state.value
         )
@@ -175,16 +177,16 @@
         ready = self.state is ProxyState.SERVING
         return HttpAnswer(200 if ready else 503, b"", self.state.value.encode() + b"\n")
 
-    # News.
+    # Configuration.
 
-    def _on_news(self) -> None:
+    def _on_configuration_change(self) -> None:
         table = self.configuration.table
         if table is None:
             return
         if self.state is ProxyState.STARTING:
             self.state = ProxyState.SERVING
         limits = table.limits
-        self._server.limits = ServerLimits(
+        self._outbound_server.limits = ServerLimits(
             limits.max_body_bytes, limits.header_timeout_ms, limits.idle_timeout_ms
         )
         evacuated = self.configuration.evacuated(self._settings.zone)
@@ -194,11 +196,11 @@
         self.gate.refresh()
         if not self._probed and not self._settings.first_start:
             self._probed = True
-            asyncio.get_running_loop().call_later(PROBE_AFTER_S, self._probe)
+            asyncio.get_running_loop().call_later(PROBE_DELAY_S, self._probe)
         self._log.write(
             Event.CONFIGURATION_APPLIED,
             version=table.version,
-            evacuations=_names(self.configuration.evacuations),
+            evacuations=_active_zones(self.configuration.evacuations),
         )
 
     def _probe(self) -> None:
@@ -206,20 +208,20 @@
             self.configuration.table.services.get(self.backend.service) if self.configuration.table else None
         )
         if self.backend.state is BackendState.UNKNOWN and service is not None:
-            self._probing = spawn(self.gate.probe(service.health_check_path))
+            self._probe_task = spawn(self.gate.probe(service.health_check_path))
 
     # Links to registries.
 
     def _hello(self) -> AgentHello:
         return AgentHello(
-            self._address, self._life, self.configuration.version, list(self.configuration.stamp), True
+            self._address, self._incarnation, self.configuration.version, list(self.configuration.stamp), True
         )
 
     def _own_entry(self) -> AgentEntry:
         status = self.gate.status()
         return AgentEntry(
             self._address,
-            self._life,
+            self._incarnation,
             self._sequence,
             status.service,
             self._settings.zone,
@@ -227,19 +229,19 @@
             status.available,
         )
 
-    def _on_entry(self, entry: AgentEntry) -> None:
-        """A registry tells of a proxy. What it holds of this one from an earlier life is outbid.
+    def _on_registry_entry(self, entry: AgentEntry) -> None:
+        """Apply a registry's entry of a proxy; one of an earlier incarnation of this proxy is superseded.
 
-        Lives begin at the time of day, which may have been put back between two of them.
+        Incarnations are numbered by the wall clock, which may have been set back between two of them.
         """
         if entry.address != self._address:
             self.peers.apply(entry)
             return
-        if entry.removed or (entry.life, entry.sequence) > (self._life, self._sequence):
-            self._life = max(self._life, entry.life + 1)
-            self._announce()
+        if entry.removed or (entry.life, entry.sequence) > (self._incarnation, self._sequence):
+            self._incarnation = max(self._incarnation, entry.life + 1)
+            self._announce_entry()
 
-    def _announce(self) -> None:
+    def _announce_entry(self) -> None:
         self._sequence += 1
         if self._registries is not None:
             self._registries.announce()
@@ -247,16 +249,16 @@
     async def _housekeeping(self) -> None:
         rounds = 0
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             rounds += 1
-            if rounds % COUNTS_CHECKS == 0:
+            if rounds % ROUNDS_PER_COUNTS_CHECK == 0:
                 self.gate.counts.check(self._log)
             self.policy.forget_removed_instances(self.peers.linked.values())
             self.budget.set_proxy_count(self.peers.proxy_count)
             self.gate.refresh()
 
     def describe(self) -> dict[str, Any]:
-        """What this proxy holds, for operators."""
+        """Return the state of this proxy, for operators."""
         backend = self.backend
         return {
             "role": "proxy",
@@ -280,62 +282,76 @@
         }
 
     def metrics(self) -> list[Metric]:
-        """Figures of this proxy."""
-        unsent = self.peers.unsent_bytes_per_link or [0]
+        """Return the metrics of this proxy."""
+        unsent_bytes = self.peers.unsent_bytes_per_link or [0]
         admission = self.gate.admission
         registries = self._registries
         return [
             Metric(
-                "proxy_configuration_version", version_number(self.configuration.version or "0"), "in force"
+                "proxy_configuration_version",
+                version_number(self.configuration.version or "0"),
+                "version of the configuration in force",
             ),
             Metric(
-                "proxy_configurations_applied_total", self.configuration.applied, "put in force in this life"
+                "proxy_configurations_applied_total",
+                self.configuration.applied,
+                "configurations put in force since the start of the process",
             ),
-            Metric("proxy_registry_links", registries.connected if registries else 0, "that are up"),
+            Metric("proxy_registry_links", registries.connected if registries else 0, "links that are up"),
             Metric(
                 "proxy_registry_silent_seconds",
                 registries.silent_s if registries else 0,
-                "since the last word",
+                "time since anything was received from a registry",
             ),
             Metric(
-                "proxy_request_transit_seconds", self.inbound.take_max_age_s(), "most extra time on a link"
+                "proxy_request_transit_seconds",
+                self.inbound.take_max_age_s(),
+                "highest delay of a request on a link beyond the shortest recent one, since the last scrape",
+            ),
+            Metric("proxy_unsent_bytes", sum(unsent_bytes), "bytes queued on all links to other proxies"),
+            Metric(
+                "proxy_unsent_most_bytes",
+                max(unsent_bytes),
+                "highest number of bytes queued on one link to another proxy",
             ),
-            Metric("proxy_unsent_bytes", sum(unsent), "that wait on links to other proxies"),
-            Metric("proxy_unsent_most_bytes", max(unsent), "that wait on one link"),
             Metric("proxy_backend_running", admission.running, "requests at the backend beside this proxy"),
-            Metric("proxy_backend_waiting", admission.waiting, "requests that wait for it"),
-            Metric("proxy_retries_denied_total", self.budget.denied, "repeats that the budget did not grant"),
+            Metric("proxy_backend_waiting", admission.waiting, "requests in the wait queue of the gate"),
+            Metric(
+                "proxy_retries_denied_total",
+                self.budget.denied,
+                "retries that the retry budget refused",
+            ),
             *self.gate.counts.metrics(),
         ]
 
     def settings_changed(self, settings: Settings) -> None:
-        """Nothing of the settings moves within a life but what a restart would read too."""
+        """Keep the new settings; values that were passed on at the start only change with a restart."""
         self._settings = settings
 
     async def stop(self) -> None:
-        """Finish what is under way, then end."""
+        """Finish the requests in progress, then stop."""
         self.state = ProxyState.STOPPING
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        last = began + self._settings.bounds.grace_period_s - GRACE_LEFT_S
-        self._server.stop()
+        started_at = loop.time()
+        deadline = started_at + self._settings.bounds.grace_period_s - GRACE_RESERVE_S
+        self._outbound_server.stop()
         self.outbound.stopping = True
-        while loop.time() < last:
-            await asyncio.sleep(STOP_CHECK_S)
-            if not self.gate.stopping and loop.time() > began + GATE_OPEN_S:
+        while loop.time() < deadline:
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
+            if not self.gate.stopping and loop.time() > started_at + GATE_OPEN_AFTER_SIGTERM_S:
                 self.gate.stop()
-            busy = self._server.busy or self.gate.in_flight or self.gate.admission.running
-            if loop.time() <= began + LINGER_S:
+            busy = self._outbound_server.busy or self.gate.in_flight or self.gate.admission.running
+            if loop.time() <= started_at + READ_AFTER_SIGTERM_S:
                 continue
-            self._server.close()  # what would be read from here on could not be finished
+            self._outbound_server.close()  # a request read from here on could not be finished in time
             if not busy:
                 break
-        self._server.close()
-        self._server.abandon()
-        await asyncio.sleep(LAST_WRITES_S)
+        self._outbound_server.close()
+        self._outbound_server.abandon()
+        await asyncio.sleep(FINAL_FLUSH_S)
         self.state = ProxyState.STOPPED
         self.inbound.close()
 
 
-def _names(evacuations: dict[str, bool]) -> str:
+def _active_zones(evacuations: dict[str, bool]) -> str:
     return ",".join(sorted(zone for zone, on in evacuations.items() if on)) or "none"
--- a/lupinreach/mesh/proxy/retry_budget.py
+++ b/lupinreach/mesh/proxy/retry_budget.py
@@ -10,8 +10,8 @@
 class RetryBudget:
     """Token bucket for retries: filled by first attempts, limited to this proxy's part of the slack.
 
-    In any window the retries of all proxies stay within `ratio * requests + slack`: each proxy spends at most the
-    tokens earned in the window, `RATIO_FRACTION * ratio` for each request, and those saved before it,
+    In any window the retries of all proxies stay within `ratio * requests + slack`: each proxy spends at most
+    the tokens earned in the window, `RATIO_FRACTION * ratio` for each request, and those saved before it,
     `SLACK_FRACTION * slack / proxies`.
     """
 
--- a/tests/mesh/test_requests.py
+++ b/tests/mesh/test_requests.py
@@ -10,7 +10,7 @@
 from lupinreach.mesh.backend_client import AttemptError, BackendConnection
 from lupinreach.mesh.errors import AttemptFailure
 from lupinreach.mesh.proxy.peers import RequestNumbers
-from lupinreach.mesh.proxy.request_age import BUCKET_S, MOST_REMEMBERED, LinkDelay, SeenRequests
+from lupinreach.mesh.proxy.request_age import BUCKET_S, MAX_REMEMBERED_REQUESTS, LinkDelay, SeenRequests
 
 UNFRAMED = b"HTTP/1.1 200 OK\r\nLupinreach-Request-Id: a\r\n\r\nhalf"
 FRAMED = b"HTTP/1.1 200 OK\r\nLupinreach-Request-Id: a\r\nContent-Length: 4\r\n\r\nhalf"
@@ -88,4 +88,4 @@
     first, second, seen = RequestNumbers(7), RequestNumbers(8), SeenRequests()
     numbers = [first.allocate(), first.allocate(), second.allocate(), second.allocate()]
     assert [seen.is_new(number) for number in numbers + numbers] == [True] * 4 + [False] * 4
-    assert all(seen.is_new(first.allocate()) for _ in range(2 * MOST_REMEMBERED))
+    assert all(seen.is_new(first.allocate()) for _ in range(2 * MAX_REMEMBERED_REQUESTS))
