--- a/lupinreach/mesh/proxy/registry_client.py
+++ b/lupinreach/mesh/proxy/registry_client.py
@@ -1,4 +1,4 @@
-"""The proxy's held links to two registries, of different zones where that can be."""
+"""The proxy's persistent links to two registries, in different zones if possible."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 from lupinreach.mesh.rendezvous import rendezvous_rank
 from lupinreach.mesh.tasks import spawn
 
-LINKS = 2
-SILENT_AFTER_S = 1.7  # a registry that says nothing for so long is exchanged for another
-STALE_AFTER_S = 1.5  # and so is one that hears no store for so long, where another is known
-CHECK_S = 0.25
-ZONE_MOVE_S = 30.0  # between two moves of a link into another zone, whose registries may all be down
-MOST_FAILURES = 3  # attempts to connect before another registry is tried
+LINK_COUNT = 2
+SILENCE_TIMEOUT_S = 1.7  # a registry from which nothing is received for this long is replaced by another
+STALE_TIMEOUT_S = 1.5  # a registry without contact to a store for this long is replaced if there is another
+CHECK_INTERVAL_S = 0.25
+ZONE_MOVE_INTERVAL_S = 30.0  # between two moves of a link to another zone, whose registries may be down
+MAX_CONNECT_FAILURES = 3  # failed connects after which another registry is tried
 
 
-class _Held:
-    """One of the links."""
+class _RegistryLink:
+    """A link to one registry and its state."""
 
     def __init__(self, address: str, zone: str) -> None:
         self.address = address
         self.zone = zone
         self.dialer: Dialer | None = None
-        self.fresh_at = 0.0  # loop time at which it last said that it hears a store
-        self.began = 0.0
+        self.fresh_at = 0.0  # loop time at which it last reported contact to a store
+        self.started_at = 0.0  # loop time of the selection or of the last connect
 
 
 class RegistryClient:
-    """Keeps the links up and hands on what comes over them."""
+    """Keeps the links up and dispatches the messages received on them."""
 
     def __init__(
         self,
@@ -61,9 +61,11 @@
         self._configuration = configuration
         self._on_entry = on_entry
         self._log = log
-        self._known: dict[str, str] = dict.fromkeys(seeds, "")  # address: zone, empty while unknown
-        self._held: list[_Held] = []
-        self._avoid: dict[str, float] = {}  # address: loop time until which others go first
+        self._zones_by_address: dict[str, str] = dict.fromkeys(
+            seeds, ""
+        )  # zone by address; empty while unknown
+        self._links: list[_RegistryLink] = []
+        self._avoid_until: dict[str, float] = {}  # by address: loop time until which others are preferred
         self._next_zone_move = 0.0  # loop time
         self._task = spawn(self._run())
 
@@ -71,56 +73,65 @@
         loop = asyncio.get_running_loop()
         while True:
             now = loop.time()
-            for held in list(self._held):
-                if self._is_lost(held, now):
-                    self._drop(held, now)
-            self._leave_shared_zone(now)
-            while len(self._held) < min(LINKS, len(self._known)):
+            for registry_link in list(self._links):
+                if self._is_lost(registry_link, now):
+                    self._close(registry_link, now)
+            self._spread_over_zones(now)
+            while len(self._links) < min(LINK_COUNT, len(self._zones_by_address)):
                 self._open(now)
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _is_lost(self, held: _Held, now: float) -> bool:
-        assert held.dialer is not None
-        link = held.dialer.link
-        others = len(self._known) > len(self._held)
+    def _is_lost(self, registry_link: _RegistryLink, now: float) -> bool:
+        assert registry_link.dialer is not None
+        link = registry_link.dialer.link
+        has_alternatives = len(self._zones_by_address) > len(self._links)
         if link is None:
-            return others and held.dialer.failures >= MOST_FAILURES or now - held.began > 3 * SILENT_AFTER_S
-        if link.silent_s() > SILENT_AFTER_S:
+            return (
+                has_alternatives
+                and registry_link.dialer.failures >= MAX_CONNECT_FAILURES
+                or now - registry_link.started_at > 3 * SILENCE_TIMEOUT_S
+            )
+        if link.silent_s() > SILENCE_TIMEOUT_S:
             return True
-        stale = now - max(held.fresh_at, held.began) > STALE_AFTER_S
-        return stale and bool(self._free(now))
+        stale = now - max(registry_link.fresh_at, registry_link.started_at) > STALE_TIMEOUT_S
+        return stale and bool(self._alternatives(now))
 
-    def _free(self, now: float) -> list[str]:
-        """The other registries that were not given up a moment ago."""
-        held = {one.address for one in self._held}
+    def _alternatives(self, now: float) -> list[str]:
+        """Return the registries without a link from this proxy that were not dropped recently."""
+        linked = {registry_link.address for registry_link in self._links}
         return [
-            address for address in self._known if address not in held and self._avoid.get(address, 0.0) <= now
+            address
+            for address in self._zones_by_address
+            if address not in linked and self._avoid_until.get(address, 0.0) <= now
         ]
 
-    def _leave_shared_zone(self, now: float) -> None:
-        """Seeds are dialled before their zones are known: two of one zone would be lost together."""
-        zones = {held.zone for held in self._held}
-        if len(self._held) < LINKS or len(zones) > 1 or "" in zones or now < self._next_zone_move:
+    def _spread_over_zones(self, now: float) -> None:
+        """Close one of two links to the same zone if there is another zone.
+
+        Seeds are dialled before their zones are known; two registries of one zone would be lost together.
+        """
+        zones = {registry_link.zone for registry_link in self._links}
+        if len(self._links) < LINK_COUNT or len(zones) > 1 or "" in zones or now < self._next_zone_move:
             return
-        if any(self._known[address] not in zones | {""} for address in self._free(now)):
-            self._next_zone_move = now + ZONE_MOVE_S
-            self._drop(self._held[-1], now)
+        if any(self._zones_by_address[address] not in zones | {""} for address in self._alternatives(now)):
+            self._next_zone_move = now + ZONE_MOVE_INTERVAL_S
+            self._close(self._links[-1], now)
 
-    def _drop(self, held: _Held, now: float) -> None:
-        assert held.dialer is not None
-        self._held.remove(held)
-        self._avoid[held.address] = now + 2 * SILENT_AFTER_S
-        held.dialer.close()
-        self._log.write(Event.REGISTRY_CHANGED, registry=held.address)
+    def _close(self, registry_link: _RegistryLink, now: float) -> None:
+        assert registry_link.dialer is not None
+        self._links.remove(registry_link)
+        self._avoid_until[registry_link.address] = now + 2 * SILENCE_TIMEOUT_S
+        registry_link.dialer.close()
+        self._log.write(Event.REGISTRY_CHANGED, registry=registry_link.address)
 
     def _open(self, now: float) -> None:
-        zones = {held.zone for held in self._held}
-        addresses = {held.address for held in self._held}
-        free = [address for address in self._known if address not in addresses]
+        zones = {registry_link.zone for registry_link in self._links}
+        addresses = {registry_link.address for registry_link in self._links}
+        free = [address for address in self._zones_by_address if address not in addresses]
 
-        def order(address: str) -> tuple[bool, bool, bool, int]:
-            zone = self._known[address]
-            avoided = self._avoid.get(address, 0.0) > now
+        def preference(address: str) -> tuple[bool, bool, bool, int]:
+            zone = self._zones_by_address[address]
+            avoided = self._avoid_until.get(address, 0.0) > now
             return (
                 avoided,
                 bool(zone) and zone in zones,
@@ -128,58 +139,68 @@
                 rendezvous_rank(self._address, address),
             )
 
-        address = min(free, key=order)
-        held = _Held(address, self._known[address])
-        held.began = now
-        held.dialer = Dialer(
+        address = min(free, key=preference)
+        registry_link = _RegistryLink(address, self._zones_by_address[address])
+        registry_link.started_at = now
+        registry_link.dialer = Dialer(
             parse_address(address),
-            lambda link: self._up(held, link),
-            lambda link, message: self._message(held, message),
-            lambda link: self._down(held),
+            lambda link: self._on_link_up(registry_link, link),
+            lambda link, message: self._on_message(registry_link, message),
+            lambda link: self._on_link_down(registry_link),
         )
-        self._held.append(held)
+        self._links.append(registry_link)
 
-    def _up(self, held: _Held, link: Link) -> None:
-        held.began = asyncio.get_running_loop().time()
+    def _on_link_up(self, registry_link: _RegistryLink, link: Link) -> None:
+        registry_link.started_at = asyncio.get_running_loop().time()
         link.send(self._hello())
         link.send(self._own_entry())
-        self._log.write(Event.REGISTRY_UP, registry=held.address)
+        self._log.write(Event.REGISTRY_UP, registry=registry_link.address)
 
-    def _down(self, held: _Held) -> None:
-        self._log.write(Event.REGISTRY_DOWN, registry=held.address)
+    def _on_link_down(self, registry_link: _RegistryLink) -> None:
+        self._log.write(Event.REGISTRY_DOWN, registry=registry_link.address)
 
-    def _message(self, held: _Held, message: Message) -> None:
+    def _on_message(self, registry_link: _RegistryLink, message: Message) -> None:
         if isinstance(message, News):
             if self._configuration.apply(message) is Applied.UNFIT:
-                self._log.write(Event.UPDATE_UNFIT, registry=held.address, version=message.config_version)
-                self._send(held, NewsPull())
-            self._send(held, NewsAcknowledged(list(self._configuration.stamp), self._configuration.version))
+                self._log.write(
+                    Event.UPDATE_UNFIT, registry=registry_link.address, version=message.config_version
+                )
+                self._send(registry_link, NewsPull())
+            self._send(
+                registry_link, NewsAcknowledged(list(self._configuration.stamp), self._configuration.version)
+            )
         elif isinstance(message, AgentEntry):
             self._on_entry(message)
         elif isinstance(message, RegistryStatus):
             if message.fresh:
-                held.fresh_at = asyncio.get_running_loop().time()
+                registry_link.fresh_at = asyncio.get_running_loop().time()
             for address, zone in message.registries:
-                self._known[address] = zone
-                if address == held.address:
-                    held.zone = zone
+                self._zones_by_address[address] = zone
+                if address == registry_link.address:
+                    registry_link.zone = zone
 
-    def _send(self, held: _Held, message: Message) -> None:
-        if held.dialer is not None and held.dialer.link is not None:
-            held.dialer.link.send(message)
+    def _send(self, registry_link: _RegistryLink, message: Message) -> None:
+        if registry_link.dialer is not None and registry_link.dialer.link is not None:
+            registry_link.dialer.link.send(message)
 
     def announce(self) -> None:
-        """Tell the registries what is beside this proxy now."""
+        """Send this proxy's current entry to the registries."""
         entry = self._own_entry()
-        for held in self._held:
-            self._send(held, entry)
+        for registry_link in self._links:
+            self._send(registry_link, entry)
 
     @property
     def silent_s(self) -> float:
-        """Seconds since the link that was heard last said anything; 0 where none is up."""
-        links = [held.dialer.link for held in self._held if held.dialer is not None]
+        """Seconds since anything was received from a registry; 0 if no link is up."""
+        links = [
+            registry_link.dialer.link for registry_link in self._links if registry_link.dialer is not None
+        ]
         return min((link.silent_s() for link in links if link is not None), default=0.0)
 
     @property
     def connected(self) -> int:
-        return sum(held.dialer is not None and held.dialer.link is not None for held in self._held)
+        """Number of links that are up."""
+        return sum(
+            registry_link.dialer is not None and registry_link.dialer.link is not None
+            for registry_link in self._links
+        )
--- a/tests/mesh/scenario.py
+++ b/tests/mesh/scenario.py
@@ -284,7 +284,7 @@
 
     def do_expect_registry_zones(self, host: str, own: str, *others: str) -> str | None:
         """A proxy holds a link into its own zone, and one into another."""
-        held = self.world.programs[(host, "proxy")]._registries._held
+        held = self.world.programs[(host, "proxy")]._registries._links
         found = sorted(self.world.zones[one.address.partition(":")[0]] for one in held)
         ok = len(found) == 2 and own in found and set(found) <= {own, *others} and len(set(found)) == 2
         return None if ok else f"found {found}"
