--- a/tests/mesh/scenario.py
+++ b/tests/mesh/scenario.py
@@ -71,7 +71,7 @@
         for host in hosts or list(self.world.zones):
             self.world.start(host)
         if not hosts:
-            self.world.first = False
+            self.world.first_start = False
 
     def do_kill(self, *hosts: str) -> None:
         for host in hosts or list(self.world.zones):
--- a/tests/mesh/soak.py
+++ b/tests/mesh/soak.py
@@ -87,7 +87,7 @@
                 world.start(host)
             for backend in world.backends.values():
                 backend.work_ms = self.chance.choice(WORK_MS)
-            world.first = False
+            world.first_start = False
             world.run_until(BEGINS_S)
             self._begin(self._do_order())
             world.run_until(BEGINS_S + 1.0)
--- a/tests/mesh/test_subscribe.py
+++ b/tests/mesh/test_subscribe.py
@@ -16,12 +16,12 @@
     for transport in world.loop.transports:
         if transport.owner == owner and transport.open:
             transport.open = False
-            world.loop.carry(transport, transport.peer._ended)
+            world.loop.deliver(transport, transport.peer._on_peer_closed)
     world._owner += 1
     world.loop.hosts[world._owner] = host
     world.owners[(host, "registry")] = world._owner
     with world.loop.owned_by(world._owner):
-        world.loop.create_task(world._launch(host, "registry", world.settings(host)))
+        world.loop.create_task(world._start_program(host, "registry", world.settings(host)))
 
 
 def test_it_gets_the_document_of_that_write_too(tmp_path: Path) -> None:
--- a/tests/mesh/world.py
+++ b/tests/mesh/world.py
@@ -48,7 +48,7 @@
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self.open:
-            self.loop.carry(self, self.peer._receive, bytes(data))
+            self.loop.deliver(self, self.peer._receive, bytes(data))
 
     def _receive(self, data: bytes) -> None:
         if not self.open:
@@ -72,10 +72,10 @@
     def abort(self) -> None:
         if self.open:
             self.open = False
-            self.loop.carry(self, self.peer._ended)
+            self.loop.deliver(self, self.peer._on_peer_closed)
             self.loop.run_as(self.owner, self.protocol.connection_lost, None)
 
-    def _ended(self) -> None:
+    def _on_peer_closed(self) -> None:
         if self.open:
             self.open = False
             self.protocol.connection_lost(ConnectionResetError())
@@ -111,7 +111,7 @@
         apart = frozenset((source, target)) in self.cuts or (source, target) in self.one_way
         return not apart and not {source, target} & self.down
 
-    def carry(self, end: MemoryTransport, work: Callable[..., Any], *args: Any) -> None:
+    def deliver(self, end: MemoryTransport, work: Callable[..., Any], *args: Any) -> None:
         if self.passes(end.host, end.peer.host):
             delay_s = ONE_WAY_S + self._queueing_s(end.peer.host, args) if end.host != end.peer.host else 0.0
             with self.owned_by(end.peer.owner):
@@ -213,7 +213,7 @@
         self.zones: dict[str, str] = {}
         self.cores: list[str] = []
         self.backends: dict[str, Backend] = {}
-        self.first = True
+        self.first_start = True
         self.tolerance = FaultTolerance(1, 1, 0)
         self.answers: dict[str, tuple[int, float]] = {}
         self.full_disks: set[str] = set()
@@ -241,7 +241,7 @@
         self.add_sidecar("s1", "za", "alpha")
         for host in list(self.zones):
             self.start(host)
-        self.first = False
+        self.first_start = False
         self.run_until(3.0)
 
     def settings(self, host: str) -> Settings:
@@ -260,7 +260,7 @@
             },
             internal_port_range=INTERNAL,
             seed_nodes=[f"{seed}:{CONTROL}" for seed in self.cores[:3]],
-            first_start=self.first,
+            first_start=self.first_start,
             counted_in_quorum=core,
             data_directory=str(self.folder / host) if core else None,
             fault_tolerance=self.tolerance,
@@ -283,11 +283,11 @@
             self.loop.hosts[owner] = host
             self.owners[(host, role)] = owner
             with self.loop.owned_by(owner):
-                self.loop.create_task(self._launch(host, role, self.settings(host)))
+                self.loop.create_task(self._start_program(host, role, self.settings(host)))
         if host in self.backends and with_backend:
             self.start_backend(host)
 
-    async def _launch(self, host: str, role: str, settings: Settings) -> None:
+    async def _start_program(self, host: str, role: str, settings: Settings) -> None:
         random.seed(
             f"{host} {role} {OWNER.get()}"
         )  # what one process draws must not move with what others drew
@@ -311,7 +311,7 @@
             for transport in self.loop.transports:
                 if transport.owner == owner and transport.open:
                     transport.open = False
-                    self.loop.carry(transport, transport.peer._ended)
+                    self.loop.deliver(transport, transport.peer._on_peer_closed)
             program = self.programs.pop((host, role))
             if role == "store":
                 program._record.close()
