--- a/lupinreach/mesh/proxy/admission.py
+++ b/lupinreach/mesh/proxy/admission.py
@@ -58,6 +58,7 @@
 
     @property
     def waiting(self) -> int:
+        """Number of requests in the wait queue."""
         return self._queue.waiting
 
     @property
--- a/lupinreach/mesh/proxy/configuration_state.py
+++ b/lupinreach/mesh/proxy/configuration_state.py
@@ -10,7 +10,7 @@
 from lupinreach.mesh.messages import News
 from lupinreach.mesh.route_table import RouteTable
 
-Stamp = tuple[int, int]
+Stamp = tuple[int, int]  # epoch and sequence of the store's last change
 STALE_CONFIGURATION_DELAY_S = 1.0  # how long a proxy without a configuration waits for a fresh one
 
 
@@ -27,6 +27,7 @@
 
     @property
     def version(self) -> str:
+        """Version of the configuration in force, empty if there is none."""
         return self.table.version if self.table is not None else ""
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -34,6 +35,7 @@
         self._listeners.append(listener)
 
     def evacuated(self, zone: str) -> bool:
+        """True if a zone is evacuated."""
         return self.evacuations.get(zone, False)
 
     def apply(self, message: News) -> Applied:
--- a/lupinreach/mesh/proxy/gate.py
+++ b/lupinreach/mesh/proxy/gate.py
@@ -27,7 +27,7 @@
 NOT_EXECUTED_HEADER = b"lupinreach-not-executed"
 MISDIRECTED_STATUS = 421
 MIN_RUN_TIME_MS = 2  # a request with less time left is not passed to the backend
-ASSUMED_COLD_AFTER_EVACUATION_S = 10.0  # upper bound; a heartbeat ends the assumption
+ASSUMED_COLD_AFTER_EVACUATION_S = 10.0  # at most; the next heartbeat reports the actual cold period
 
 Outcome = Answer | NotTaken | Failed
 
@@ -42,7 +42,7 @@
         self.admission = Admission()
         self.counts = GateCounts()
         self.stopping = False
-        self.in_flight = 0
+        self.in_flight = 0  # requests that a stopping process waits for
         self._run_is_retry: dict[bytes, bool] = {}  # runs at the backend, by request id
         self._zone = zone
         self._configuration = configuration
@@ -70,7 +70,7 @@
         self.refresh()
 
     def on_evacuation_end(self) -> None:
-        """Assume a cold backend after the end of an evacuation: without requests it may have gone cold."""
+        """Assume a cold backend after an evacuation of its zone: it may have gone cold without requests."""
         self.backend.assume_cold(self._now() + ASSUMED_COLD_AFTER_EVACUATION_S)
 
     def stop(self) -> None:
--- a/lupinreach/mesh/proxy/local_backend.py
+++ b/lupinreach/mesh/proxy/local_backend.py
@@ -15,7 +15,7 @@
     READY = "ready"
     DRAINING = "draining"
     DOWN = "down"  # connections are refused or reach another instance; the next heartbeat ends this
-    DEREGISTERED = "gone"
+    DEREGISTERED = "gone"  # final for the instance
 
 
 @dataclass(slots=True)
@@ -47,6 +47,7 @@
 
     @property
     def serving(self) -> bool:
+        """True if it takes new requests."""
         return self.state is BackendState.READY
 
     def cold_s(self, now: float) -> float:
@@ -108,6 +109,6 @@
         self.state = BackendState.READY
 
     def assume_cold(self, until: float) -> None:
-        """Assume that it is cold until a loop time or the next heartbeat."""
+        """Assume that it is cold until the next heartbeat; `until` is the latest expected end."""
         self.cold_until = max(self.cold_until, until)
         self._cold_assumed = True
--- a/lupinreach/mesh/proxy/partial_view.py
+++ b/lupinreach/mesh/proxy/partial_view.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-VIEW_SIZE = 8
-SAMPLE_SIZE = 4
+VIEW_SIZE = 8  # neighbours
+SAMPLE_SIZE = 4  # entries exchanged in a round, each way
 
 
 @dataclass(slots=True)
@@ -33,6 +33,7 @@
         self._sent_addresses: list[str] = []
 
     def addresses(self) -> list[str]:
+        """Return the addresses of the neighbours."""
         return list(self._neighbours)
 
     def offer(self, address: str) -> None:
--- a/lupinreach/mesh/proxy/peers.py
+++ b/lupinreach/mesh/proxy/peers.py
@@ -71,10 +71,12 @@
 
     @property
     def service(self) -> str:
+        """Name of the service that the backend runs."""
         return self.status.service
 
     @property
     def reachable(self) -> bool:
+        """True if requests can be handed to it now."""
         raise NotImplementedError
 
     async def attempt(self, request: Request, may_fail_over: MayFailOver = never_fail_over) -> Outcome:
@@ -139,6 +141,7 @@
 
     @property
     def link(self) -> Link | None:
+        """The link to the other proxy, None while it is down."""
         return self._dialer.link
 
     @property
@@ -147,6 +150,7 @@
 
     @property
     def connect_failures(self) -> int:
+        """Failed connects since the last successful one."""
         return self._dialer.failures
 
     @property
--- a/lupinreach/mesh/proxy/pool_policy.py
+++ b/lupinreach/mesh/proxy/pool_policy.py
@@ -2,8 +2,8 @@
 
 After QEdgeProxy: each backend's latency is smoothed per latency target; a backend whose estimate exceeds the
 target is ejected from the pool, and one successful trial after the ejection period restores it. Within the
-pool the backend of the lowest expected cost is selected. The cost covers the expected latency, the load of the
-backend relative to its capacity, and traffic between zones.
+pool the backend of the lowest expected cost is selected. The cost covers the expected latency, the load of
+the backend relative to its capacity, and traffic between zones.
 """
 
 from __future__ import annotations
--- a/lupinreach/mesh/proxy/program.py
+++ b/lupinreach/mesh/proxy/program.py
@@ -34,9 +34,7 @@
 BODY_MEMORY_FRACTION = 0.35  # of the memory limit of the process, for buffered bodies
 READ_AFTER_SIGTERM_S = 2.6  # requests are read until then, as the platform notices the stop with a delay
 GATE_OPEN_AFTER_SIGTERM_S = 1.2  # the gate accepts requests until then, as its backend is not stopping
-PLANNED_RESTART_MARGIN_S = (
-    1.5  # a process younger than the grace period and this may be part of a planned restart
-)
+PLANNED_RESTART_MARGIN_S = 1.5  # plus the grace period: a younger process may be part of a planned restart
 GRACE_RESERVE_S = 0.9  # part of the grace period that is kept for the end of the process
 STOP_POLL_INTERVAL_S = 0.05
 FINAL_FLUSH_S = 0.1  # for the last answers to be written to their connections
--- a/tests/mesh/test_requests.py
+++ b/tests/mesh/test_requests.py
@@ -35,7 +35,9 @@
         pass
 
 
-def exchange(data: bytes, close_reason: BaseException | None | bool, unsent_bytes: int = 0) -> tuple[Any, bool]:
+def exchange(
+    data: bytes, close_reason: BaseException | None | bool, unsent_bytes: int = 0
+) -> tuple[Any, bool]:
     """Return the response body or the failure of an exchange, and whether the connection is reusable."""
 
     async def run() -> tuple[Any, bool]:
--- a/tests/mesh/world.py
+++ b/tests/mesh/world.py
@@ -1,4 +1,4 @@
-"""A mesh in one process on simulated time: programs unmodified, memory in place of sockets, stand-in backends."""
+"""A mesh in one process on simulated time: unmodified programs, in-memory connections, simulated backends."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 from lupinreach.mesh.store.disk import DiskFailed
 from lupinreach.mesh.store.program import StoreProgram
 
-ONE_WAY_S = 0.001
-OUTBOUND, INBOUND, READINESS, CONTROL, APP = 8304, 8300, 8302, 8306, 8301
-INTERNAL = [7620, 7635]
-FACTORIES: dict[str, Any] = {"store": StoreProgram, "registry": RegistryProgram, "proxy": ProxyProgram}
+ONE_WAY_DELAY_S = 0.001  # between hosts
+OUTBOUND, INBOUND, READINESS, CONTROL, APP = 8304, 8300, 8302, 8306, 8301  # ports
+INTERNAL_PORT_RANGE = [7620, 7635]
+PROGRAM_CLASSES: dict[str, Any] = {"store": StoreProgram, "registry": RegistryProgram, "proxy": ProxyProgram}
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection."""
+    """One end of an in-memory connection; `owner` is the simulated process that holds it."""
 
     def __init__(self, loop: MeshLoop, host: str, owner: int, protocol: Any) -> None:
         super().__init__()
         self.loop, self.host, self.owner, self.protocol = loop, host, owner, protocol
         self.peer: MemoryTransport
         self.open = True
-        self._held: list[bytes] | None = None
+        self._paused_data: list[bytes] | None = None
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return default
@@ -53,17 +53,17 @@
     def _receive(self, data: bytes) -> None:
         if not self.open:
             return
-        if self._held is not None:
-            self._held.append(data)
+        if self._paused_data is not None:
+            self._paused_data.append(data)
         else:
             self.protocol.data_received(data)
 
     def pause_reading(self) -> None:
-        self._held = self._held or []
+        self._paused_data = self._paused_data or []
 
     def resume_reading(self) -> None:
-        held, self._held = self._held or [], None
-        for data in held:
+        paused_data, self._paused_data = self._paused_data or [], None
+        for data in paused_data:
             self._receive(data)
 
     def close(self) -> None:
@@ -82,6 +82,8 @@
 
 
 class MemoryServer:
+    """A listener of a simulated host."""
+
     def __init__(self, loop: MeshLoop, address: tuple[str, int]) -> None:
         self._loop, self._address = loop, address
 
@@ -90,42 +92,47 @@
 
 
 class MeshLoop(VirtualLoop):
-    """Connections between named hosts, with delay, cuts and hosts that are down."""
+    """Event loop with connections between named hosts: delay, limited rates, partitions, hosts that are down."""
 
     def __init__(self) -> None:
         super().__init__()
         self.listeners: dict[tuple[str, int], tuple[Callable[[], Any], int]] = {}
         self.hosts: dict[int, str] = {}  # by owner
-        self.cuts: set[frozenset[str]] = set()
-        self.one_way: set[tuple[str, str]] = set()
+        self.cuts: set[frozenset[str]] = set()  # pairs of hosts without any traffic
+        self.one_way: set[tuple[str, str]] = set()  # (source, target) without traffic in this direction
         self.down: set[str] = set()
         self.transports: list[MemoryTransport] = []
-        self.rates: dict[str, float] = {}  # bytes a second into a host; absent: no limit
-        self._busy_until: dict[str, float] = {}  # when the link into a host will have carried what is queued
+        self.rates: dict[str, float] = {}  # bytes per second into a host; absent: no limit
+        self._busy_until: dict[str, float] = {}  # loop time at which the link into a host is idle
 
     def run_as(self, owner: int, work: Callable[..., Any], *args: Any) -> None:
+        """Schedule a callback that runs as a simulated process."""
         with self.owned_by(owner):
             self.call_soon(work, *args)
 
     def passes(self, source: str, target: str) -> bool:
-        apart = frozenset((source, target)) in self.cuts or (source, target) in self.one_way
-        return not apart and not {source, target} & self.down
+        """True if data sent from one host reaches another."""
+        blocked = frozenset((source, target)) in self.cuts or (source, target) in self.one_way
+        return not blocked and not {source, target} & self.down
 
     def deliver(self, end: MemoryTransport, work: Callable[..., Any], *args: Any) -> None:
+        """Schedule a callback at the peer of a transport after the delay of the link, if data reaches it."""
         if self.passes(end.host, end.peer.host):
-            delay_s = ONE_WAY_S + self._queueing_s(end.peer.host, args) if end.host != end.peer.host else 0.0
+            delay_s = (
+                ONE_WAY_DELAY_S + self._queueing_s(end.peer.host, args) if end.host != end.peer.host else 0.0
+            )
             with self.owned_by(end.peer.owner):
                 self.call_later(delay_s, work, *args)
 
-    def _queueing_s(self, host: str, pieces: tuple[Any, ...]) -> float:
-        """How long the link into a host takes for what is queued there and these pieces."""
-        rate = self.rates.get(host)
-        if rate is None:
+    def _queueing_s(self, host: str, chunks: tuple[Any, ...]) -> float:
+        """Return how long the link into a host takes for the queued bytes and these chunks."""
+        rate_bytes_per_s = self.rates.get(host)
+        if rate_bytes_per_s is None:
             return 0.0
-        size = sum(len(piece) for piece in pieces if isinstance(piece, bytes))
-        done = max(self.time(), self._busy_until.get(host, 0.0)) + size / rate
-        self._busy_until[host] = done
-        return done - self.time()
+        size_bytes = sum(len(chunk) for chunk in chunks if isinstance(chunk, bytes))
+        carried_at = max(self.time(), self._busy_until.get(host, 0.0)) + size_bytes / rate_bytes_per_s
+        self._busy_until[host] = carried_at
+        return carried_at - self.time()
 
     async def create_server(self, factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # type: ignore[override]
         self.listeners[(host, port)] = (factory, OWNER.get())
@@ -133,33 +140,33 @@
 
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # type: ignore[override]
         source, owner = self.hosts.get(OWNER.get(), "outside"), OWNER.get()
-        await asyncio.sleep(ONE_WAY_S)
+        await asyncio.sleep(ONE_WAY_DELAY_S)
         if not self.passes(source, host) or not self.passes(host, source):
             await asyncio.sleep(60.0)
-        found = self.listeners.get((host, port))
-        if found is None or found[1] in self._killed:
+        listener = self.listeners.get((host, port))
+        if listener is None or listener[1] in self._killed:
             raise ConnectionRefusedError
-        near = MemoryTransport(self, source, owner, factory())
-        far = MemoryTransport(self, host, found[1], found[0]())
-        near.peer, far.peer = far, near
-        self.transports += [near, far]
-        near.protocol.connection_made(near)
-        self.run_as(found[1], far.protocol.connection_made, far)
-        return near, near.protocol
+        client_end = MemoryTransport(self, source, owner, factory())
+        server_end = MemoryTransport(self, host, listener[1], listener[0]())
+        client_end.peer, server_end.peer = server_end, client_end
+        self.transports += [client_end, server_end]
+        client_end.protocol.connection_made(client_end)
+        self.run_as(listener[1], server_end.protocol.connection_made, server_end)
+        return client_end, client_end.protocol
 
 
 class EventRecorder:
-    """Keeps the events of one process."""
+    """Event log of one process that records the events in the world."""
 
     def __init__(self, world: World, name: str) -> None:
         self._world, self._name = world, name
 
-    def write(self, event: Event, **facts: Any) -> None:
-        self._world.recorded_events.append((self._world.now, self._name, event, facts))
+    def write(self, event: Event, **fields: Any) -> None:
+        self._world.recorded_events.append((self._world.now, self._name, event, fields))
 
 
 class FaultyDisk:
-    """A store's record on a disk that may take no more bytes."""
+    """A store's record on a disk that can be full."""
 
     def __init__(self, record: Any, world: World, host: str) -> None:
         self._record, self._world, self._host = record, world, host
@@ -172,7 +179,7 @@
 
 @dataclass
 class Backend:
-    """A stand-in backend; what it ran is in `ran`."""
+    """A simulated backend; `ran` holds the ids of the requests that it has run."""
 
     host: str
     service: str
@@ -190,7 +197,7 @@
 
 
 def _idle_host(number: int, version: str, changed: bool) -> str:
-    """A host with five routes that nothing is asked on; where it is changed its time-outs differ by version."""
+    """Return a virtual host with five unused routes; if `changed`, their timeouts differ by version."""
     timeout = 2000 + int(version, 16) if changed else 2000
     rules = ",".join(
         f'{{"name":"idle-{number}-{index}","path_prefix":"/idle{number}/path{index}/","route_type":"safe",'
@@ -201,7 +208,7 @@
 
 
 class World:
-    """Hosts `c1..` with store and registry, hosts `s1..` with proxy and backend."""
+    """Core hosts `c1..` with a store and a registry, sidecar hosts `s1..` with a proxy and a backend."""
 
     def __init__(self, folder: Path, seed: int = 1) -> None:
         random.seed(seed)
@@ -217,12 +224,13 @@
         self.tolerance = FaultTolerance(1, 1, 0)
         self.answers: dict[str, tuple[int, float]] = {}
         self.full_disks: set[str] = set()
-        self.clock_steps: dict[str, float] = {}  # seconds that a host's time of day is ahead
+        self.clock_steps: dict[str, float] = {}  # seconds by which a host's wall clock is ahead
         self._owner = 0
         self._instances = 0
 
     @property
     def now(self) -> float:
+        """Simulated seconds since the world was made."""
         return self.loop.time() - 1000.0
 
     def add_core(self, host: str, zone: str) -> None:
@@ -235,7 +243,7 @@
         self.backends[host] = Backend(host, service, zone, f"i-{self._instances}")
 
     def start_small(self) -> None:
-        """Three core machines in three zones and one proxy, until a primary serves."""
+        """Start three core machines in three zones and one proxy, and run until a primary serves."""
         for host, zone in (("c1", "za"), ("c2", "zb"), ("c3", "zc")):
             self.add_core(host, zone)
         self.add_sidecar("s1", "za", "alpha")
@@ -258,7 +266,7 @@
                 "readiness": f"{host}:{READINESS}",
                 "control_plane": f"{host}:{CONTROL}",
             },
-            internal_port_range=INTERNAL,
+            internal_port_range=INTERNAL_PORT_RANGE,
             seed_nodes=[f"{seed}:{CONTROL}" for seed in self.cores[:3]],
             first_start=self.first_start,
             counted_in_quorum=core,
@@ -274,6 +282,7 @@
         return ["store", "registry"] if host in self.cores else ["proxy"]
 
     def start(self, host: str, with_backend: bool = True) -> None:
+        """Start the processes of a host."""
         self.loop.down.discard(host)
         if host in self.cores:
             (self.folder / host).mkdir(exist_ok=True)
@@ -288,21 +297,20 @@
             self.start_backend(host)
 
     async def _start_program(self, host: str, role: str, settings: Settings) -> None:
-        random.seed(
-            f"{host} {role} {OWNER.get()}"
-        )  # what one process draws must not move with what others drew
+        # A seed for each process, so that its random numbers don't depend on those drawn by others.
+        random.seed(f"{host} {role} {OWNER.get()}")
         log = EventRecorder(self, f"{host}/{role}")
         if role == "proxy":
             program: Any = ProxyProgram(settings, log, lambda: self.now + self.clock_steps.get(host, 1e6))
         else:
-            program = FACTORIES[role](settings, log)
+            program = PROGRAM_CLASSES[role](settings, log)
         if role == "store":
             program.replica.state._record = FaultyDisk(program._record, self, host)
         self.programs[(host, role)] = program
         await program.start()
 
     def kill(self, host: str) -> None:
-        """End the processes of a machine at once."""
+        """Kill the processes of a machine without a shutdown."""
         for role in self.roles(host):
             owner = self.owners.pop((host, role), None)
             if owner is None:
@@ -317,9 +325,11 @@
                 program._record.close()
 
     def wipe(self, host: str) -> None:
+        """Delete the data directory of a core host."""
         shutil.rmtree(self.folder / host)
 
     def freeze(self, host: str, seconds: float) -> None:
+        """Suspend the processes of a host."""
         for role in self.roles(host):
             self.loop.hold(self.owners[(host, role)], seconds * 1000)
 
@@ -331,11 +341,11 @@
         self.loop.hosts[self._owner] = host
         self.owners[(host, "backend")] = self._owner
 
-        async def handle(asked: HttpRequest) -> HttpAnswer:
-            return await self._serve(backend, asked)
+        async def handle(incoming: HttpRequest) -> HttpAnswer:
+            return await self._serve(backend, incoming)
 
         async def run() -> None:
-            server = HttpServer(handle, lambda asked: True)
+            server = HttpServer(handle, lambda incoming: True)
             await server.listen((host, APP))
             while True:
                 await self.send_heartbeat(host)
@@ -349,15 +359,18 @@
         self.loop.listeners.pop((host, APP), None)
 
     def new_instance(self, host: str, cold_ms: float = 0) -> None:
+        """Replace the backend of a host by a new instance of the same service."""
         self._instances += 1
         old = self.backends[host]
         self.backends[host] = Backend(host, old.service, old.zone, f"i-{self._instances}", cold_ms=cold_ms)
 
     async def sign_off(self, host: str, via: str) -> int:
+        """Deregister the backend of a host by a call to the control listener of another host."""
         instance = self.backends[host].instance
         return (await self.call(via, CONTROL, "POST", f"/instances/{instance}/deregister"))[0]
 
     async def send_heartbeat(self, host: str, via: str = "") -> int:
+        """Send a heartbeat of a backend to its own proxy or to the control listener of another host."""
         backend = self.backends[host]
         backend.sequence += 1
         body = (
@@ -367,11 +380,11 @@
         path = f"/instances/{backend.instance}/heartbeat"
         return (await self.call(via or host, CONTROL, "POST", path, body))[0]
 
-    async def _serve(self, backend: Backend, asked: HttpRequest) -> HttpAnswer:
-        request_id = (asked.header(b"lupinreach-request-id") or b"").decode()
-        line = b"Lupinreach-Request-Id: " + request_id.encode() + b"\r\n"
-        if asked.header(b"lupinreach-target-instance") != self.backends[backend.host].instance.encode():
-            return HttpAnswer(421, line + b"Lupinreach-Not-Executed: 1\r\n")
+    async def _serve(self, backend: Backend, incoming: HttpRequest) -> HttpAnswer:
+        request_id = (incoming.header(b"lupinreach-request-id") or b"").decode()
+        id_header = b"Lupinreach-Request-Id: " + request_id.encode() + b"\r\n"
+        if incoming.header(b"lupinreach-target-instance") != self.backends[backend.host].instance.encode():
+            return HttpAnswer(421, id_header + b"Lupinreach-Not-Executed: 1\r\n")
         backend = self.backends[backend.host]
         backend.arrived.append(self.now)
         backend.ran.append(request_id)
@@ -382,17 +395,17 @@
         finally:
             backend.running -= 1
         if backend.mode == "garbled":
-            line = b"Lupinreach-Request-Id: another\r\n"
+            id_header = b"Lupinreach-Request-Id: another\r\n"
         if backend.mode == "silent":
             await asyncio.sleep(60)
-        return HttpAnswer(200, line + b"Lupinreach-Response-Seal: s\r\n", backend.instance.encode())
+        return HttpAnswer(200, id_header + b"Lupinreach-Response-Seal: s\r\n", backend.instance.encode())
 
     # Clients and operators.
 
     async def call(
         self, host: str, port: int, method: str, path: str, body: bytes = b"", headers: str = ""
     ) -> tuple[int, bytes]:
-        """One HTTP call from outside; status 0 where the connection ends without an answer."""
+        """Make one HTTP call from outside the mesh; status 0 if the connection ends without an answer."""
         connection = BackendConnection()
         self.loop.hosts.setdefault(OWNER.get(), "outside")
         try:
@@ -413,36 +426,41 @@
         request_id: str,
         deadline_ms: int = 2000,
         method: str = "GET",
-        size: int = 1,
+        size_bytes: int = 1,
     ) -> int:
-        """A client's request at a proxy."""
-        began = self.now
+        """Send a client's request to a proxy and record its status and duration; return the status."""
+        started_at = self.now
         headers = f"Lupinreach-Request-Id: {request_id}\r\nLupinreach-Request-Deadline: {deadline_ms}\r\n"
-        body = b"x" * size if method == "POST" else b""
+        body = b"x" * size_bytes if method == "POST" else b""
         status, _ = await self.call(host, OUTBOUND, method, path, body, headers)
-        self.answers[request_id] = (status, self.now - began)
+        self.answers[request_id] = (status, self.now - started_at)
         return status
 
     async def replace_configuration(
-        self, host: str, version: str, service: str = "alpha", **wrong: Any
+        self, host: str, version: str, service: str = "alpha", **options: Any
     ) -> int:
-        """An operator's configuration: `/safe/` and `/unsafe/` of one service; `/added/` with an aim if asked for."""
-        timeout = wrong.get("timeout", 2000)
-        target = wrong.get("unknown", service)
-        name = wrong.get("hostname", "h.example")
+        """Replace the configuration as an operator and return the status.
+
+        It has the routes `/safe/` and `/unsafe/` of one service. Options: `timeout`, `unknown` (target
+        service), `hostname`, `routes` and `changed` (number of unused routes, and of virtual hosts with changed
+        ones), `added` (latency target of a further route `/added/`), `cut` (send a truncated document).
+        """
+        timeout = options.get("timeout", 2000)
+        target = options.get("unknown", service)
+        name = options.get("hostname", "h.example")
         idle = "".join(
-            _idle_host(number, version, changed=number < int(wrong.get("changed", 1)))
-            for number in range(int(wrong.get("routes", 0)) // 5)
+            _idle_host(number, version, changed=number < int(options.get("changed", 1)))
+            for number in range(int(options.get("routes", 0)) // 5)
         )
         rules = ",".join(
             f'{{"name":"{kind}","path_prefix":"/{kind}/","route_type":"{kind}","timeout_ms":{timeout},'
             f'"target_latency_ms":400,"priority":1,"target_service":"{target}","max_attempts":2}}'
             for kind in ("safe", "unsafe")
         )
-        if "added" in wrong:
+        if "added" in options:
             rules += (
                 f',{{"name":"added","path_prefix":"/added/","route_type":"safe","timeout_ms":{timeout},'
-                f'"target_latency_ms":{wrong["added"]},"priority":0,"target_service":"{target}","max_attempts":2}}'
+                f'"target_latency_ms":{options["added"]},"priority":0,"target_service":"{target}","max_attempts":2}}'
             )
         services = ",".join(
             f'{{"name":"{known}","cold_per_s":5}}'
@@ -452,20 +470,24 @@
             f'{{"version":"{version}","services":[{services}],"limits":{{}},'
             f'"virtual_hosts":[{{"hostname":"{name}","path_rules":[{rules}]}}{idle}]}}'
         ).encode()
-        if wrong.get("cut"):
+        if options.get("cut"):
             text = text[: len(text) // 2]
         return (await self.call(host, CONTROL, "POST", "/configuration/replace", text))[0]
 
     def run_count(self, request_id: str) -> int:
+        """Return how often backends have run a request."""
         return sum(b.ran.count(request_id) for b in self.backends.values())
 
     def serving(self) -> list[str]:
+        """Return the hosts whose store is the serving primary."""
         return sorted(h for (h, role), p in self.programs.items() if role == "store" and p.replica.serving)
 
     def run_until(self, at: float) -> None:
+        """Run the simulation up to a time."""
         self.loop.run_until_complete(asyncio.sleep(max(0.0, at - self.now)))
 
     def end(self) -> None:
+        """Kill all processes and close the loop."""
         for host in list(self.zones):
             self.kill(host)
         self.loop.end()
