--- a/lupinreach/mesh/proxy/fair_queue.py
+++ b/lupinreach/mesh/proxy/fair_queue.py
@@ -3,7 +3,7 @@
 Ordering by due time alone starves: under overload, less urgent requests are overtaken by newcomers until they
 time out. So each kind of request is a flow with a virtual time, as in start-time fair queueing; its unit is
 the work of one mean request. A flow that lags the most urgent one by `MAX_VIRTUAL_LEAD` is served first.
-While several kinds wait, each gets at least its share of the backend's time; the unused share goes to the others.
+While several kinds wait, each gets at least its share of the backend's time; unused shares go to the others.
 """
 
 from __future__ import annotations
