--- a/tests/mesh/scenario.py
+++ b/tests/mesh/scenario.py
@@ -49,7 +49,11 @@
 
     def control_events(self) -> list[str]:
         """The decisions of the stores in order, without randomly drawn identities."""
-        return [f"{name} {event.name}" for _, name, event, _ in self.world.story if event in CONTROL_EVENTS]
+        return [
+            f"{name} {event.name}"
+            for _, name, event, _ in self.world.recorded_events
+            if event in CONTROL_EVENTS
+        ]
 
     def _start_task(self, work: Any) -> None:
         with self.world.loop.owned_by(0):
@@ -70,7 +74,7 @@
         for host in hosts or list(self.world.zones):
             self.world.start(host)
         if not hosts:
-            self.world.first = False
+            self.world.first_start = False
 
     def do_kill(self, *hosts: str) -> None:
         for host in hosts or list(self.world.zones):
@@ -133,7 +137,7 @@
         name = parameters.pop("as", version)
 
         async def order() -> None:
-            self.statuses[name] = await self.world.order(host, version, **parameters)
+            self.statuses[name] = await self.world.replace_configuration(host, version, **parameters)
 
         self._start_task(order())
 
@@ -143,7 +147,7 @@
 
         async def send() -> None:
             for number in range(int(first, 16), int(first, 16) + int(count)):
-                await self.world.order(host, f"{number:08x}", **parameters)
+                await self.world.replace_configuration(host, f"{number:08x}", **parameters)
                 await asyncio.sleep(float(every))
 
         self._start_task(send())
@@ -173,14 +177,14 @@
         size = int(parameters.get("bytes", 1))
         for index in range(int(parameters.get("times", 1))):
             name = request_id if "times" not in parameters else f"{request_id}{index}"
-            self._start_task(self.world.ask(host, path, name, deadline, method, size))
+            self._start_task(self.world.send_request(host, path, name, deadline, method, size))
 
     def do_stream(self, host: str, path: str, prefix: str, per_s: str, seconds: str) -> None:
         """Send requests at a constant rate, with ids `prefix0`, `prefix1`, ..."""
 
         async def send() -> None:
             for index in range(int(float(per_s) * float(seconds))):
-                self._start_task(self.world.ask(host, path, f"{prefix}{index}"))
+                self._start_task(self.world.send_request(host, path, f"{prefix}{index}"))
                 await asyncio.sleep(1 / float(per_s))
 
         self._start_task(send())
@@ -193,7 +197,7 @@
 
     def do_beat(self, host: str, via: str = "") -> None:
         async def beat() -> None:
-            self.statuses[f"beat-{host}"] = await self.world.beat(host, via)
+            self.statuses[f"beat-{host}"] = await self.world.send_heartbeat(host, via)
 
         self._start_task(beat())
 
@@ -252,7 +256,7 @@
         return None if duration_s <= float(seconds) else f"took {duration_s:.3f}"
 
     def do_expect_runs(self, request_id: str, *counts: str) -> str | None:
-        found = self.world.runs(request_id)
+        found = self.world.run_count(request_id)
         return None if str(found) in counts else f"ran {found} times"
 
     def do_expect_serving(self, *hosts: str) -> str | None:
@@ -261,14 +265,14 @@
         return None if ok else f"found {found}"
 
     def do_expect_version(self, host: str, version: str) -> str | None:
-        found = self.world.programs[(host, "proxy")].news.version
+        found = self.world.programs[(host, "proxy")].configuration.version
         return None if found == version else f"found {found!r}"
 
     def do_expect_in_force_within(self, host: str, seconds: str) -> str | None:
         """Each committed version, or a higher one, was in force at a proxy within the given time."""
         committed: dict[str, float] = {}
         applied = []
-        for at, name, event, facts in self.world.story:
+        for at, name, event, facts in self.world.recorded_events:
             if event is Event.ORDER_COMMITTED:
                 committed.setdefault(facts["version"], at)
             elif event is Event.CONFIGURATION_APPLIED and name == f"{host}/proxy":
@@ -283,7 +287,7 @@
 
     def do_expect_registry_zones(self, host: str, own: str, *others: str) -> str | None:
         """A proxy has one registry link into its own zone and one into another zone."""
-        held = self.world.programs[(host, "proxy")]._registries._held
+        held = self.world.programs[(host, "proxy")]._registries._links
         found = sorted(self.world.zones[one.address.partition(":")[0]] for one in held)
         ok = len(found) == 2 and own in found and set(found) <= {own, *others} and len(set(found)) == 2
         return None if ok else f"found {found}"
@@ -321,7 +325,9 @@
 
     def do_expect_event(self, name: str, host: str, minimum: str) -> str | None:
         """Programs of a host have logged the event at least that many times."""
-        found = sum(e.name.lower() == name and of.startswith(f"{host}/") for _, of, e, _ in self.world.story)
+        found = sum(
+            e.name.lower() == name and of.startswith(f"{host}/") for _, of, e, _ in self.world.recorded_events
+        )
         return None if found >= int(minimum) else f"found {found}"
 
     def do_expect_answered(self, prefix: str) -> str | None:
@@ -336,7 +342,7 @@
         names = [
             name for name, (status, _) in self.world.answers.items() if name.startswith(prefix) and not status
         ]
-        cut = [name for name in names if self.world.runs(name)]
+        cut = [name for name in names if self.world.run_count(name)]
         return f"cut {cut}" if cut else None
 
     def do_expect_refused_unrun(self, prefix: str) -> str | None:
@@ -344,7 +350,7 @@
         found = {
             name: status
             for name, (status, _) in self.world.answers.items()
-            if name.startswith(prefix) and status != 200 and (status != 503 or self.world.runs(name))
+            if name.startswith(prefix) and status != 200 and (status != 503 or self.world.run_count(name))
         }
         return f"{len(found)} not: {dict(list(found.items())[:3])}" if found else None
 
--- a/tests/mesh/soak.py
+++ b/tests/mesh/soak.py
@@ -91,7 +91,7 @@
                 world.start(host)
             for backend in world.backends.values():
                 backend.work_ms = self.rng.choice(SERVICE_TIMES_MS)
-            world.first = False
+            world.first_start = False
             world.run_until(WARM_UP_S)
             self._start_task(self._do_order())
             world.run_until(WARM_UP_S + 1.0)
@@ -217,7 +217,7 @@
 
     def _start_proxy(self, host: str) -> None:
         """Restart the processes of the mesh on a machine; its backend is a separate process and keeps running."""
-        self.world.story.append((self.world.now, f"{host}/proxy", Event.STARTED, {}))
+        self.world.recorded_events.append((self.world.now, f"{host}/proxy", Event.STARTED, {}))
         self.world.start(host, with_backend=False)
 
     async def _do_hup(self) -> None:
@@ -398,7 +398,7 @@
     def _check_versions(self) -> None:
         """A proxy process never reverts to a lower version; at the end all have the newest acknowledged one."""
         held: dict[str, int] = {}
-        for at, name, event, facts in self.world.story:
+        for at, name, event, facts in self.world.recorded_events:
             if event is Event.STARTED:
                 held.pop(name, None)
             if event is Event.CONFIGURATION_APPLIED:
@@ -408,9 +408,11 @@
                 held[name] = version
         newest = max((one.version for one in self.changes if one.acknowledged_at), key=version_number)
         for (host, role), program in self.world.programs.items():
-            if role == "proxy" and version_number(program.news.version or "0") < version_number(newest):
+            if role == "proxy" and version_number(program.configuration.version or "0") < version_number(
+                newest
+            ):
                 self.violations.append(
-                    f"CONFIG: {host} holds {program.news.version!r} at the end, not {newest}"
+                    f"CONFIG: {host} holds {program.configuration.version!r} at the end, not {newest}"
                 )
 
 
--- a/tests/mesh/test_configuration_update.py
+++ b/tests/mesh/test_configuration_update.py
@@ -19,7 +19,7 @@
     unpack_configuration,
 )
 from lupinreach.mesh.messages import AgentHello, Message, StateUpdate, StateUpdateAcknowledged, decode
-from lupinreach.mesh.proxy.news import NewsHolder
+from lupinreach.mesh.proxy.configuration_state import ConfigurationState
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.route_table import RouteTable
 
@@ -132,7 +132,7 @@
     """Two registries, each missing some versions, update one proxy over links that deliver at random times."""
     rng = random.Random(seed)
     versions = _random_versions(rng, 60)
-    holder = NewsHolder()
+    holder = ConfigurationState()
     feeds, links = [], []
     for _ in range(2):
         feed = NewsFeed(lambda: True, _NullLog())  # type: ignore[arg-type]
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -33,7 +33,7 @@
     world = World(tmp_path)
     try:
         world.start_small()
-        world.loop.run_until_complete(world.order("c1", "0000000a"))
+        world.loop.run_until_complete(world.replace_configuration("c1", "0000000a"))
         world.run_until(4.0)
         rendered = {}
         for port, (key, program) in enumerate(sorted(world.programs.items()), 9500):
@@ -66,10 +66,10 @@
     counts, log = GateCounts(), _RecordingLog()
     usual, starved = RequestKind(2, 400), RequestKind(0, 1000)
     for _ in range(60):
-        counts.taken(usual)
-        counts.refused(usual, NotTakenReason.FULL)
+        counts.count_taken(usual)
+        counts.count_refused(usual, NotTakenReason.FULL)
     for _ in range(6):
-        counts.refused(starved, NotTakenReason.FULL)
+        counts.count_refused(starved, NotTakenReason.FULL)
     counts.check(log)  # type: ignore[arg-type]
     facts = {"kind": "p0-1000ms", "taken": 0, "asked": 6, "of_all": 0.48}
     assert log.events == [(Event.KIND_STARVED, facts)]
--- a/tests/mesh/test_subscribe.py
+++ b/tests/mesh/test_subscribe.py
@@ -20,24 +20,24 @@
     for transport in world.loop.transports:
         if transport.owner == owner and transport.open:
             transport.open = False
-            world.loop.carry(transport, transport.peer._ended)
+            world.loop.deliver(transport, transport.peer._on_peer_closed)
     world._owner += 1
     world.loop.hosts[world._owner] = host
     world.owners[(host, "registry")] = world._owner
     with world.loop.owned_by(world._owner):
-        world.loop.create_task(world._launch(host, "registry", world.settings(host)))
+        world.loop.create_task(world._start_program(host, "registry", world.settings(host)))
 
 
 def test_registry_subscribed_during_a_write_gets_its_document(tmp_path: Path) -> None:
     world = World(tmp_path)
     try:
         world.start_small()
-        assert world.loop.run_until_complete(world.order("c1", "00000001")) == 200
+        assert world.loop.run_until_complete(world.replace_configuration("c1", "00000001")) == 200
         primary = world.serving()[0]
         others = [host for host in world.cores if host != primary]
         for host in others:
             world.freeze(host, 0.6)
-        order = world.loop.create_task(world.order(primary, "00000002"))
+        order = world.loop.create_task(world.replace_configuration(primary, "00000002"))
         world.run_until(world.now + 0.05)
         _restart_registry(world, primary)
         world.run_until(world.now + 0.3)
@@ -45,7 +45,7 @@
         assert registry.feed.history.version == "00000001"  # the write is still in progress
         world.run_until(world.now + 1.5)
         assert registry.feed.history.version == "00000002"
-        assert world.programs[("s1", "proxy")].news.version == "00000002"
+        assert world.programs[("s1", "proxy")].configuration.version == "00000002"
         world.loop.run_until_complete(asyncio.wait([order]))
     finally:
         world.end()
