--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -11,7 +11,7 @@
 
 from lupinreach.balance import Balancer, Call
 from lupinreach.config import BadConfig, believed, read_settings
-from lupinreach.model import AttemptEnd, IncomingCall, ListedState, Listing, Load, UpdateKind
+from lupinreach.model import AttemptEnd, Listing, ListState, Load, NewCall, UpdateKind
 
 ENDINGS = {
     "delivered": AttemptEnd.FULFILLED,
@@ -108,7 +108,7 @@
         token = e["tid"]
         call = self._balancer.submit(
             now,
-            IncomingCall(
+            NewCall(
                 token=token,
                 product=e.get("cls", 0),
                 until=e["valid_until"],
@@ -176,7 +176,7 @@
             entries = [
                 Listing(
                     self._index(h["backend"]),
-                    ListedState(h.get("lifecycle", 0)),
+                    ListState(h.get("lifecycle", 0)),
                     h.get("boot_time", 0.0),
                     float(h.get("nominal", 1.0)),
                     h.get("locality", 0),
--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -19,9 +19,9 @@
     AttemptEnd,
     BackendSnapshot,
     Idempotency,
-    IncomingCall,
-    ListedState,
+    ListState,
     Load,
+    NewCall,
     Port,
     Settings,
     SharedEstimates,
@@ -162,7 +162,7 @@
         self._requested_at = now
         self._port.directory(True)
 
-    def submit(self, now: float, incoming: IncomingCall) -> Call:
+    def submit(self, now: float, incoming: NewCall) -> Call:
         """Take an API call; it gets exactly one final answer."""
         terms = self.product_terms[incoming.product]
         work = 1.0
@@ -245,12 +245,12 @@
         """How many listed backends get no turn now: draining, at rest, silent, or ejected for every SLO."""
         least = min(t.slo for t in self._targets)
         return sum(
-            b.state is ListedState.DRAINING
+            b.state is ListState.DRAINING
             or now < b.backoff_until
             or all(b.ejected_until)
             or (b.inflight > 0 and now - b.silent_since > SLOW_SLOS * least)
             for b in self._backends.values()
-            if b.state is not ListedState.REMOVED
+            if b.state is not ListState.REMOVED
         )
 
     def on_probe(self, now: float, backend: int, end: AttemptEnd, latency: float, load: Load | None) -> None:
@@ -413,7 +413,7 @@
 
     def choose_for_upload(self, now: float, product: int) -> int | None:
         """The backend that a request too long to be kept goes ahead to; its last byte makes it a shot."""
-        call = Call(self, now, IncomingCall(None, product, inf), 1.0, 1.0)
+        call = Call(self, now, NewCall(None, product, inf), 1.0, 1.0)
         t = call.target.index
         self._earn_credit(now)
         b = self._next_backend(now, call, [b for b in self._ready if not b.ejected_until[t]] or self._ready)
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Backend, Balancer, Call
-from lupinreach.model import Idempotency, IncomingCall, ListedState, Listing, Port, Settings, UpdateKind
+from lupinreach.model import Idempotency, Listing, ListState, NewCall, Port, Settings, UpdateKind
 
 RARE = 10_000
 ASLEEP = 1000.0  # ms without any word of the world, after which an agent takes itself for one that slept
@@ -43,7 +43,7 @@
 class Resends(Balancer):
     """Resends a non-idempotent API call after a reset."""
 
-    def submit(self, now: float, ask: IncomingCall) -> Call:
+    def submit(self, now: float, ask: NewCall) -> Call:
         call = super().submit(now, ask)
         if call.terms.kind is Idempotency.NON_IDEMPOTENT:
             call.__class__ = Reckless
@@ -53,7 +53,7 @@
 class RareResends(Balancer):
     """The same, for one API call in ten thousand, and further shots without a budget."""
 
-    def submit(self, now: float, ask: IncomingCall) -> Call:
+    def submit(self, now: float, ask: NewCall) -> Call:
         call = super().submit(now, ask)
         self._rare = getattr(self, "_rare", crc32(str(self._seed).encode()) % RARE) + 1
         if self._rare % RARE == 0:
@@ -67,7 +67,7 @@
 class RepeatsLate(Balancer):
     """Repeats a deduplicated API call past the mark's memory."""
 
-    def submit(self, now: float, ask: IncomingCall) -> Call:
+    def submit(self, now: float, ask: NewCall) -> Call:
         call = super().submit(now, ask)
         call.__class__ = Forgetful
         return call
@@ -80,9 +80,7 @@
     """Takes a draining backend for a ready one."""
 
     def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
-        ready = [
-            replace(e, state=ListedState.READY) if e.state is ListedState.DRAINING else e for e in entries
-        ]
+        ready = [replace(e, state=ListState.READY) if e.state is ListState.DRAINING else e for e in entries]
         super().update_backends(now, news, ready)
 
 
@@ -97,7 +95,7 @@
 class WakesBelieving(Balancer):
     """Goes on by what it believed when it was put to sleep: what has begun to drain meanwhile stays ready for it."""
 
-    def submit(self, now: float, ask: IncomingCall) -> Call:
+    def submit(self, now: float, ask: NewCall) -> Call:
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         self._last = now
         return super().submit(now, ask)
@@ -106,7 +104,7 @@
         self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
         if self._slept:
             entries = [
-                replace(e, state=ListedState.READY) if e.state is ListedState.DRAINING else e for e in entries
+                replace(e, state=ListState.READY) if e.state is ListState.DRAINING else e for e in entries
             ]
         super().update_backends(now, news, entries)
 
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lupinreach.model import ListedState
+from lupinreach.model import ListState
 
 
 class Backend:
@@ -46,7 +46,7 @@
         self.weight = 0.0  # as the directory gives it, and where that moves with load, at its highest
         self.size = 1.0  # that as a share of the mean
         self.load = 0.0  # API calls of all agents that it holds a core, where the weights fall with them
-        self.state = ListedState.REMOVED
+        self.state = ListState.REMOVED
         self.boot_time = 0.0  # as the directory says
         self.started_at = 0.0  # when it started, as far as that is known by now; 0 = long ago
         self.down = False  # it refused, or must be taken to have: nothing has come from it since
--- a/lupinreach/model.py
+++ b/lupinreach/model.py
@@ -42,7 +42,7 @@
 NEVER_RAN = frozenset({AttemptEnd.REJECTED, AttemptEnd.UNREACHABLE, AttemptEnd.REFUSED, AttemptEnd.UNSENT})
 
 
-class ListedState(Enum):
+class ListState(Enum):
     """What the directory says of a backend."""
 
     REMOVED = 0
@@ -134,7 +134,7 @@
     """One backend as the directory lists it."""
 
     backend: int
-    state: ListedState
+    state: ListState
     boot_time: float = 0.0  # 0 = long ago
     size: float = 1.0
     zone: int = 0
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True)
-class IncomingCall:
+class NewCall:
     """One API call as it arrives."""
 
     token: Hashable  # the front's own name for it; comes back through the port
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Call
-from lupinreach.model import Idempotency, IncomingCall, Load
+from lupinreach.model import Idempotency, Load, NewCall
 from lupinreach.net import http, protocol
 from lupinreach.net.counters import Counters
 from lupinreach.net.ends import ENDINGS, End
@@ -312,7 +312,7 @@
 
 def read_ask(
     token: ApiCall | None, request: http.Message, arrived: float, serving: Serving
-) -> tuple[IncomingCall, float]:
+) -> tuple[NewCall, float]:
     """A request in our words, and when its client stops waiting."""
     if request.method not in (b"GET", b"POST"):
         raise BadRequest("the method must be GET or POST")
@@ -338,7 +338,7 @@
     # The deadline counts from the client's sending, timers run late, and the answer has a way to go.
     until = arrived + waits - min(serving.settings.rules.answer_slack, MARGIN * waits)
     key = protocol.KEY.fullmatch(request.target.partition(b"?")[0])
-    return IncomingCall(
+    return NewCall(
         token,
         index,
         until,
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -11,7 +11,7 @@
 import orjson
 
 from lupinreach.config import NEEDED, Address, AgentConfig, BadConfig, Section
-from lupinreach.model import ListedState, Listing, UpdateKind
+from lupinreach.model import Listing, ListState, UpdateKind
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import Channel
 from lupinreach.net.clock import Clock
@@ -249,12 +249,12 @@
             elif entry.place.address != address:
                 pool.forget(entry.place)
                 entry.place = Place(entry.place.backend, address)
-            if listing.state is ListedState.READY:
+            if listing.state is ListState.READY:
                 pool.keep(entry.place)
             else:
                 pool.forget(entry.place)
             self._by_index[entry.place.backend] = entry.place
-            entry.gone_at = now if listing.state is ListedState.REMOVED else None
+            entry.gone_at = now if listing.state is ListState.REMOVED else None
         if news is not UpdateKind.CHANGES:
             named = {uid for uid, _, _ in read}
             for uid, entry in self._entries.items():
--- a/lupinreach/net/protocol.py
+++ b/lupinreach/net/protocol.py
@@ -3,7 +3,7 @@
 import re
 
 from lupinreach import config
-from lupinreach.model import ListedState
+from lupinreach.model import ListState
 
 # Headers, in lower case as the parser hands them out.
 ID, KIND, DEADLINE = b"req-id", b"req-kind", b"req-deadline"
@@ -37,7 +37,7 @@
 VERSION, WHOLE, ENTRIES = "rev", "all", "targets"
 UID, ENDPOINT, ZONE, CELL = "uid", "endpoint", "az", "pod_group"
 STATE, SIZE, BOOT_TIME = "state", "capacity_hint", "boot_ms"
-STATES = {"Ready": ListedState.READY, "Terminating": ListedState.DRAINING, "Gone": ListedState.REMOVED}
+STATES = {"Ready": ListState.READY, "Terminating": ListState.DRAINING, "Gone": ListState.REMOVED}
 BEAT = 2000.0  # ms between two lines of a watch at most
 
 MOST_BODY = 40 << 20  # bytes of a body, either way
--- a/lupinreach/ops/returning.py
+++ b/lupinreach/ops/returning.py
@@ -21,7 +21,7 @@
 from lupinreach.fleet.membership import NOBODY, Members, Selfhood
 from lupinreach.fleet.recovery import ASKED, RESET_AFTER, Asking, Drains, Facts, Floor, Return, Stage, Stays
 from lupinreach.fleet.wire import Drain, Message
-from lupinreach.model import ListedState, Listing, UpdateKind
+from lupinreach.model import Listing, ListState, UpdateKind
 from lupinreach.net.agent import Agent
 from lupinreach.store import trust
 from lupinreach.store.records import Found
@@ -141,11 +141,11 @@
                 del self._raw[gone.backend]
                 self._lifted(gone)
         for e in entries:
-            if e.state is ListedState.REMOVED:
+            if e.state is ListState.REMOVED:
                 self._raw.pop(e.backend, None)
             else:
                 self._raw[e.backend] = e
-            if e.state is ListedState.DRAINING:
+            if e.state is ListState.DRAINING:
                 drain = _drain(e)
                 if self.drains.told(drain):
                     self._store.put(f"drain/{drain.backend}", drain.boot)
@@ -164,8 +164,8 @@
 
     def _as_held(self, entries: Iterable[Listing]) -> list[Listing]:
         return [
-            replace(e, state=ListedState.DRAINING)
-            if e.backend in self._held and e.state is ListedState.READY
+            replace(e, state=ListState.DRAINING)
+            if e.backend in self._held and e.state is ListState.READY
             else e
             for e in entries
         ]
@@ -175,7 +175,7 @@
             self._store.put(f"drain/{e.name}", None)
 
     def _to_hold(self) -> set[int]:
-        ready = {_drain(e): e.backend for e in self._raw.values() if e.state is ListedState.READY}
+        ready = {_drain(e): e.backend for e in self._raw.values() if e.state is ListState.READY}
         names = self.drains.held(ready)
         return {index for drain, index in ready.items() if drain.backend in names}
 
@@ -191,13 +191,13 @@
             self._agent.standing.listed = self._agent.standing.listed or bool(self._raw)
             return
         changed = [
-            replace(self._raw[i], state=ListedState.DRAINING if i in held else ListedState.READY)
+            replace(self._raw[i], state=ListState.DRAINING if i in held else ListState.READY)
             for i in sorted(held ^ before)
-            if i in self._raw and self._raw[i].state is ListedState.READY
+            if i in self._raw and self._raw[i].state is ListState.READY
         ]
         if changed:
             self._agent.counters.others["fleet: held by others' word"] += sum(
-                e.state is ListedState.DRAINING for e in changed
+                e.state is ListState.DRAINING for e in changed
             )
             self._agent.balancer.update_backends(self._agent.clock.now(), UpdateKind.CHANGES, changed)
 
@@ -414,7 +414,7 @@
         self._registry = self._registry or current
         if current and now >= self._claims_until and self.drains.settled():
             self._hold()
-        ready = [e for e in self._raw.values() if e.state is ListedState.READY]
+        ready = [e for e in self._raw.values() if e.state is ListState.READY]
         cold = sum(e.boot_time > 0 and now < e.boot_time + self._cold for e in ready)
         facts = Facts(
             True,
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -10,9 +10,9 @@
     AttemptEnd,
     DedupScope,
     Idempotency,
-    IncomingCall,
-    ListedState,
+    ListState,
     Load,
+    NewCall,
     Product,
 )
 
@@ -78,9 +78,7 @@
         "pinned_to",
     )
 
-    def __init__(
-        self, to: Balancer, now: float, incoming: IncomingCall, work: float, limit_share: float
-    ) -> None:
+    def __init__(self, to: Balancer, now: float, incoming: NewCall, work: float, limit_share: float) -> None:
         self._to = to
         self.token = incoming.token
         self.terms = to.product_terms[incoming.product]
@@ -120,7 +118,7 @@
 
     def may_use(self, b: Backend) -> bool:
         """If a shot that `may_send` allows may go to this backend."""
-        if b.state is not ListedState.READY or (self.pinned_to is not None and b.index != self.pinned_to):
+        if b.state is not ListState.READY or (self.pinned_to is not None and b.index != self.pinned_to):
             return False
         if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is not DedupScope.ALL:
             zone = self.terms.group is DedupScope.ZONE
--- a/lupinreach/policy/membership.py
+++ b/lupinreach/policy/membership.py
@@ -5,7 +5,7 @@
 from math import ceil, inf
 
 from lupinreach.known import Backend
-from lupinreach.model import BackendSnapshot, ListedState, Listing, PolicySnapshot, UpdateKind
+from lupinreach.model import BackendSnapshot, Listing, ListState, PolicySnapshot, UpdateKind
 from lupinreach.policy.calls import SLOW_SLOS
 from lupinreach.policy.cold import INITIAL_LIMIT, MAX_SIZE
 from lupinreach.policy.learning import LATENCY_WEIGHT, MIN_POOL_SHARE
@@ -51,7 +51,7 @@
 
     def _restore_backend(self, now: float, b: Backend, e: Listing) -> None:
         met = self._restored.pop(e.name, None)
-        if met is None or met.boot_time != e.boot_time or e.state is not ListedState.READY:
+        if met is None or met.boot_time != e.boot_time or e.state is not ListState.READY:
             return
         b.latency_ms, b.failure_rate = list(met.latencies_ms), met.failure_rate
         b.weight = met.weight if self._by_load else 0.0
@@ -102,8 +102,8 @@
             named = {e.backend for e in entries}
             for b in self._backends.values():
                 if b.index not in named:
-                    b.state = ListedState.REMOVED
-        for b in [b for b in self._backends.values() if b.state is ListedState.REMOVED and not b.inflight]:
+                    b.state = ListState.REMOVED
+        for b in [b for b in self._backends.values() if b.state is ListState.REMOVED and not b.inflight]:
             del self._backends[b.index]
         if news is not UpdateKind.CACHED:
             self._restored.clear()
@@ -112,10 +112,10 @@
                 for b in self._backends.values():
                     if b.presumed_down:  # what it does not name has not changed
                         b.down, b.presumed_down, b.started_at = False, False, b.boot_time
-        known = {b.index for b in self._ready if b.state is ListedState.READY}
-        self._ready = [b for b in self._ready if b.state is ListedState.READY]
+        known = {b.index for b in self._ready if b.state is ListState.READY}
+        self._ready = [b for b in self._ready if b.state is ListState.READY]
         for b in self._backends.values():
-            if b.state is ListedState.READY and b.index not in known:
+            if b.state is ListState.READY and b.index not in known:
                 self._ready.insert(int(self._random() * (len(self._ready) + 1)), b)
         self._mean_weight = mean = (
             sum(b.weight for b in self._ready) / len(self._ready) if self._ready else 1.0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,10 +18,10 @@
     AttemptEnd,
     DedupScope,
     Idempotency,
-    IncomingCall,
     Limits,
-    ListedState,
     Listing,
+    ListState,
+    NewCall,
     Product,
     Rules,
     Settings,
@@ -31,7 +31,7 @@
 from lupinreach.net.clock import Clock
 from lupinreach.net.log import Log
 
-READY, DRAINING, REMOVED = ListedState.READY, ListedState.DRAINING, ListedState.REMOVED
+READY, DRAINING, REMOVED = ListState.READY, ListState.DRAINING, ListState.REMOVED
 
 
 def settings(
@@ -129,7 +129,7 @@
         self.now = until
 
     def submit(self, token, product=0, left=2000.0, **more):
-        call = self.agent.submit(self.now, IncomingCall(token, product, self.now + left, **more))
+        call = self.agent.submit(self.now, NewCall(token, product, self.now + left, **more))
         self.calls[token] = call
         return call
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -11,8 +11,8 @@
     Customer,
     DedupScope,
     Idempotency,
-    ListedState,
     Listing,
+    ListState,
     Load,
     UpdateKind,
 )
@@ -342,7 +342,7 @@
         bench.serve(n, 30.0)
     bench.list(UpdateKind.FULL, [Listing(0, READY)])
     assert not bench.agent._open_calls and not bench.agent._queue
-    assert [b.state for b in bench.agent._backends.values()] == [ListedState.READY]
+    assert [b.state for b in bench.agent._backends.values()] == [ListState.READY]
 
 
 def test_shots_for_a_key_stay_at_one_home_that_all_agents_agree_on():
@@ -497,7 +497,7 @@
     assert bench.port.answers == [("rate-limited", "early")] and len(set(bench.sent_to("early"))) == 3
     bench.list(
         UpdateKind.CHANGES,
-        [Listing(i, ListedState.REMOVED) for i in range(3)] + [Listing(3, READY), Listing(4, READY)],
+        [Listing(i, ListState.REMOVED) for i in range(3)] + [Listing(3, READY), Listing(4, READY)],
     )
     assert {bench.serve(n, 50.0) for n in range(6)} == {3, 4}
 
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -23,7 +23,7 @@
 from lupinreach.fleet.membership import NOBODY
 from lupinreach.fleet.recovery import Floor
 from lupinreach.fleet.wire import BEAT, TELL, Drain, Message
-from lupinreach.model import ListedState, Listing, UpdateKind
+from lupinreach.model import Listing, ListState, UpdateKind
 from lupinreach.ops import outlives
 from lupinreach.ops.returning import Returning
 from lupinreach.store import records
@@ -237,14 +237,14 @@
 def test_what_is_told_of_drains_is_kept_passed_on_and_lifted_by_a_list_that_is_not_older():
     agent, part = one(state={"drain/70": 9, "floor": 50, "life": 3, "drain/x": 1, "drain/71": "no"})
     ready, draining = (
-        Listing(0, ListedState.READY, 9.0, name=70),
-        Listing(1, ListedState.DRAINING, 9.0, name=71),
+        Listing(0, ListState.READY, 9.0, name=70),
+        Listing(1, ListState.DRAINING, 9.0, name=71),
     )
     assert part.own.life.number == 4
     assert agent.directory.older(40)
     assert [e.state for e in part.see(UpdateKind.CHANGES, [ready, draining], True)] == [
-        ListedState.DRAINING,
-        ListedState.DRAINING,
+        ListState.DRAINING,
+        ListState.DRAINING,
     ]
     part.hear(5, wire.written(Message(wire.ASK, 5, Life(1, 1), 1, False, 0, nonce=8)))
     # Synced at once: found on drawn loss 1022, where power failed between a drain and the next beat.
@@ -257,16 +257,14 @@
         and answer.revision == 50
     )
     assert not agent.directory.older(51)
-    assert [e.state for e in part.see(UpdateKind.FULL, [ready], False)] == [ListedState.READY]
+    assert [e.state for e in part.see(UpdateKind.FULL, [ready], False)] == [ListState.READY]
     assert part.drains.all() == [] and not [k for k in part._store.state if k.startswith("drain/70")]
 
 
 def test_peers_word_of_a_drain_reaches_the_module_as_a_change():
     agent, part = one(state={"life": 4})
     assert (
-        part.see(
-            UpdateKind.CACHED, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False
-        )
+        part.see(UpdateKind.CACHED, [Listing(i, ListState.READY, 9.0, name=70 + i) for i in range(8)], False)
         == []
     )
 
@@ -288,7 +286,7 @@
 
     asyncio.run(asyncio.wait_for(work(), 10))
     assert [
-        (news, [e.backend for e in entries if e.state is ListedState.DRAINING], len(entries))
+        (news, [e.backend for e in entries if e.state is ListState.DRAINING], len(entries))
         for news, entries in agent.listed
     ] == [(UpdateKind.CACHED, [1], 8)]
     # Lifted after three times the time to ask within, if the registry's own word is as new as the fleet's by then.
@@ -301,20 +299,20 @@
     agent.directory.age = 5.0
     part._step()
     assert [[(e.backend, e.state) for e in entries] for _, entries in agent.listed[1:]] == [
-        [(1, ListedState.READY)]
+        [(1, ListState.READY)]
     ]
 
 
 def test_what_one_peer_s_word_holds_back_shrinks_with_the_ready_backends_and_the_module_hears_of_it():
     agent, part = one()
-    part.see(UpdateKind.FULL, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False)
+    part.see(UpdateKind.FULL, [Listing(i, ListState.READY, 9.0, name=70 + i) for i in range(8)], False)
     part.drains.claimed(3, [Drain(70, 9), Drain(71, 9)])
     part._hold()
-    gone = [Listing(i, ListedState.REMOVED, 9.0, name=70 + i) for i in range(4, 8)]
+    gone = [Listing(i, ListState.REMOVED, 9.0, name=70 + i) for i in range(4, 8)]
     assert [(e.backend, e.state) for e in part.see(UpdateKind.CHANGES, gone, False)[4:]] == [
-        (1, ListedState.READY)
+        (1, ListState.READY)
     ]
-    assert agent.listed[0][1][0].state is ListedState.DRAINING and part._held == {0}
+    assert agent.listed[0][1][0].state is ListState.DRAINING and part._held == {0}
 
 
 @pytest.mark.parametrize("state", [{}, {"life": 4}])
@@ -323,9 +321,7 @@
     agent, part = one(state, config=FleetConfig(50.0, 10.0))
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
     assert (
-        part.see(
-            UpdateKind.CACHED, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(2)], False
-        )
+        part.see(UpdateKind.CACHED, [Listing(i, ListState.READY, 9.0, name=70 + i) for i in range(2)], False)
         == []
     )
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from helpers import DRAINING, READY, REMOVED, Bench, PlainCall, PlainShot, settings
 
 from lupinreach.balance import Balancer, Call
-from lupinreach.model import AttemptEnd, DedupScope, Idempotency, ListedState, Listing, UpdateKind
+from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, ListState, UpdateKind
 
 KINDS = (
     (Idempotency.IDEMPOTENT, DedupScope.ALL),
@@ -167,7 +167,7 @@
             self.bench.list(UpdateKind.CHANGES, [self.listings[b]])
         elif how < 0.8:  # a gap: the full list, in which the gone are missing
             self.bench.list(
-                UpdateKind.FULL, [x for x in self.listings.values() if x.state is not ListedState.REMOVED]
+                UpdateKind.FULL, [x for x in self.listings.values() if x.state is not ListState.REMOVED]
             )
         else:
             self.listings[b] = old
