--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -24,7 +24,9 @@
 
     def may_send(self, now: float) -> bool:
         to = self._to
-        return not self.done and now < self.until and len(self.attempts) < to.max_attempts and not self.out
+        return (
+            not self.done and now < self.until and len(self.attempts) < to.max_attempts and not self.pending
+        )
 
 
 class Forgetful(Call):
@@ -36,7 +38,10 @@
         if self.terms.kind is not Idempotency.DEDUPLICATED:
             return Call.may_send(self, now)
         return (
-            not self.done and now < self.until and len(self.attempts) < self._to.max_attempts and not self.out
+            not self.done
+            and now < self.until
+            and len(self.attempts) < self._to.max_attempts
+            and not self.pending
         )
 
 
--- a/lupinreach/known.py
+++ b/lupinreach/known.py
@@ -84,9 +84,9 @@
         "may_have_run",
         "overdue",
         "trial",
-        "cancelled",
+        "aborted",
         "answer_begun",
-        "uncounted",
+        "freed",
     )
 
     def __init__(self, number: int, backend: Backend, sent: float) -> None:
@@ -98,8 +98,6 @@
         self.may_have_run = True  # may have run, until its ending proves that it didn't
         self.overdue = False
         self.trial = False
-        self.cancelled = False
-        self.uncounted = (
-            False  # its backend has sent nothing since: it takes up no room of the bound any more
-        )
+        self.aborted = False
+        self.freed = False  # its backend has sent nothing since: it takes up no room of the bound any more
         self.answer_begun = False  # its answer is on its way to the client, and was booked when it began
--- a/lupinreach/policy/calls.py
+++ b/lupinreach/policy/calls.py
@@ -1,31 +1,22 @@
-"""SLOs, products and API calls as the decisions use them, and the rules asked before every shot."""
+"""SLOs, products and calls as the decisions use them, and the rules checked before every attempt."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from lupinreach.known import Attempt, Backend
-from lupinreach.model import (
-    NEVER_RAN,
-    AttemptEnd,
-    DedupScope,
-    Idempotency,
-    ListState,
-    Load,
-    NewCall,
-    Product,
-)
+from lupinreach.model import NEVER_RAN, AttemptEnd, DedupScope, Idempotency, ListState, Load, NewCall, Product
 
 if TYPE_CHECKING:
     from lupinreach.balance import Balancer
 
-SLOW_SLOS = 0.4  # x SLO: a shot that takes longer is a slow one, and so is one that takes
-SLOW_FACTOR = 3.0  # x what the SLO's API calls took when they last took least, but never one that takes under
-MIN_SLOW_SLOS = 0.2  # x SLO
+SLOW_SLOS = 0.4  # x SLO: an attempt that takes longer is slow
+SLOW_FACTOR = 3.0  # x the lowest latency of late: an attempt that takes longer is slow as well,
+MIN_SLOW_SLOS = 0.2  # x SLO: unless it takes less than this
 
 
 class Target:
-    """One latency SLO and what its API calls usually take."""
+    """One latency SLO and the latencies of its calls, in ms."""
 
     __slots__ = ("index", "slo", "has_slo", "typical", "recent", "low", "idle")
 
@@ -33,18 +24,18 @@
         self.index = index
         self.slo = slo
         self.has_slo = slo > 0
-        self.typical = 0.0  # ms from send to answer; 0 = none seen
-        self.recent = self.low = 0.0  # smoothed latency, and its lowest of late
-        self.idle = 0.0  # smoothed latency at backends that the list says have room
+        self.typical = 0.0  # smoothed over about 50 answers; 0 = none seen
+        self.recent = self.low = 0.0  # smoothed over about 20 answers, and the lowest of that of late
+        self.idle = 0.0  # smoothed, of backends that have capacity left by the list
 
     def is_slow(self, latency: float) -> bool:
-        """If a shot took so long that backends must be holding too many."""
-        # Guards against quick API calls, of which one that met a late loop would pass for a full backend.
+        """If an attempt took so long that backends must be overloaded."""
+        # Guards against short calls, of which one delayed by a late event loop would count as overload.
         return latency > min(SLOW_SLOS * self.slo, max(SLOW_FACTOR * self.low, MIN_SLOW_SLOS * self.slo))
 
 
 class ProductTerms:
-    """A product as the decisions use it."""
+    """What the decisions need to know of a product."""
 
     __slots__ = ("kind", "group", "memory", "target", "accepts_late", "value")
 
@@ -58,7 +49,7 @@
 
 
 class Call:
-    """The handle of one API call."""
+    """The handle of one API call, by which the front reports its events."""
 
     __slots__ = (
         "_to",
@@ -78,7 +69,7 @@
         "pinned_to",
     )
 
-    def __init__(self, to: Balancer, now: float, incoming: NewCall, work: float, limit_share: float) -> None:
+    def __init__(self, to: Balancer, now: float, incoming: NewCall, work: float, share: float) -> None:
         self._to = to
         self.token = incoming.token
         self.terms = to.product_terms[incoming.product]
@@ -87,7 +78,7 @@
         self.arrived = now
         self.key = incoming.key
         self.work = work
-        self.limit_share = limit_share
+        self.limit_share = share  # the part of the limit in flight that calls of this value may fill
         self.attempts: list[Attempt] = []
         self.pending = 0
         self.done = False
@@ -97,13 +88,13 @@
 
     @property
     def closed(self) -> bool:
-        """True once nothing more can come for this handle."""
+        """True once no further event can come for this handle."""
         return self.done and not self.pending
 
-    # The rules, asked before every shot and every rate-limit reply.
+    # The rules, checked before every attempt and every rate-limit reply.
 
     def may_send(self, now: float) -> bool:
-        """If any further shot is allowed at all; `may_use` says where to."""
+        """If a further attempt is allowed at all; `may_use` says at which backends."""
         to = self._to
         if self.done or self.streaming or now >= self.until or len(self.attempts) >= to.max_attempts:
             return False
@@ -117,7 +108,7 @@
         return True
 
     def may_use(self, b: Backend) -> bool:
-        """If a shot that `may_send` allows may go to this backend."""
+        """If an attempt that `may_send` allows may go to this backend."""
         if b.state is not ListState.READY or (self.pinned_to is not None and b.index != self.pinned_to):
             return False
         if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is not DedupScope.ALL:
@@ -128,23 +119,21 @@
         return True
 
     def may_rate_limit(self) -> bool:
-        """If telling the client that trying again is harmless would be true."""
+        """If the client may be told that a retry is harmless."""
         if self.terms.kind is Idempotency.IDEMPOTENT:
             return True
         if self.terms.kind is Idempotency.DEDUPLICATED and self.terms.group is DedupScope.ALL:
             return True
         return not any(s.may_have_run for s in self.attempts)
 
-    # What happens to the API call.
+    # Events of the call.
 
     def on_head(
         self, now: float, number: int, latency: float | None = None, load: Load | None = None
     ) -> None:
-        """The answer has begun to stream: this shot is now the client's.
-
-        With a latency, that is the shot's, to its first bytes: what comes after is transfer and says nothing
-        of how full the backend is. Without one, all of it is the shot's.
-        """
+        """The answer has begun to stream to the client, who gets it from this attempt."""
+        # A latency given is that to the first bytes, and the attempt's: the transfer after them tells nothing
+        # of the backend's load. Without one, the attempt's latency is that of the whole answer.
         attempt, to = self.attempts[number], self._to
         self.streaming = True
         if latency is not None and attempt.pending and not attempt.answer_begun:
@@ -155,7 +144,7 @@
         to.drain_queue(now)
 
     def on_client_left(self, now: float) -> None:
-        """The client has gone; nothing more is owed."""
+        """The client has disconnected; it needs no answer."""
         self._to.finish(self, now)
 
     def on_attempt_ended(
@@ -167,7 +156,7 @@
         complete: bool,
         load: Load | None = None,
     ) -> None:
-        """A shot has ended."""
+        """An attempt has ended."""
         attempt = self.attempts[number]
         if not attempt.pending:
             return
@@ -178,12 +167,12 @@
         if not attempt.answer_begun:
             to.record_attempt(now, self, attempt, end, latency, load)
         elif end is not AttemptEnd.FULFILLED and end is not AttemptEnd.CANCELLED:
-            # What broke under way may be any backend's; it ejects like a break, and narrows no bound.
+            # A transfer may break at any backend: that counts towards ejection, not towards the limit.
             to.record_late_failure(now, self, attempt)
         if complete:
             to.finish(self, now)
         elif not self.done and not self.pending and not self.streaming:
-            if attempt.may_have_run and not attempt.cancelled and not to.spend_budget():
+            if attempt.may_have_run and not attempt.aborted and not to.spend_budget():
                 to.give_up(now, self)
             else:
                 to.dispatch(now, self)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1025,7 +1025,7 @@
             await site.settled()
             others = site.agent.counters.others
             assert (others["load reports"], others["load reports ignored"]) == (1, 3)
-            assert site.agent.balancer._reported == 2.0
+            assert site.agent.balancer._reports == 2.0
 
     run(work())
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -110,7 +110,7 @@
     for n in range(60):
         call = bench.submit(n, left=3 * SLO)
         bench.move(60 if n < 8 else 1.2 * SLO)
-        if call.out:
+        if call.pending:
             call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 60.0 if n < 8 else 1.2 * SLO, True)
     held_now = [b for b in bench.agent._ready if b.ejected_until[0]]
     assert len(held_now) <= 2
@@ -179,7 +179,7 @@
     for n in range(60):
         bench.submit(n)
         bench.move(50)
-        while bench.calls[n].out:
+        while bench.calls[n].pending:
             bench.answer(n, 2.0, AttemptEnd.UNREACHABLE)
     assert bench.agent._slow_share < SLOW_SHARE_LIMIT
 
@@ -252,7 +252,7 @@
     for n in range(300):
         call = bench.submit(("cold", n))
         bench.move(20.0)
-        if call.out:
+        if call.pending:
             call.on_attempt_ended(bench.now, 0, AttemptEnd.FULFILLED, 20.0, True)
             served += 1
     assert 60 < served < 300
@@ -277,11 +277,11 @@
         token = ("t", n)
         bench.submit(token)
         bench.move(10)
-        while bench.sent_to(token)[-1] == 1 and bench.calls[token].out:
+        while bench.sent_to(token)[-1] == 1 and bench.calls[token].pending:
             hits += 1
             bench.answer(token, 5.0, AttemptEnd.REJECTED)
         bench.move(30)
-        if bench.calls[token].out:
+        if bench.calls[token].pending:
             bench.answer(token, 40.0)
     assert hits < 12
 
@@ -291,7 +291,7 @@
     bench = Bench(settings())
     for n in range(300):
         bench.submit(n, left=2000.0)
-        if n >= 16 and bench.calls[n - 16].out:
+        if n >= 16 and bench.calls[n - 16].pending:
             bench.answer(n - 16, 390.0, number=0)
         bench.move(10)
     assert bench.agent._slow_share > SLOW_SHARE_LIMIT
@@ -324,7 +324,7 @@
     for n in range(300):
         bench.submit(n)
         bench.move(60)
-        while bench.calls[n].out:
+        while bench.calls[n].pending:
             bench.answer(n, 60.0, AttemptEnd.ERRORED)
     assert len(bench.port.sent) < 330
 
@@ -477,7 +477,7 @@
     for n in range(10):
         bench.submit(("paced", n))
         bench.move(20.0)
-        if bench.calls[("paced", n)].out:
+        if bench.calls[("paced", n)].pending:
             bench.answer(("paced", n), 20.0)
     assert len(bench.port.sent) - before <= 2 and agent._limit <= 0.5
 
@@ -491,7 +491,7 @@
 def test_a_restarted_agent_that_knows_only_gone_backends_answers_at_once_and_serves_on_the_first_news():
     bench = Bench(settings(((Idempotency.NON_IDEMPOTENT, DedupScope.ALL),), shots=3), backends=3)
     bench.submit("early")
-    while bench.calls["early"].out:
+    while bench.calls["early"].pending:
         bench.answer("early", 1.0, AttemptEnd.UNREACHABLE)
         bench.move(1.0)
     assert bench.port.answers == [("rate-limited", "early")] and len(set(bench.sent_to("early"))) == 3
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -281,7 +281,7 @@
         * (1 + RARE_BOOST / (1 + asked * agent._fall_ms))
         / 4
         * agent._capacity(bench.now, agent._ready[0])
-        * agent._when_few
+        * agent._boost
     )
     assert earns[0] == pytest.approx(MAX_CREDIT * even)  # 0.47 of the paces, no more than that
     assert earns[3] == pytest.approx(4 * even * 0.25 / 4.25) and sum(earns) <= 4 * even
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -199,7 +199,7 @@
         refuse = Balancer.give_up
 
         def silent(self, now, call):
-            self._most_retry_after = 0.0
+            self._max_retry_after = 0.0
             refuse(self, now, call)
 
         monkeypatch.setattr(Balancer, "give_up", silent)
