--- a/lupinreach/policy/__init__.py
+++ b/lupinreach/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the agent in service, by concern; `lupinreach.balance` composes them."""
+"""The decisions of the balancer, by concern; `lupinreach.balance` composes them."""
