--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -149,7 +149,7 @@
         return backend
 
 
-def crowd(starts, step, most, until=10 * 60_000.0):
+def simulate_list_requests(starts, step, most, until=10 * 60_000.0):
     """Agents that ask a directory in one crowd: it takes `step` ms a call, in turn, and turns away after `most`.
 
     When each got its list, by seed; and of each call that was turned away, when it was made and made again. In ms
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -3,7 +3,7 @@
 import random
 from collections import Counter
 
-from helpers import DRAINING, READY, Bench, crowd, settings
+from helpers import DRAINING, READY, Bench, settings, simulate_list_requests
 
 from lupinreach.balance import EJECTION_SLOS, LATE_SLOS, QUEUE_WAIT_SLOS, SLOW_SHARE_LIMIT, TRIALS_PER_CALL
 from lupinreach.model import (
@@ -210,7 +210,7 @@
 def test_a_crowd_that_a_slow_directory_turned_away_gets_through():
     # Found on days of forty agents: 28 started at once asked a directory that takes 144 ms a call and works
     # through calls that it has turned away already; 23 of 40 came back in step and had no news for 8 s.
-    got, turned = crowd([0.0] * 28, 144.0, 2000.0)
+    got, turned = simulate_list_requests([0.0] * 28, 144.0, 2000.0)
     assert all(again < 20_000 for _, again in turned)
     assert len(got) == 28 and max(got.values()) < 10_000
 
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from helpers import READY, Bench, crowd, settings
+from helpers import READY, Bench, settings, simulate_list_requests
 
 from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, UpdateKind
 from lupinreach.policy.cold import INITIAL_LIMIT, LIMIT_GROWTH, MAX_CREDIT, RARE_BOOST
@@ -291,7 +291,9 @@
     # Found on power-registry-first: 40 agents, 150 ms a call, all back in one instant. Asking again within 4 s they kept
     # the registry busy with calls that it had turned away: 10 of 40 had heard after 20 s, and no more after that.
     chance, agents = Random(3), 40
-    got, turned = crowd([50 * chance.random() for _ in range(agents)], 150.0, 2000.0, 40_000.0)
+    got, turned = simulate_list_requests(
+        [50 * chance.random() for _ in range(agents)], 150.0, 2000.0, 40_000.0
+    )
     # Never as long without asking as counts as told.
     assert all(at < again <= at + 10_000.0 for at, again in turned)
     assert len(got) == agents and max(got.values()) < 30_000
