--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Shared by the tests: settings, a recording port, a plain model of the rules, scripted peers on loopback."""
+"""Shared by the tests: settings, a recording port, a reference model of the rules, scripted peers."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
     slo=400.0,
     timeout=2000.0,
     memory=1000.0,
-    shots=4,
-    copies=True,
+    attempts=4,
+    hedging=True,
     cold=10_000.0,
     start=0.2,
     agents=1,
@@ -53,7 +53,7 @@
     return Settings(
         products,
         Rules(500.0, 3.0, 2000.0, start, cold, 10_000.0, 20.0),
-        Limits(shots, copies, True, retry_after=True, max_retry_after=1000.0),
+        Limits(attempts, hedging, True, retry_after=True, max_retry_after=1000.0),
         customers=customers,
         agents=agents,
         step=1.0,
@@ -62,7 +62,7 @@
 
 
 class Recorder:
-    """A port that keeps what the module asked for."""
+    """A port that records what the decision module requests."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[Any, int, float]] = []
@@ -76,8 +76,8 @@
     def send(self, token, backend, until):
         self.sent.append((token, backend, until))
 
-    def cancel(self, token, shot):
-        self.cancelled.append((token, shot))
+    def cancel(self, token, attempt):
+        self.cancelled.append((token, attempt))
 
     def rate_limit(self, token, retry_after):
         self.answers.append(("rate-limited", token))
@@ -103,7 +103,7 @@
 
 
 class Bench:
-    """One balancer with a clock that the test moves; timers fire on the way."""
+    """One balancer with a clock that the test advances; timers fire on the way."""
 
     def __init__(self, given: Settings, backends=4, seed=7, entries=None) -> None:
         self.port = Recorder()
@@ -136,24 +136,24 @@
     def sent_to(self, token) -> list[int]:
         return [b for t, b, _ in self.port.sent if t == token]
 
-    def answer(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, number=None) -> None:
+    def answer(self, token, latency=100.0, end=AttemptEnd.FULFILLED, number=None) -> None:
         number = len(self.sent_to(token)) - 1 if number is None else number
-        self.calls[token].on_attempt_ended(self.now, number, ending, latency, ending is AttemptEnd.FULFILLED)
+        self.calls[token].on_attempt_ended(self.now, number, end, latency, end is AttemptEnd.FULFILLED)
 
-    def serve(self, token, latency=100.0, ending=AttemptEnd.FULFILLED, product=0) -> int:
-        """One API call from arrival to its end; returns the backend of its first shot."""
+    def serve(self, token, latency=100.0, end=AttemptEnd.FULFILLED, product=0) -> int:
+        """Serve one call from arrival to its end; returns the backend of its first attempt."""
         self.submit(token, product)
         backend = self.sent_to(token)[0]
         self.move(latency)
-        self.answer(token, latency, ending, 0)
+        self.answer(token, latency, end, 0)
         return backend
 
 
 def simulate_list_requests(starts, step, most, until=10 * 60_000.0):
-    """Agents that ask a directory in one crowd: it takes `step` ms a call, in turn, and turns away after `most`.
+    """Agents request the list at `starts`; the directory takes `step` ms for each and rejects after `most` ms.
 
-    When each got its list, by seed; and of each call that was turned away, when it was made and made again. In ms
-    since the first; nothing is begun past `until`.
+    Returns when each got its list, by seed; and for each rejected request, when it was made and repeated.
+    All in ms since the first; nothing begins after `until`.
     """
     benches = [Bench(settings(), seed=seed) for seed in range(len(starts))]
     begun, free, got, turned = benches[0].now, 0.0, {}, []
@@ -178,43 +178,45 @@
 
 
 @dataclass
-class PlainShot:
+class PlainAttempt:
+    """An attempt as the reference model keeps it."""
+
     backend: int
     at: float
-    ending: AttemptEnd | None = None
+    end: AttemptEnd | None = None
 
     @property
     def may_have_run(self) -> bool:
-        return self.ending is None or self.ending not in NEVER_RAN
+        return self.end is None or self.end not in NEVER_RAN
 
 
 @dataclass
 class PlainCall:
-    """The rules for one API call, written down once more from the wire's page and with no eye to speed."""
+    """Reference model of the rules for one call, written from the protocol's page without regard to speed."""
 
     product: Product
     limits: Limits
     until: float
-    shots: list[PlainShot] = field(default_factory=list)
+    attempts: list[PlainAttempt] = field(default_factory=list)
     final: list[str] = field(default_factory=list)
 
-    def why_not_send(self, now: float, backend: Listing, listings: dict[int, Listing]) -> str | None:
-        maybe = [s for s in self.shots if s.may_have_run]
+    def violation_of_send(self, now: float, backend: Listing, listings: dict[int, Listing]) -> str | None:
+        maybe = [s for s in self.attempts if s.may_have_run]
         if self.final:
-            return "a shot after the final answer"
+            return "an attempt after the final answer"
         if backend.state is not READY:
-            return "a shot to a backend that is not ready"
+            return "an attempt at a backend that is not ready"
         if now >= self.until:
-            return "a shot after the client timeout"
-        if len(self.shots) >= self.limits.max_attempts:
-            return "more shots than allowed"
-        if any(s.ending is None for s in self.shots) and not self.limits.allow_hedging:
-            return "two shots out at once"
+            return "an attempt after the client timeout"
+        if len(self.attempts) >= self.limits.max_attempts:
+            return "more attempts than allowed"
+        if any(s.end is None for s in self.attempts) and not self.limits.allow_hedging:
+            return "two attempts in flight at once"
         if self.product.kind is Idempotency.NON_IDEMPOTENT and maybe:
-            return "a non-idempotent API call that may have run was sent again"
+            return "a non-idempotent call that may have run was sent again"
         if self.product.kind is Idempotency.DEDUPLICATED and maybe:
             if now >= min(s.at for s in maybe) + self.product.memory:
-                return "a repeat after the memory span"
+                return "a repeat after the deduplication period"
             for s in maybe:
                 other = listings[s.backend]
                 if self.product.group is DedupScope.ZONE and other.zone != backend.zone:
@@ -223,8 +225,8 @@
                     return "a repeat in another cell"
         return None
 
-    def why_not_answer(self, what: str) -> str | None:
-        maybe = [s for s in self.shots if s.may_have_run]
+    def violation_of_answer(self, what: str) -> str | None:
+        maybe = [s for s in self.attempts if s.may_have_run]
         if self.final:
             return "a second final answer"
         if what == "rate-limited" and maybe and self.product.kind is not Idempotency.IDEMPOTENT:
@@ -233,7 +235,7 @@
         return None
 
 
-# The agent on sockets, on loopback addresses, beside backends, a directory and clients that follow a script.
+# The agent on loopback sockets, with scripted backends, directory and clients.
 
 AGENT_SETTINGS = {
     "categories": [
@@ -259,13 +261,13 @@
 
 
 class Peer:
-    """A scripted server: `script(message, writer)` is awaited for each request that comes whole."""
+    """A scripted server: `script(message, writer)` is awaited for each complete request."""
 
     def __init__(self, script) -> None:
         self.script = script
         self.requests: list[bytes] = []
         self.connections = 0
-        self.serving: set[asyncio.Task] = set()  # each leaves when its connection ends
+        self.serving: set[asyncio.Task] = set()  # one per open connection
         self.gone = asyncio.Event()  # a connection has ended
 
     async def __aenter__(self):
@@ -294,7 +296,7 @@
 
 
 def says(answer: bytes):
-    """A script that always gives this answer."""
+    """A script that always sends this answer."""
 
     async def script(request, writer):
         writer.write(answer)
@@ -303,7 +305,7 @@
 
 
 async def read_http(reader) -> bytes:
-    """One message with a Content-Length, or with no body."""
+    """Read one message with a Content-Length, or without a body."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = re.search(rb"(?i)content-length: *(\d+)", head)
     return head + await reader.readexactly(int(length[1]) if length else 0)
@@ -366,7 +368,7 @@
         return await asyncio.wait_for(read_http(reader), 5)
 
     async def settled(self) -> None:
-        """Until no API call and no shot is under way."""
+        """Wait until no call and no attempt is running."""
         while any(t.get_coro().__qualname__ in ("ApiCall.run", "Shot.run") for t in self.agent.tasks.running):
             await asyncio.sleep(0)
 
@@ -375,7 +377,7 @@
 
 
 def look(kind=b"look", deadline=b"1.5", more=b"", method=b"GET", path=b"/api", body=b"", name=None) -> bytes:
-    """A request with an id of its own."""
+    """Build a request with a unique id."""
     name = b"%x" % next(numbers) if name is None else name
     length = b"Content-Length: %d\r\n" % len(body) if body else b""
     return (
@@ -397,5 +399,5 @@
 
 
 def run(work) -> Any:
-    """Run a coroutine; no test takes longer than this."""
+    """Run a coroutine, for 20 s at most."""
     return asyncio.run(asyncio.wait_for(work, 20))
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -1,4 +1,4 @@
-"""Lists whose weights fall with what each backend holds: size / (1 + API calls held a core), late for all alike."""
+"""Lists whose weights fall with load: size / (1 + calls held per core), equally late for all agents."""
 
 import random
 from collections import Counter
@@ -9,7 +9,7 @@
 from lupinreach.config import BadConfig, read_settings
 from lupinreach.model import Listing, UpdateKind
 
-GAP = 200.0  # ms between two lists
+UPDATE_MS = 200.0  # between two updates
 
 
 def listings(loads, size=4.0):
@@ -22,26 +22,26 @@
 
 def tell(bench, loads, times=1):
     for _ in range(times):
-        bench.move(GAP)
+        bench.move(UPDATE_MS)
         bench.list(UpdateKind.CHANGES, listings(loads))
 
 
-def test_a_live_weight_is_a_size_at_its_highest_and_a_load_below():
+def test_highest_weight_is_the_size_and_lower_ones_tell_load():
     bench = live()
     tell(bench, [3.0, 0.0, 1.0, 0.0])
-    ring = {b.index: b for b in bench.agent._ready}
-    assert {b.size for b in ring.values()} == {1.0}
-    assert [round(ring[i].load, 6) for i in range(4)] == [3.0, 0.0, 1.0, 0.0]
+    ready = {b.index: b for b in bench.agent._ready}
+    assert {b.size for b in ready.values()} == {1.0}
+    assert [round(ready[i].load, 6) for i in range(4)] == [3.0, 0.0, 1.0, 0.0]
 
 
-def test_rough_and_nominal_weights_are_sizes_and_no_load():
+def test_other_kinds_of_weight_tell_no_load():
     bench = Bench(settings(), entries=listings([0.0] * 4))
     tell(bench, [3.0, 0.0, 1.0, 0.0])
-    ring = {b.index: b for b in bench.agent._ready}
-    assert ring[0].size < ring[1].size and not any(b.load for b in ring.values())
+    ready = {b.index: b for b in bench.agent._ready}
+    assert ready[0].size < ready[1].size and not any(b.load for b in ready.values())
 
 
-def test_a_home_stays_where_it_is_while_weights_swing_and_is_left_while_it_is_loaded():
+def test_key_keeps_its_home_while_weights_vary_and_leaves_it_while_it_is_loaded():
     bench = live(backends=6, warm_keys=True)
     rng = random.Random(5)
     at = set()
@@ -63,7 +63,7 @@
     assert bench.submit("back", key=77).attempts[0].backend.index == home
 
 
-def test_a_loaded_backend_gets_fewer_turns_and_none_is_flooded():
+def test_loaded_backend_gets_fewer_turns_and_none_is_overloaded():
     bench = live(backends=4)
     turns = Counter()
     for n in range(200):
@@ -75,7 +75,7 @@
     assert max(rest) < 1.2 * min(rest)
 
 
-def test_many_agents_refuse_by_the_load_that_the_list_tells_and_take_all_again_when_it_falls():
+def test_many_agents_reject_by_listed_load_and_admit_all_when_it_falls():
     bench = live(agents=100)
     tell(bench, [0.0] * 4, times=5)
     bench.serve("first", 100.0)
@@ -84,7 +84,7 @@
         before = len(bench.port.answers)
         for n in range(first, first + 40):
             if bench.submit(n).attempts:
-                bench.move(350.0)  # slow, within the SLO: the agent feels it too
+                bench.move(350.0)  # slow, within the SLO: the agent's own attempts show it too
                 bench.answer(n, 350.0)
         return len(bench.port.answers) - before
 
@@ -97,8 +97,8 @@
     assert refused(200) == 0
 
 
-def test_a_list_that_says_full_refuses_nothing_while_own_shots_are_quick():
-    # Found by a drawn day: lists ten seconds old kept a fleet refusing 88% while it stood idle.
+def test_listed_overload_rejects_nothing_while_own_attempts_are_fast():
+    # Found on a generated day: lists ten seconds old kept an idle fleet rejecting 88% of the calls.
     bench = live(agents=100)
     for n in range(40):
         bench.serve(n, 30.0)
@@ -108,17 +108,17 @@
     assert not bench.port.answers
 
 
-def test_first_tries_go_before_repeats_and_before_what_has_little_time_left():
-    # Found at big-2: clients that came again at once got most of a fleet that was short of room.
+def test_first_tries_go_before_retries_and_calls_with_little_time_left():
+    # Found on an overloaded fleet: clients that retried at once got most of its capacity.
     bench = live(agents=100)
-    room = bench.submit("first").limit_share
-    assert bench.submit("again", is_retry=True).limit_share == room / 2
-    assert bench.submit("short", left=100.0).limit_share == pytest.approx(room / 4)
+    share = bench.submit("first").limit_share
+    assert bench.submit("again", is_retry=True).limit_share == share / 2
+    assert bench.submit("short", left=100.0).limit_share == pytest.approx(share / 4)
     plain = Bench(settings())
     assert plain.submit("again", is_retry=True).limit_share == plain.submit("first").limit_share
 
 
-def test_the_word_for_weights_is_read_and_checked():
+def test_weight_kind_is_read_and_checked():
     raw = {"categories": [{"give_up": 2000.0}]}
     assert read_settings(raw).live_weights is False
     assert [
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("size", [0.0, -3.0, 1e9, float("inf"), float("nan")])
-def test_a_weight_out_of_all_reason_is_not_taken(size):
+def test_implausible_weight_is_ignored(size):
     bench = live()
     tell(bench, [1.0] * 4)
     bench.list(UpdateKind.CHANGES, [Listing(0, READY, size=size)])
