--- a/lupinreach/balance.py
+++ b/lupinreach/balance.py
@@ -34,7 +34,7 @@
 EJECTION_SLOS = 4.0  # x longest SLO: from an ejection to the trial
 MAX_SPEEDUP = 4.0  # a backend this many times faster than usual gets no further turns for being faster
 CROWDED_FACTOR = 1.0  # x mean in flight for a backend's size: above it, others are chosen first
-SUBSET_PER_CALL = 0.25  # backends in use per call of an ejection period (at least `_min_subset`)
+SUBSET_PER_CALL = 0.25  # backends in use per call of an ejection period (at least `_min_used`)
 SWAP_PERIODS = 2.0  # x ejection period: time between two replacements of the slowest backend in use
 HOMES_PER_KEY = 5  # home backends of a key, where backends do less work for keys that they have seen
 CALM_LOAD = 1.5  # calls held a core: up to it, or the full load, a key stays at its first home
@@ -43,14 +43,14 @@
 QUEUE_WAIT_SLOS = 0.1  # x SLO: how long a call may wait in the queue
 LATE_SLOS = 0.8  # x SLO: age at which an attempt is hedged, or cancelled and retried without hedging
 RETRIES_PER_CALL = 0.05  # further attempts that may repeat work, earned by each call
-RETRY_BUDGET_MAX = 10.0  # the most of them that may be saved up
+BUDGET_MAX = 10.0  # the most that may be saved up; and calls that a customer may have sent beyond its share
 TRIALS_PER_CALL = 0.05  # trials earned by each call
 RETRY_AFTER_SLOS = 0.25  # x SLO: delay that a rate-limited client is told to wait
 SILENT_FACTOR = 4.0  # x the backend's latency: one attempt pending longer than that and its SLO ejects
 MIN_LEFT_SLOS = 0.1  # x SLO: less time left reduces a call's share of the limit no further
 SWEEP_SLOS = 0.05  # x shortest SLO: interval of sweeps while calls are queued
 COLD_SUBSET = 0.5  # x backends in use while most are cold, to learn sooner which are fast
-FALL_FRACTION = 0.5  # x fall_multiple: extra credit of cold backends while too few are warm
+FALL_FRACTION = 0.5  # x fall_multiple: credit factor of cold backends while too few are warm
 RELIST_MIN, RELIST_MAX = 0.1, 0.9  # x ask_within: bounds of the delay before the list is requested again
 
 
@@ -112,7 +112,7 @@
         self._open_calls: dict[Call, None] = {}  # with pending attempts; removed when the last one ends
         self._queue: list[Call] = []  # waiting for capacity, at most for QUEUE_WAIT_SLOS
         self._cost = 0.0  # mean cost hint of the calls; 0 = none seen
-        self._budget = RETRY_BUDGET_MAX / 2
+        self._budget = BUDGET_MAX / 2
         self._trials = 1.0
         self._trial_rate: float | None = None  # this agent's part of the fleet's trials, per ms
         self._fleet_over_share: frozenset[int] | None = None  # customers over their share, by all agents
@@ -157,7 +157,7 @@
             share *= (MIN_SHARE if incoming.is_retry else 1.0) * min(1.0, max(MIN_LEFT_SLOS, left))
         call = Call(self, now, incoming, work, share)
         self._new_work += work
-        self._budget = min(RETRY_BUDGET_MAX, self._budget + RETRIES_PER_CALL)
+        self._budget = min(BUDGET_MAX, self._budget + RETRIES_PER_CALL)
         part = TRIALS_PER_CALL if self._trial_rate is None else self._trial_rate * (now - self._submitted_at)
         self._trials = min(1.0, self._trials + min(TRIALS_PER_CALL, part))
         self._call_rate = 1 + self._call_rate * max(0.0, 1 - (now - self._submitted_at) / self._ejection_ms)
@@ -531,8 +531,8 @@
             return customer in self._fleet_over_share
         for i, fraction in enumerate(self._fractions):
             self._excess[i] = max(0.0, self._excess[i] - fraction)
-        self._excess[customer] = min(RETRY_BUDGET_MAX * 2, self._excess[customer] + 1)
-        return self._excess[customer] > RETRY_BUDGET_MAX
+        self._excess[customer] = min(BUDGET_MAX * 2, self._excess[customer] + 1)
+        return self._excess[customer] > BUDGET_MAX
 
     def _random(self) -> float:
         self._draws += 1
--- a/lupinreach/policy/learning.py
+++ b/lupinreach/policy/learning.py
@@ -20,7 +20,7 @@
 MIN_POOL = 0.5  # share of the ready backends that ejection leaves in use
 TYPICAL_WEIGHT = 0.02  # of the newest sample in typical latencies and failure rates
 RECENT_WEIGHT = 0.05  # of the newest sample in recent latencies and, at least, in the share of slow attempts
-MAX_RECENT_WEIGHT = 0.5  # at most, after a pause
+MAX_RECENT_WEIGHT = 0.5  # of one attempt in that share, at most
 SLOW_SHARE_LIMIT = 1 / 3  # share of slow attempts from which the agent's own limit in flight is reduced
 LIMIT_CUT = 0.3  # reduction of the limit for an excess of 1 over that share
 MIN_SHARE = 0.5  # share of the limit that calls of least value may fill; those of most value fill it all
@@ -41,7 +41,7 @@
         if attempt.trial:
             b.trial = None
         if end is AttemptEnd.REFUSED:
-            # Drops its credit: guards against agents that have all saved it up by the time it is back.
+            # Its credit stays spent: guards against agents that have all saved it up by the time it is back.
             self._mark_down(now, b)
         elif end not in NO_ANSWER:
             b.has_responded = True
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -150,7 +150,7 @@
 
 
 def simulate_list_requests(starts, step, most, until=10 * 60_000.0):
-    """Agents request the list at `starts`; the directory takes `step` ms for each and rejects after `most` ms.
+    """Agents request the list at `starts`; the directory takes `step` ms each and rejects after `most` ms.
 
     Returns when each got its list, by seed; and for each rejected request, when it was made and repeated.
     All in ms since the first; nothing begins after `until`.
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -160,7 +160,7 @@
 
 def test_no_order_of_returns_gives_a_cold_backend_more_than_its_part_of_what_all_agents_are_asked():
     # The bound: over all agents that use it, asked / size of those they use x its size x the part of its age x half of the
-    # fall multiple x MOST_EARNS, and one shot of each. Twenty agents on one list, asked unevenly.
+    # fall multiple x MAX_CREDIT, and one shot of each. Twenty agents on one list, asked unevenly.
     start, asked = 1_000_000.0, [4, 4, 4, 8, 8, 16, 16, 30, 30, 60]
     benches = []
     for n, _ in enumerate(asked):
@@ -183,7 +183,7 @@
 def test_the_first_of_a_fleet_to_be_listed_gets_no_more_in_flight_than_it_may_hold_whatever_is_asked():
     # Found on power-one-by-one (seed 44): the one backend that stood was all that agents had a list of, and so earned what all
     # of them were asked: 1.154 of what the rule allows. The bound (Little's law): what all agents earn there, times what a
-    # shot takes, is under `lanes`; and the lanes grow no faster than WIDEN allows.
+    # shot takes, is under `_cold_limit`, which grows no faster than LIMIT_GROWTH allows.
     took, agents = 400.0, 20
     benches = [Bench(settings(cold=COLD, agents=agents), seed=n) for n in range(agents)]
     for bench in benches:
