--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from helpers import READY, Bench, crowd, settings
+from helpers import READY, Bench, settings, simulate_list_requests
 
 from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, UpdateKind
 from lupinreach.policy.cold import INITIAL_LIMIT, LIMIT_GROWTH, MAX_CREDIT, RARE_BOOST
@@ -160,7 +160,7 @@
 
 def test_no_order_of_returns_gives_a_cold_backend_more_than_its_part_of_what_all_agents_are_asked():
     # The bound: over all agents that use it, asked / size of those they use x its size x the part of its age x half of the
-    # fall multiple x MOST_EARNS, and one shot of each. Twenty agents on one list, asked unevenly.
+    # fall multiple x MAX_CREDIT, and one shot of each. Twenty agents on one list, asked unevenly.
     start, asked = 1_000_000.0, [4, 4, 4, 8, 8, 16, 16, 30, 30, 60]
     benches = []
     for n, _ in enumerate(asked):
@@ -183,7 +183,7 @@
 def test_the_first_of_a_fleet_to_be_listed_gets_no_more_in_flight_than_it_may_hold_whatever_is_asked():
     # Found on power-one-by-one (seed 44): the one backend that stood was all that agents had a list of, and so earned what all
     # of them were asked: 1.154 of what the rule allows. The bound (Little's law): what all agents earn there, times what a
-    # shot takes, is under `lanes`; and the lanes grow no faster than WIDEN allows.
+    # shot takes, is under `_cold_limit`, which grows no faster than LIMIT_GROWTH allows.
     took, agents = 400.0, 20
     benches = [Bench(settings(cold=COLD, agents=agents), seed=n) for n in range(agents)]
     for bench in benches:
@@ -281,7 +281,7 @@
         * (1 + RARE_BOOST / (1 + asked * agent._fall_ms))
         / 4
         * agent._capacity(bench.now, agent._ready[0])
-        * agent._when_few
+        * agent._boost
     )
     assert earns[0] == pytest.approx(MAX_CREDIT * even)  # 0.47 of the paces, no more than that
     assert earns[3] == pytest.approx(4 * even * 0.25 / 4.25) and sum(earns) <= 4 * even
@@ -291,7 +291,9 @@
     # Found on power-registry-first: 40 agents, 150 ms a call, all back in one instant. Asking again within 4 s they kept
     # the registry busy with calls that it had turned away: 10 of 40 had heard after 20 s, and no more after that.
     chance, agents = Random(3), 40
-    got, turned = crowd([50 * chance.random() for _ in range(agents)], 150.0, 2000.0, 40_000.0)
+    got, turned = simulate_list_requests(
+        [50 * chance.random() for _ in range(agents)], 150.0, 2000.0, 40_000.0
+    )
     # Never as long without asking as counts as told.
     assert all(at < again <= at + 10_000.0 for at, again in turned)
     assert len(got) == agents and max(got.values()) < 30_000
