--- a/lupinreach/mesh/model/disk.py
+++ b/lupinreach/mesh/model/disk.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Any
 
-from lupinreach.mesh.store.disk import DiskFailed
+from lupinreach.mesh.store.disk import DiskWriteError
 
 
 class DiskMode(Enum):
@@ -34,9 +34,9 @@
         return dict(self.values)
 
     def save(self, changes: Mapping[str, Any]) -> None:
-        """Store the values; raises `DiskFailed` or `ProcessDied` as the disk's mode demands."""
+        """Store the values; raises `DiskWriteError` or `ProcessDied` as the disk's mode demands."""
         if self.mode is DiskMode.FULL:
-            raise DiskFailed("no space")
+            raise DiskWriteError("no space")
         if self.mode is DiskMode.DIES_BEFORE:
             raise ProcessDied
         self.values.update(changes)
--- a/lupinreach/mesh/model/histories.py
+++ b/lupinreach/mesh/model/histories.py
@@ -66,7 +66,7 @@
             history.hosts[:3],
             first,
             history.tolerance,
-            chance=random.Random(history.chance.random()),
+            rng=random.Random(history.chance.random()),
         )
 
     @property
@@ -192,7 +192,7 @@
     ) -> None:
         if other.replica is receiver and other.running_replica is not None:
             member = Member(source.identity, store.host, store.zone)
-            receiver.heard(member, source.born_first, self.now, source.healthy, source.leaving)
+            receiver.record_contact(member, source.born_first, self.now, source.healthy, source.leaving)
             self._run_step(other, receiver.learn, source.view)
 
     # Operator requests.
--- a/lupinreach/mesh/store/program.py
+++ b/lupinreach/mesh/store/program.py
@@ -1,4 +1,4 @@
-"""The store program: a replica with its disk, its links to the other stores, and the registries it serves."""
+"""The store process: a replica with its disk, its links to other stores, and its registry subscribers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     encode,
 )
 from lupinreach.mesh.metrics import Metric
-from lupinreach.mesh.send_window import NewsProgress
+from lupinreach.mesh.send_window import UpdateProgress
 from lupinreach.mesh.settings import Settings
 from lupinreach.mesh.store.disk import SqliteRecord
 from lupinreach.mesh.store.document import Document
@@ -28,15 +28,15 @@
 from lupinreach.mesh.store.view import Member, Tolerance, View
 from lupinreach.mesh.tasks import spawn
 
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 STATUS_TICKS = 2  # ticks between two heartbeats to other stores
-SUBSCRIBER_TICKS = 5  # and to registries
-GOSSIP_TICKS = 20  # and between two of them that name all known stores
-HAND_OVER_SHARE = 0.4  # of the grace period: the longest wait for others to take over
+SUBSCRIBER_STATUS_TICKS = 5  # ticks between two heartbeats to registries
+GOSSIP_TICKS = 20  # ticks between two heartbeats that list the linked stores
+HAND_OVER_GRACE_FRACTION = 0.4  # share of the grace period to wait at most for other stores to take over
 
 
 class StoreProgram:
-    """One store."""
+    """The process of one store, and the port of its replica."""
 
     def __init__(self, settings: Settings, log: EventLog) -> None:
         assert settings.data_directory is not None
@@ -56,19 +56,19 @@
             region_of=lambda zone: zones.get(zone, ""),
         )
         self._dialers: dict[str, Dialer] = {}  # by host
-        self._links: dict[str, Link] = {}  # dialled ones by the identity at the other end
-        self._accepted: dict[str, Link] = {}  # and those that were dialled from there
-        self._epochs: dict[str, int] = {}  # of the views that other stores know
-        self._stores: dict[str, list[Any]] = {}  # by identity: as in StoreStatus
-        self._subscribers: dict[Link, NewsProgress] = {}  # registries that want news
+        self._links: dict[str, Link] = {}  # outgoing links by the peer's identity
+        self._accepted_links: dict[str, Link] = {}  # incoming links by the peer's identity
+        self._known_epochs: dict[str, int] = {}  # by identity: the epoch that a store last reported
+        self._known_stores: dict[str, list[Any]] = {}  # by identity, as in StoreStatus.stores
+        self._subscribers: dict[Link, UpdateProgress] = {}  # registries by their link
         self._ticks = 0
         self._published = 0
 
     async def start(self) -> None:
-        """Listen, and dial the seeds."""
+        """Listen for links, and dial the seeds."""
         settings = self._settings
         address = (settings.ip_address, settings.store_port)
-        self._server = await listen(address, lambda: Link(self._message, self._closed))
+        self._server = await listen(address, lambda: Link(self._on_message, self._on_link_closed))
         for host in settings.seed_hosts:
             self._dial(host)
         self._ticker = spawn(self._run())
@@ -79,21 +79,21 @@
             self._ticks += 1
             self.replica.tick(loop.time())
             self._heartbeat()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def settings_changed(self, settings: Settings) -> None:
-        """Seeds may have changed: dial what is new."""
+        """Dial seeds that are new in changed settings."""
         for host in settings.seed_hosts:
             self._dial(host)
 
     async def stop(self) -> None:
-        """Let others take over what this store holds a copy of, then end; its disk may never come back."""
+        """Wait for other stores to take over this one's copy, then end: its disk may never come back."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._settings.bounds.grace_period_s * HAND_OVER_SHARE
+        deadline = loop.time() + self._settings.bounds.grace_period_s * HAND_OVER_GRACE_FRACTION
         self.replica.leave()
-        self._tell_stores([])
-        while not self.replica.handed_over and self._links and loop.time() < until:
-            await asyncio.sleep(TICK_S)
+        self._send_status_to_stores([])
+        while not self.replica.handed_over and self._links and loop.time() < deadline:
+            await asyncio.sleep(TICK_INTERVAL_S)
         self._log.write(Event.HANDED_OVER, done=self.replica.handed_over, epoch=self.replica.view.epoch)
         self._ticker.cancel()
         self._server.close()
@@ -105,28 +105,28 @@
         if host == self._settings.ip_address or host in self._dialers:
             return
         address = (host, self._settings.store_port)
-        self._dialers[host] = Dialer(address, self._up, self._message, self._down)
+        self._dialers[host] = Dialer(address, self._on_link_up, self._on_message, self._on_link_down)
 
     def _hello(self) -> StoreHello:
         me = self.replica.me
         return StoreHello(me.identity, me.host, me.zone, self.replica.born_first)
 
-    def _up(self, link: Link) -> None:
+    def _on_link_up(self, link: Link) -> None:
         link.send(self._hello())
 
-    def _down(self, link: Link) -> None:
+    def _on_link_down(self, link: Link) -> None:
         if link.owner is not None and self._links.get(link.owner) is link:
             del self._links[link.owner]
 
-    def _closed(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         self._subscribers.pop(link, None)
-        if link.owner is not None and self._accepted.get(link.owner) is link:
-            del self._accepted[link.owner]
+        if link.owner is not None and self._accepted_links.get(link.owner) is link:
+            del self._accepted_links[link.owner]
 
     def _is_dialled(self, link: Link) -> bool:
         return any(dialer.link is link for dialer in self._dialers.values())
 
-    def _message(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         if isinstance(message, StoreHello):
             self._on_hello(link, message)
         elif isinstance(message, StoreStatus):
@@ -144,53 +144,55 @@
 
     def _on_hello(self, link: Link, hello: StoreHello) -> None:
         link.owner = hello.identity
-        self._stores[hello.identity] = [hello.identity, hello.address, hello.zone, hello.born_first]
+        self._known_stores[hello.identity] = [hello.identity, hello.address, hello.zone, hello.born_first]
         self._dial(hello.address)
         if self._is_dialled(link):
             self._links[hello.identity] = link
-            self._heard(hello.identity)
-            self.replica.link_up(hello.identity)
+            self._record_contact(hello.identity)
+            self.replica.on_link_up(hello.identity)
         else:
-            self._accepted[hello.identity] = link
+            self._accepted_links[hello.identity] = link
             link.send(self._hello())
 
-    def _heard(self, identity: str, healthy: bool = True, leaving: bool = False) -> None:
-        known = self._stores.get(identity)
+    def _record_contact(self, identity: str, healthy: bool = True, leaving: bool = False) -> None:
+        known = self._known_stores.get(identity)
         if known is not None:
             member = Member(known[0], known[1], known[2])
             now = asyncio.get_running_loop().time()
-            self.replica.heard(member, known[3], now, healthy, leaving)
+            self.replica.record_contact(member, known[3], now, healthy, leaving)
 
     def _on_status(self, link: Link, status: StoreStatus) -> None:
         if link.owner != status.identity:
             return
-        self._epochs[status.identity] = status.epoch
-        self._heard(status.identity, status.healthy, status.leaving)
+        self._known_epochs[status.identity] = status.epoch
+        self._record_contact(status.identity, status.healthy, status.leaving)
         if status.view is not None:
             self.replica.learn(View.from_list(status.view))
         for identity, host, zone, born_first in status.stores:
-            self._stores.setdefault(identity, [identity, host, zone, born_first])
+            self._known_stores.setdefault(identity, [identity, host, zone, born_first])
             self._dial(host)
 
     def _heartbeat(self) -> None:
         replica = self.replica
         gossip = self._ticks % GOSSIP_TICKS == 0
         stores = (
-            [self._stores[identity] for identity in self._links if identity in self._stores] if gossip else []
+            [self._known_stores[identity] for identity in self._links if identity in self._known_stores]
+            if gossip
+            else []
         )
         if self._ticks % STATUS_TICKS == 0:
-            self._tell_stores(stores)
-        if self._ticks % SUBSCRIBER_TICKS == 0:
+            self._send_status_to_stores(stores)
+        if self._ticks % SUBSCRIBER_STATUS_TICKS == 0:
             hosts = [*stores, [replica.identity, replica.me.host, replica.me.zone, replica.born_first]]
             for link in self._subscribers:
                 link.send(self._status(None, hosts if gossip else []))
                 if replica.serving:
-                    self._send_news(link)  # to those that subscribed while it did not serve
+                    self._send_news(link)  # for registries that subscribed while this store was not serving
 
-    def _tell_stores(self, stores: list[list[Any]]) -> None:
+    def _send_status_to_stores(self, stores: list[list[Any]]) -> None:
         view = self.replica.view
         for identity, link in self._links.items():
-            behind = self._epochs.get(identity, -1) < view.epoch
+            behind = self._known_epochs.get(identity, -1) < view.epoch
             link.send(self._status(view.to_list() if behind else None, stores))
 
     def _status(self, view: list[Any] | None, stores: list[list[Any]]) -> StoreStatus:
@@ -207,7 +209,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """What this store holds, for operators."""
+        """State of this store, for operators."""
         replica = self.replica
         return {
             "role": "store",
@@ -225,7 +227,7 @@
         }
 
     def metrics(self) -> list[Metric]:
-        """Figures of this store."""
+        """Metrics of this store."""
         replica = self.replica
         subscribers = [link.unsent for link in self._subscribers] or [0]
         stores = [link.unsent for link in self._links.values()] or [0]
@@ -241,11 +243,11 @@
     # Registries.
 
     def _on_subscribe(self, link: Link, message: Subscribe) -> None:
-        subscriber = self._subscribers.setdefault(link, NewsProgress())
+        subscriber = self._subscribers.setdefault(link, UpdateProgress())
         subscriber.config_version = message.config_version
         subscriber.acknowledges = message.acknowledges
         me = self.replica.me
-        hosts = [*self._stores.values(), [me.identity, me.host, me.zone, self.replica.born_first]]
+        hosts = [*self._known_stores.values(), [me.identity, me.host, me.zone, self.replica.born_first]]
         link.send(self._status(None, hosts))
         if self.replica.serving:
             self._send_news(link)
@@ -257,9 +259,9 @@
             self._send_news(link)
 
     def _send_news(self, link: Link) -> None:
-        """Send the newest committed state to a registry, unless one is on its way there: then it follows that.
+        """Send the newest committed state to a registry; if its send window is full, after the next acknowledgement.
 
-        Its stamp is that of the committed document: the replica's own may be of one that is still being written.
+        The stamp is that of the committed document; `Replica.stamp` may belong to one that is still being written.
         """
         document = self.replica.committed
         if document is None:
@@ -275,17 +277,20 @@
         subscriber.sent(len(data), document.version, stamp)
         link.send_encoded(data)
 
-    # The replica's port.
+    # Implementation of the replica's `Port`.
 
     def send(self, identity: str, message: Message) -> None:
-        link = self._links.get(identity) or self._accepted.get(identity)
+        """Send a message to another store, if there is a link to it."""
+        link = self._links.get(identity) or self._accepted_links.get(identity)
         if link is not None:
             link.send(message)
 
     def log(self, event: Event, **facts: Any) -> None:
+        """Write an event to the log."""
         self._log.write(event, **facts)
 
     def publish(self, stamp: list[int], document: Document) -> None:
+        """Log a newly committed document and send it to the subscribed registries."""
         self._published += 1
         self._log.write(
             Event.ORDER_COMMITTED, stamp=f"{stamp[0]}.{stamp[1]}", version=document.version or "none"
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from lupinreach.balance import Call
-from lupinreach.model import Idempotency, IncomingCall, Load
+from lupinreach.model import Idempotency, Load, NewCall
 from lupinreach.net import http, protocol
 from lupinreach.net.counters import Counters
 from lupinreach.net.ends import ENDINGS, End
@@ -172,7 +172,7 @@
                         took = now() - shots[number].sent if shot.took is None else shot.took
                         call.on_attempt_ended(now(), number, ENDINGS[shot.end], took, served, load)
                         if served and answer:
-                            lines = http.passed_on(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
+                            lines = http.forwarded_headers(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
                             self._answer("fulfilled", protocol.SERVED, answer.body, lines)
                     case RateLimit(retry_after):
                         self._rate_limit(retry_after)
@@ -266,7 +266,7 @@
         if self.answered.done() or self._passing is not None or shot.answer is None:
             out.task.cancel()
             return False
-        lines = http.passed_on(shot.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
+        lines = http.forwarded_headers(shot.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
         if not shot.pass_on(self._answers.begin(protocol.SERVED, lines, shot.length)):
             return False  # it lands like one that brought nothing
         self._passing = number
@@ -305,14 +305,14 @@
 
 def compose(request: http.Message, left: float, length: int | None) -> bytes:
     """The head of a shot, with so many s left; `length` of the body, None where it comes in chunks."""
-    headers = http.passed_on(request, protocol.BETWEEN_CLIENT_AND_AGENT)
+    headers = http.forwarded_headers(request, protocol.BETWEEN_CLIENT_AND_AGENT)
     headers.append(memoryview(protocol.DEADLINE_LINE % max(0.001, left)))
     return http.request(request.method, request.target, headers, request.headers.get(b"host", b""), length)
 
 
 def read_ask(
     token: ApiCall | None, request: http.Message, arrived: float, serving: Serving
-) -> tuple[IncomingCall, float]:
+) -> tuple[NewCall, float]:
     """A request in our words, and when its client stops waiting."""
     if request.method not in (b"GET", b"POST"):
         raise BadRequest("the method must be GET or POST")
@@ -338,7 +338,7 @@
     # The deadline counts from the client's sending, timers run late, and the answer has a way to go.
     until = arrived + waits - min(serving.settings.rules.answer_slack, MARGIN * waits)
     key = protocol.KEY.fullmatch(request.target.partition(b"?")[0])
-    return IncomingCall(
+    return NewCall(
         token,
         index,
         until,
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -11,7 +11,7 @@
 import orjson
 
 from lupinreach.config import NEEDED, Address, AgentConfig, BadConfig, Section
-from lupinreach.model import ListedState, Listing, UpdateKind
+from lupinreach.model import Listing, ListState, UpdateKind
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import Channel
 from lupinreach.net.clock import Clock
@@ -183,9 +183,9 @@
         try:
             async with asyncio.timeout(silence):
                 head = await http.read_head(channel, answer=True)
-            if head.first[2] != 200 or not head.chunked:
+            if head.start_line[2] != 200 or not head.chunked:
                 raise Ended(End.FAULT)
-            chunks, line = http.Chunks(bound=False), bytearray()
+            chunks, line = http.ChunkedDecoder(bound=False), bytearray()
             while True:
                 pieces, used = chunks.feed(memoryview(channel.buffer)[channel.start : channel.end])
                 channel.start += used
@@ -209,7 +209,7 @@
         self._counters.directory["called"] += 1
         host = b"%s:%d" % (address[0].encode(), address[1])
         channel = await connect(
-            self._sockets, address, SILENT_BEATS * protocol.BEAT, http.MOST_HEAD + MOST_LIST
+            self._sockets, address, SILENT_BEATS * protocol.BEAT, http.MAX_HEAD_BYTES + MOST_LIST
         )
         channel.write(http.request(b"GET", target, (), host))
         return channel
@@ -249,12 +249,12 @@
             elif entry.place.address != address:
                 pool.forget(entry.place)
                 entry.place = Place(entry.place.backend, address)
-            if listing.state is ListedState.READY:
+            if listing.state is ListState.READY:
                 pool.keep(entry.place)
             else:
                 pool.forget(entry.place)
             self._by_index[entry.place.backend] = entry.place
-            entry.gone_at = now if listing.state is ListedState.REMOVED else None
+            entry.gone_at = now if listing.state is ListState.REMOVED else None
         if news is not UpdateKind.CHANGES:
             named = {uid for uid, _, _ in read}
             for uid, entry in self._entries.items():
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -33,7 +33,7 @@
     StartupSequence,
 )
 from lupinreach.fleet.wire import Drain, Message
-from lupinreach.model import ListedState, Listing, UpdateKind
+from lupinreach.model import Listing, ListState, UpdateKind
 from lupinreach.net.agent import Agent
 from lupinreach.store import trust
 from lupinreach.store.records import FileContents
@@ -167,11 +167,11 @@
                 del self._listed[removed.backend]
                 self._lift(removed)
         for e in entries:
-            if e.state is ListedState.REMOVED:
+            if e.state is ListState.REMOVED:
                 self._listed.pop(e.backend, None)
             else:
                 self._listed[e.backend] = e
-            if e.state is ListedState.DRAINING:
+            if e.state is ListState.DRAINING:
                 drain = _drain(e)
                 if self.drains.add(drain):
                     self._store.put(f"drain/{drain.backend}", drain.boot)
@@ -198,8 +198,8 @@
     def _with_withheld(self, entries: Iterable[Listing]) -> list[Listing]:
         """The entries with withheld backends as draining."""
         return [
-            replace(e, state=ListedState.DRAINING)
-            if e.backend in self._withheld_indices and e.state is ListedState.READY
+            replace(e, state=ListState.DRAINING)
+            if e.backend in self._withheld_indices and e.state is ListState.READY
             else e
             for e in entries
         ]
@@ -209,7 +209,7 @@
             self._store.put(f"drain/{e.name}", None)
 
     def _withheld_set(self) -> set[int]:
-        ready = {_drain(e): e.backend for e in self._listed.values() if e.state is ListedState.READY}
+        ready = {_drain(e): e.backend for e in self._listed.values() if e.state is ListState.READY}
         names = self.drains.withheld(ready)
         return {index for drain, index in ready.items() if drain.backend in names}
 
@@ -225,13 +225,13 @@
             self._agent.standing.listed = self._agent.standing.listed or bool(self._listed)
             return
         changed = [
-            replace(self._listed[i], state=ListedState.DRAINING if i in held else ListedState.READY)
+            replace(self._listed[i], state=ListState.DRAINING if i in held else ListState.READY)
             for i in sorted(held ^ before)
-            if i in self._listed and self._listed[i].state is ListedState.READY
+            if i in self._listed and self._listed[i].state is ListState.READY
         ]
         if changed:
             self._agent.counters.others["fleet: held by others' word"] += sum(
-                e.state is ListedState.DRAINING for e in changed
+                e.state is ListState.DRAINING for e in changed
             )
             self._agent.balancer.update_backends(self._agent.clock.now(), UpdateKind.CHANGES, changed)
 
@@ -467,7 +467,7 @@
         self._registry_heard = self._registry_heard or current
         if current and now >= self._claims_expire_at and self.drains.drop_claims():
             self._apply_withheld()
-        ready = [e for e in self._listed.values() if e.state is ListedState.READY]
+        ready = [e for e in self._listed.values() if e.state is ListState.READY]
         cold = sum(e.boot_time > 0 and now < e.boot_time + self._cold for e in ready)
         facts = StartupFacts(
             True,
--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -46,7 +46,7 @@
         lines = [b"Content-Type: " + kind + b"\r\n"]
         if self.allow:
             lines.append(b"Allow: " + self.allow + b"\r\n")
-        return http.answer(self.status, lines, body, keeps=False)
+        return http.response(self.status, lines, body, keep_alive=False)
 
 
 class OperatorEndpoint:
@@ -98,7 +98,7 @@
         ):  # guards against hundreds of connections at once that would delay API calls
             try:
                 sock, _ = self._socket.accept()
-                channel = Channel(sock, http.MOST_HEAD + MAX_BODY_BYTES)
+                channel = Channel(sock, http.MAX_HEAD_BYTES + MAX_BODY_BYTES)
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failed:
@@ -149,7 +149,7 @@
             if error.end is End.TOO_LARGE:
                 return Response(413, "the call is too large")
             return Response(400, "the call can't be read") if error.end is End.MALFORMED else None
-        method, target, _ = head.first
+        method, target, _ = head.start_line
         path = target.partition(b"?")[0]
         if path not in self._routes:
             return Response(404, f"no such path; there are {b', '.join(self._routes).decode()}")
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from helpers import READY, Bench, crowd, settings
+from helpers import READY, Bench, settings, simulate_list_requests
 
 from lupinreach.model import AttemptEnd, DedupScope, Idempotency, Listing, UpdateKind
 from lupinreach.policy.cold import INITIAL_LIMIT, LIMIT_GROWTH, MAX_CREDIT, RARE_BOOST
@@ -292,7 +292,7 @@
         * (1 + RARE_BOOST / (1 + asked * agent._fall_ms))
         / 4
         * agent._capacity(bench.now, agent._ready[0])
-        * agent._when_few
+        * agent._boost
     )
     assert earns[0] == pytest.approx(
         MAX_CREDIT * even
@@ -305,7 +305,9 @@
     # s, they kept the registry busy with calls that it had rejected: 10 of 40 had an answer after 20 s, and
     # no more after that.
     chance, agents = Random(3), 40
-    answered, rejected = crowd([50 * chance.random() for _ in range(agents)], 150.0, 2000.0, 40_000.0)
+    answered, rejected = simulate_list_requests(
+        [50 * chance.random() for _ in range(agents)], 150.0, 2000.0, 40_000.0
+    )
     # After a rejection each agent calls again within the time in which it has to ask the registry (10 s).
     assert all(at < again <= at + 10_000.0 for at, again in rejected)
     assert len(answered) == agents and max(answered.values()) < 30_000
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -23,7 +23,7 @@
 from lupinreach.fleet.membership import NEVER_HEARD
 from lupinreach.fleet.recovery import RevisionFloor
 from lupinreach.fleet.wire import HEARTBEAT, REPLY, Drain, Message
-from lupinreach.model import ListedState, Listing, UpdateKind
+from lupinreach.model import Listing, ListState, UpdateKind
 from lupinreach.ops import persistence
 from lupinreach.ops.fleet_agent import FleetAgent
 from lupinreach.store import records
@@ -239,14 +239,14 @@
 def test_drains_are_stored_passed_on_and_ended_by_a_list_that_is_not_older():
     agent, part = one(state={"drain/70": 9, "floor": 50, "life": 3, "drain/x": 1, "drain/71": "no"})
     ready, draining = (
-        Listing(0, ListedState.READY, 9.0, name=70),
-        Listing(1, ListedState.DRAINING, 9.0, name=71),
+        Listing(0, ListState.READY, 9.0, name=70),
+        Listing(1, ListState.DRAINING, 9.0, name=71),
     )
     assert part.own.incarnation.number == 4
     assert agent.directory.older(40)
     assert [e.state for e in part.apply_list(UpdateKind.CHANGES, [ready, draining], True)] == [
-        ListedState.DRAINING,
-        ListedState.DRAINING,
+        ListState.DRAINING,
+        ListState.DRAINING,
     ]
     part.on_datagram(5, wire.encode(Message(wire.QUERY, 5, Incarnation(1, 1), 1, False, 0, nonce=8)))
     # Synced at once: in drawn loss 1022 power failed between a drain and the next heartbeat.
@@ -259,7 +259,7 @@
         and answer.revision == 50
     )
     assert not agent.directory.older(51)
-    assert [e.state for e in part.apply_list(UpdateKind.FULL, [ready], False)] == [ListedState.READY]
+    assert [e.state for e in part.apply_list(UpdateKind.FULL, [ready], False)] == [ListState.READY]
     assert part.drains.all() == [] and not [k for k in part._store.state if k.startswith("drain/70")]
 
 
@@ -267,7 +267,7 @@
     agent, part = one(state={"life": 4})
     assert (
         part.apply_list(
-            UpdateKind.CACHED, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False
+            UpdateKind.CACHED, [Listing(i, ListState.READY, 9.0, name=70 + i) for i in range(8)], False
         )
         == []
     )
@@ -292,7 +292,7 @@
 
     asyncio.run(asyncio.wait_for(work(), 10))
     assert [
-        (news, [e.backend for e in entries if e.state is ListedState.DRAINING], len(entries))
+        (news, [e.backend for e in entries if e.state is ListState.DRAINING], len(entries))
         for news, entries in agent.listed
     ] == [(UpdateKind.CACHED, [1], 8)]
     # Claims end after three times the time to ask the registry, if the registry's own list is as new as the
@@ -306,22 +306,20 @@
     agent.directory.age = 5.0
     part._advance_startup()
     assert [[(e.backend, e.state) for e in entries] for _, entries in agent.listed[1:]] == [
-        [(1, ListedState.READY)]
+        [(1, ListState.READY)]
     ]
 
 
 def test_share_withheld_by_one_peer_shrinks_with_the_ready_backends_and_the_balancer_is_updated():
     agent, part = one()
-    part.apply_list(
-        UpdateKind.FULL, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(8)], False
-    )
+    part.apply_list(UpdateKind.FULL, [Listing(i, ListState.READY, 9.0, name=70 + i) for i in range(8)], False)
     part.drains.add_claims(3, [Drain(70, 9), Drain(71, 9)])
     part._apply_withheld()
-    gone = [Listing(i, ListedState.REMOVED, 9.0, name=70 + i) for i in range(4, 8)]
+    gone = [Listing(i, ListState.REMOVED, 9.0, name=70 + i) for i in range(4, 8)]
     assert [(e.backend, e.state) for e in part.apply_list(UpdateKind.CHANGES, gone, False)[4:]] == [
-        (1, ListedState.READY)
+        (1, ListState.READY)
     ]
-    assert agent.listed[0][1][0].state is ListedState.DRAINING and part._withheld_indices == {0}
+    assert agent.listed[0][1][0].state is ListState.DRAINING and part._withheld_indices == {0}
 
 
 @pytest.mark.parametrize("state", [{}, {"life": 4}])
@@ -332,7 +330,7 @@
     agent.clock.now = lambda: 5_000.0 + time.monotonic() * 1000
     assert (
         part.apply_list(
-            UpdateKind.CACHED, [Listing(i, ListedState.READY, 9.0, name=70 + i) for i in range(2)], False
+            UpdateKind.CACHED, [Listing(i, ListState.READY, 9.0, name=70 + i) for i in range(2)], False
         )
         == []
     )
