--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True)
 class Response:
-    """A response: metrics as JSON, or a line of text."""
+    """A response: `payload` as JSON, or a line of text."""
 
     status: int
     text: str = ""
-    metrics: dict[str, Any] | None = None
+    payload: dict[str, Any] | None = None
     allow: bytes = b""
 
     def message(self) -> bytes:
         """The response as HTTP bytes."""
-        if self.metrics is not None:
-            kind, body = b"application/json", orjson.dumps(self.metrics)
+        if self.payload is not None:
+            kind, body = b"application/json", orjson.dumps(self.payload)
         else:
             kind, body = b"text/plain", self.text.encode() + b"\n"
         lines = [b"Content-Type: " + kind + b"\r\n"]
@@ -171,7 +171,7 @@
             products, agent.counters, agent.directory.listed, agent.balancer.avoided_count(agent.clock.now())
         )
         return Response(
-            200, metrics=metrics_report if agent.tells is None else metrics_report | {"fleet": agent.tells()}
+            200, payload=metrics_report if agent.tells is None else metrics_report | {"fleet": agent.tells()}
         )
 
     def _drain(self, on: bool) -> Response:
