--- a/lupinreach/fleet/counts.py
+++ b/lupinreach/fleet/counts.py
@@ -34,9 +34,8 @@
 SKETCH_ROWS, SKETCH_WIDTH = 2, 32
 HOLD_WINDOWS = 3.0  # windows without a newer count after which a rate fades
 FADE_WINDOWS = 3.0  # windows until a fading rate reaches zero
-BOUND_WINDOWS = (
-    HOLD_WINDOWS + FADE_WINDOWS + 2.0
-)  # windows from the older of two counts until the rate derived from them has faded
+# Windows from the older of two counts until the rate derived from them has faded.
+BOUND_WINDOWS = HOLD_WINDOWS + FADE_WINDOWS + 2.0
 MAX_ROWS = 1 << 16  # agents times cells
 
 
--- a/lupinreach/fleet/grants.py
+++ b/lupinreach/fleet/grants.py
@@ -27,9 +27,8 @@
 from dataclasses import dataclass
 
 UNLENT_SHARE = 0.25  # part of its own share that an owner never lends
-MAX_LOAN_SHARE = (
-    0.5  # part of the lendable amount that one request may get, so that a second borrower gets some too
-)
+# Part of the lendable amount that one request may get, so that a second borrower gets some too.
+MAX_LOAN_SHARE = 0.5
 DRIFT = 0.01  # largest relative error of a clock's rate, in either direction
 LEASE_HEARTBEATS = 8.0  # heartbeat intervals
 MAX_LEASES = 64  # outstanding leases of one owner
@@ -66,16 +65,13 @@
         self.own = total / agents
         self._lease = lease
         self._borrow_for = lease * (1 - DRIFT) / (1 + DRIFT)
-        self._bound_until = (
-            now if first else now + lease * (1 + DRIFT) / (1 - DRIFT)
-        )  # leases of an earlier incarnation may still be running
-        self._lent: dict[
-            tuple[int, int, int], _Lease
-        ] = {}  # by peer, its incarnation and the request's number; removed when the lease ends
+        # Until then leases of an earlier incarnation may still be running.
+        self._bound_until = now if first else now + lease * (1 + DRIFT) / (1 - DRIFT)
+        # By peer, its incarnation and the request's number; removed when the lease ends.
+        self._lent: dict[tuple[int, int, int], _Lease] = {}
         self._borrowed: dict[int, _Lease] = {}  # by request number; removed when the lease ends
-        self._asked: dict[
-            int, float
-        ] = {}  # request time by number; removed with the answer or when the lease would have ended
+        # Request time by number; removed with the answer or when the lease would have ended.
+        self._asked: dict[int, float] = {}
 
     # Usable amounts.
 
--- a/lupinreach/fleet/incarnation.py
+++ b/lupinreach/fleet/incarnation.py
@@ -11,9 +11,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MAX_JUMP = (
-    1 << 12
-)  # largest increase of a number by the claim of one peer alone: more restarts than an agent can have missed
+# Largest increase of a number by the claim of one peer alone: more restarts than an agent can have missed.
+MAX_JUMP = 1 << 12
 MAX_NUMBER = (1 << 32) - 1
 
 
--- a/lupinreach/fleet/observations.py
+++ b/lupinreach/fleet/observations.py
@@ -77,9 +77,8 @@
         self.max_age = MAX_AGE_SLOS * slo
         self._draw = draw
         self._rows: dict[tuple[int, int], dict[int, _Row]] = {}
-        self._announced: set[tuple[int, int]] = (
-            set()
-        )  # own reports of slow backends that are not withdrawn yet
+        # Own reports of slow backends that are not withdrawn yet.
+        self._announced: set[tuple[int, int]] = set()
         self.rejected = 0  # invalid rows
 
     # Input.
--- a/lupinreach/fleet/recovery.py
+++ b/lupinreach/fleet/recovery.py
@@ -133,9 +133,8 @@
     """
 
     def __init__(self, kept: Iterable[Drain] = ()) -> None:
-        self._own: dict[Drain, None] = dict.fromkeys(
-            kept
-        )  # reported by the registry, to this incarnation or an earlier one
+        # Reported by the registry, to this incarnation or an earlier one.
+        self._own: dict[Drain, None] = dict.fromkeys(kept)
         self._claims: dict[Drain, set[int]] = {}  # peers that claim it
 
     def add(self, drain: Drain) -> bool:
--- a/lupinreach/fleet/wire.py
+++ b/lupinreach/fleet/wire.py
@@ -50,9 +50,8 @@
     struct.Struct("!HIHH"),
 )
 LOAN = struct.Struct("!IBH")
-UPDATE_ROW_BYTES = (
-    MAX_BYTES - HEADER.size - 3 * SECTION.size
-)  # bytes for rows, with all three sections present
+# Bytes for rows, with all three sections present.
+UPDATE_ROW_BYTES = MAX_BYTES - HEADER.size - 3 * SECTION.size
 AGE_STEP_MS, MAX_ROWS = 10.0, 255  # ms per step of an age in an UPDATE; rows per section
 FLAG_REMEMBERS = 1  # flag: the sender knows more than what it has received since its start
 MAX_MEMBERS = (MAX_BYTES - HEADER.size) // MEMBER.size  # members per HEARTBEAT
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -44,13 +44,11 @@
 
 READ_LIMIT_MS = 1000.0  # the store is read before anything else, at once or not at all
 HEARTBEAT_JITTER = 0.2  # of a heartbeat interval, so that agents that started together don't send together
-QUERY_INTERVAL_HEARTBEATS = (
-    2  # heartbeats between two queries to peers that haven't answered, while answers count
-)
+# Heartbeats between two queries to peers that haven't answered, while their answers still count.
+QUERY_INTERVAL_HEARTBEATS = 2
 WITNESSES = 3  # agents that store the heartbeats of one agent, and that it queries among others
-MARK_DELAY_HEARTBEATS = (
-    1 / 8
-)  # of a heartbeat interval: delay after a payment's id until the witnesses get a heartbeat
+# Of a heartbeat interval: longest delay from the sync of a payment's id to the heartbeat for its witnesses.
+MARK_DELAY_HEARTBEATS = 1 / 8
 QUERY_DELAY_SPREAD = 0.5  # x the query time: agents that start together spread their queries over it
 
 
@@ -101,9 +99,8 @@
             ),
         )
         self._cold = settings.rules.cold
-        self._listed: dict[
-            int, Listing
-        ] = {}  # by index, as the registry last reported; entries end with a removal
+        # By index, as the registry last reported; entries end with a removal.
+        self._listed: dict[int, Listing] = {}
         self._withheld_indices: set[int] = set()  # ready in the list, but draining for the balancer
         self._registry_heard = False
         # Guards against a stored list that has draining backends as ready, with a disk that remembers no
@@ -111,9 +108,8 @@
         # registry itself only.
         self._cached_withheld = True
         self._on_peers_asked = on_peers_asked
-        self._witnessed = dict(
-            _witnessed(stored.get("seen"), settings.agents)
-        )  # newest state of the `WITNESSES` agents before this one
+        # Newest state of the `WITNESSES` agents before this one.
+        self._witnessed = dict(_witnessed(stored.get("seen"), settings.agents))
         self._query: PeerQuery | None = None
         self._sync_task: asyncio.Task[None] | None = None  # the last write
         self._mark_task: asyncio.Task[None] | None = None  # the last extra heartbeat after a payment
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -79,9 +79,8 @@
         self._fractions = [c.fraction for c in settings.customers]
         self._ejection_ms = EJECTION_SLOS * slo
         self._backends = 0
-        self.trials: Budget | None = (
-            None  # from the first backend list on, whose length sets the fleet's budget
-        )
+        # From the first backend list on, whose length sets the fleet's budget.
+        self.trials: Budget | None = None
         self._lease_ms = LEASE_HEARTBEATS * config.beat
         self._began = self._last_update = now
         self._queries_sent = 0  # of this incarnation
