--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -9,7 +9,7 @@
 from lupinreach.bed.peers.messages import Reader
 from lupinreach.bed.peers.servers import BODY
 from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.ground import Ground
+from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.spec import World
 from lupinreach.bed.world.traffic import Arrival
@@ -41,7 +41,9 @@
 class ClientHost:
     """The application beside one agent."""
 
-    def __init__(self, ground: Ground, world: World, agent: int, machine: Machine, address: Address) -> None:
+    def __init__(
+        self, ground: Environment, world: World, agent: int, machine: Machine, address: Address
+    ) -> None:
         self.ground = ground
         self.world = world
         self.agent = agent
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -15,7 +15,7 @@
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.world import ledger as books
 from lupinreach.bed.world.chance import Stream
-from lupinreach.bed.world.ground import Ground
+from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.spec import RegistrySpec, World
 from lupinreach.model import Idempotency
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        ground: Ground,
+        ground: Environment,
         world: World,
         backend: Backend,
         machine: Machine,
@@ -254,7 +254,7 @@
 
     def __init__(
         self,
-        ground: Ground,
+        ground: Environment,
         registry: Registry,
         machine: Machine,
         life_of: Callable[[int], int],
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -27,7 +27,7 @@
 from lupinreach.bed.ways.stopping import until_stopped
 from lupinreach.bed.world import ledger as books
 from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import Addresses
+from lupinreach.bed.world.environment import Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
 from lupinreach.bed.world.spec import World
@@ -58,7 +58,7 @@
     """
 
     def __init__(self, ground: LoopbackGround, machine: Machine, inner: asyncio.Protocol) -> None:
-        self._ground = ground
+        self._environment = ground
         self._machine = machine
         self._inner = inner
         self._transport: Any = None
@@ -73,11 +73,11 @@
     def data_received(self, data: bytes) -> None:
         at = data.find(NAME)
         if at >= 0:
-            self._from = self._ground.whose(data[at + len(NAME) : data.find(b"\r", at)]) or self._from
+            self._from = self._environment.whose(data[at + len(NAME) : data.find(b"\r", at)]) or self._from
         self._pass(0, lambda: self._inner.data_received(data))
 
     def _pass(self, way: int, what: Callable[[], None]) -> None:
-        ground = self._ground
+        ground = self._environment
         ends = (self._machine, self._from) if way else (self._from, self._machine)
         if self._held[way] or not ground.paths.reaches(*ends):
             self._held[way].append(what)
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -14,7 +14,7 @@
 from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
 from lupinreach.bed.world import ledger as books
 from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import Ground
+from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.spec import Trouble, World, plain
 from lupinreach.bed.world.traffic import arrivals
@@ -81,7 +81,7 @@
         self,
         world: World,
         seed: int,
-        ground: Ground,
+        ground: Environment,
         progress: Callable[[float], None] | None = None,
     ) -> None:
         self.world = world
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -20,7 +20,7 @@
 from lupinreach.bed.ways.stage import Stage
 from lupinreach.bed.world import ledger as books
 from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import EPOCH, Addresses
+from lupinreach.bed.world.environment import EPOCH, Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
 from lupinreach.bed.world.spec import World
@@ -71,10 +71,10 @@
     """The true state, as far as one agent could act on it."""
 
     def __init__(self, ground: VirtualGround, machine: Machine, agent: Agent) -> None:
-        self._ground, self._machine, self._agent = ground, machine, agent
+        self._environment, self._machine, self._agent = ground, machine, agent
 
     def backend(self, index: int) -> Backend | None:
-        ground, place = self._ground, self._agent.directory.place(index)
+        ground, place = self._environment, self._agent.directory.place(index)
         host = ground.hosts[ground.backend_at[place.address]]
         there = ground.paths.reaches(self._machine, host.machine) and ground.paths.reaches(
             host.machine, self._machine
@@ -85,7 +85,7 @@
         return host.backend
 
     def work(self, product: int) -> float:
-        return self._ground.works[product]
+        return self._environment.works[product]
 
 
 class VirtualGround:
--- a/lupinreach/bed/world/ground.py
+++ b/lupinreach/bed/world/environment.py
@@ -14,7 +14,7 @@
 EPOCH = 1_700_000_000_000.0  # ms: when virtual runs begin
 
 
-class Ground(Protocol):
+class Environment(Protocol):
     paths: Paths
     ledger: Ledger
     addresses: Addresses
--- a/lupinreach/trial/rig/places.py
+++ b/lupinreach/trial/rig/places.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lupinreach.bed.world.ground import Addresses
+from lupinreach.bed.world.environment import Addresses
 from lupinreach.config import Address
 
 MOST_AGENTS = 120
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -112,32 +112,32 @@
     """What the stage acts on; the backend itself is in a process of the rig."""
 
     def __init__(self, ground: RigGround, backend: Backend, machine: Machine) -> None:
-        self._ground = ground
+        self._environment = ground
         self.backend = backend
         self.machine = machine
         self._told: dict[str, float] = {}
 
     def boot(self, cold: bool) -> None:
         b = self.backend
-        b.boot(self._ground.now(), cold)
-        self._ground.tell_backend(b.number, {"do": "boot", "backend": b.number, "cold": cold})
-        self._ground.tell_relays({"do": "shut", "name": self.machine.name, "on": False})
+        b.boot(self._environment.now(), cold)
+        self._environment.tell_backend(b.number, {"do": "boot", "backend": b.number, "cold": cold})
+        self._environment.tell_relays({"do": "shut", "name": self.machine.name, "on": False})
         self.step()
 
     def step(self) -> None:
         b = self.backend
         now = {name: getattr(b, name) for name in TOLD_OF} | {"resets": self.machine.resets}
         if now != self._told and self._told:
-            self._ground.tell_backend(b.number, {"do": "set", "backend": b.number, "what": now})
+            self._environment.tell_backend(b.number, {"do": "set", "backend": b.number, "what": now})
         self._told = now
 
     def die(self) -> None:
-        self.backend.die(self._ground.now())
-        self._ground.tell_relays({"do": "shut", "name": self.machine.name, "on": True})
-        self._ground.tell_backend(self.backend.number, {"do": "die", "backend": self.backend.number})
+        self.backend.die(self._environment.now())
+        self._environment.tell_relays({"do": "shut", "name": self.machine.name, "on": True})
+        self._environment.tell_backend(self.backend.number, {"do": "die", "backend": self.backend.number})
 
     def reset(self) -> None:
-        self._ground.tell_backend(self.backend.number, {"do": "reset", "backend": self.backend.number})
+        self._environment.tell_backend(self.backend.number, {"do": "reset", "backend": self.backend.number})
 
 
 class RemoteRegistry:
