--- a/lupinreach/bed/commands/demo.py
+++ b/lupinreach/bed/commands/demo.py
@@ -35,7 +35,7 @@
 
     def _lately(self) -> tuple[Counter[str], Counter[int], list[float]]:
         assert self._stage is not None
-        records = self._stage.ground.ledger.records
+        records = self._stage.environment.ledger.records
         begin = records[-1][1] - LATELY * 1e6 if records else 0
         kinds: Counter[str] = Counter()
         came: Counter[int] = Counter()
@@ -63,10 +63,10 @@
 
     def render(self) -> Any:
         stage = self._stage
-        if stage is None or not stage.ground.ledger.records:
+        if stage is None or not stage.environment.ledger.records:
             return Text("starting agents ...")
         kinds, came, took = self._lately()
-        on = [(r[3], r[4], r[5]) for r in stage.ground.ledger.records if r[0] == "trouble"]
+        on = [(r[3], r[4], r[5]) for r in stage.environment.ledger.records if r[0] == "trouble"]
         now = {}
         for kind, what, targets in on:
             if what == "begins":
--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -42,9 +42,9 @@
     """The application beside one agent."""
 
     def __init__(
-        self, ground: Environment, world: World, agent: int, machine: Machine, address: Address
+        self, environment: Environment, world: World, agent: int, machine: Machine, address: Address
     ) -> None:
-        self.ground = ground
+        self.environment = environment
         self.world = world
         self.agent = agent
         self.life = 0
@@ -58,7 +58,7 @@
 
     def ask(self, call: int, arrival: Arrival, number: int = 0, began: float | None = None) -> None:
         """Begin one try."""
-        now, world = self.ground.now(), self.world
+        now, world = self.environment.now(), self.world
         product = world.products[arrival.product]
         began = now if began is None else began
         waits = min(product.timeout * world.clients.try_share, began + product.timeout - now)
@@ -66,7 +66,7 @@
             return
         one = Try(call, number, arrival, began, f"{call:x}.{number}", now, waits)
         customer = world.customers[arrival.customer].name if arrival.customer >= 0 else ""
-        self.ground.ledger.note(
+        self.environment.ledger.note(
             books.ASKED,
             now,
             one.name,
@@ -79,7 +79,7 @@
             round(waits, 3),
         )
         self.names[one.name] = self.agent, self.life, arrival.product
-        one.timer = self.ground.loop.call_later(waits / 1000, self._left, one)
+        one.timer = self.environment.loop.call_later(waits / 1000, self._left, one)
         self._begin(one)
 
     def _begin(self, one: Try) -> None:
@@ -95,13 +95,13 @@
         if not one.over:
             line = ClientLine(self)
             line.wanted = one
-            self.ground.connect(self.machine, line, self.address)
+            self.environment.connect(self.machine, line, self.address)
 
     def message(self, one: Try) -> bytes:
         arrival, world = one.arrival, self.world
         product = world.products[arrival.product]
         lines = [b"Host: app.svc", b"Req-Id: " + one.name.encode(), b"Req-Kind: " + product.name.encode()]
-        left = one.waits if not one.again else max(1.0, one.waits - (self.ground.now() - one.asked))
+        left = one.waits if not one.again else max(1.0, one.waits - (self.environment.now() - one.asked))
         lines.append(b"Req-Deadline: %.3f" % (left / 1000))
         if arrival.hint:
             lines.append(b"Req-Cost: %.1f" % (arrival.hint * 1000))
@@ -125,12 +125,12 @@
         if one.timer is not None:
             one.timer.cancel()
         # Its name is known for a while: a shot may still be on its way.
-        self.ground.loop.call_later(5.0, self.names.pop, one.name, None)
+        self.environment.loop.call_later(5.0, self.names.pop, one.name, None)
         return True
 
     def _left(self, one: Try) -> None:
         if self._over(one):
-            self.ground.ledger.note(books.LEFT, self.ground.now(), one.name)
+            self.environment.ledger.note(books.LEFT, self.environment.now(), one.name)
             if one.call in self.lines:
                 self.lines.pop(one.call).drop()
             self._again(one, harmless=False, wait=0.0)
@@ -142,21 +142,23 @@
         status = head.first[2]
         wait = float(head.headers.get(b"retry-after", b"0")) * 1000
         carried = body[len(BODY) :].decode("latin-1") if status == 200 and body.startswith(BODY) else ""
-        self.ground.ledger.note(books.GOT, self.ground.now(), one.name, status, round(wait, 1), carried)
+        self.environment.ledger.note(
+            books.GOT, self.environment.now(), one.name, status, round(wait, 1), carried
+        )
         if status != 200:
             self._again(one, harmless=status in REFUSED, wait=wait if self.world.clients.honours else 0.0)
 
     def lost(self, one: Try, why: str) -> None:
         self.lines.pop(one.call, None)
         if self._over(one):
-            self.ground.ledger.note(books.LOST, self.ground.now(), one.name, why)
+            self.environment.ledger.note(books.LOST, self.environment.now(), one.name, why)
             self._again(one, harmless=why == "refused", wait=0.0)
 
     def _again(self, one: Try, harmless: bool, wait: float) -> None:
         kind = self.world.products[one.arrival.product].kind
         if one.number < self.world.clients.retries and (harmless or kind is Idempotency.IDEMPOTENT):
             after = max(wait, self.world.clients.wait)
-            self.ground.loop.call_later(
+            self.environment.loop.call_later(
                 after / 1000, self.ask, one.call, one.arrival, one.number + 1, one.began
             )
 
@@ -192,7 +194,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.one is None:
-            self._host.ground.ledger.note(books.EXTRA, self._host.ground.now(), self._last)
+            self._host.environment.ledger.note(books.EXTRA, self._host.environment.now(), self._last)
             self._transport.abort()
             return
         try:
@@ -205,7 +207,7 @@
                 continue
             one, self.one = self.one, None
             if one is None:
-                self._host.ground.ledger.note(books.EXTRA, self._host.ground.now(), self._last)
+                self._host.environment.ledger.note(books.EXTRA, self._host.environment.now(), self._last)
                 self._transport.abort()
                 return
             self._used = True
@@ -233,7 +235,9 @@
         if one is None or one.over:
             return
         if fresh and one.again and host.world.clients.replays:
-            host.ground.loop.call_later(DIAL_AGAIN / 1000, host.dial, one)  # until it has waited long enough
+            host.environment.loop.call_later(
+                DIAL_AGAIN / 1000, host.dial, one
+            )  # until it has waited long enough
         elif fresh:
             host.lost(one, "refused")
         elif (self._used or host.world.clients.replays) and not self._reader.begun and not one.again:
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        ground: Environment,
+        environment: Environment,
         world: World,
         backend: Backend,
         machine: Machine,
@@ -44,7 +44,7 @@
         asked: Asked,
         fell: Callable[[BackendHost], None],
     ) -> None:
-        self.ground = ground
+        self.environment = environment
         self.world = world
         self.backend = backend
         self.machine = machine
@@ -58,7 +58,7 @@
 
     def step(self) -> None:
         """Bring the model up to now, answer what got done, and set the timer."""
-        now = self.ground.now()
+        now = self.environment.now()
         for job in self.backend.advance(now):
             self._done(now, job)
         due = self.backend.due(now)
@@ -67,7 +67,9 @@
                 self._timer.cancel()
             self._due = due
             self._timer = (
-                None if due == inf else self.ground.loop.call_later(max(0.001, due - now) / 1000, self._tick)
+                None
+                if due == inf
+                else self.environment.loop.call_later(max(0.001, due - now) / 1000, self._tick)
             )
 
     def _tick(self) -> None:
@@ -77,29 +79,29 @@
     def _done(self, now: float, job: Job) -> None:
         if job.token is None:
             return
-        self.ground.ledger.note(books.RAN, now, self.backend.number, job.name, not job.repeat)
+        self.environment.ledger.note(books.RAN, now, self.backend.number, job.name, not job.repeat)
         job.token.done(now, job)
 
     def come(self, line: BackendLine, name: str, work: float, product: int, key: str | None) -> None:
         """One request is whole."""
-        now, backend = self.ground.now(), self.backend
+        now, backend = self.environment.now(), self.backend
         self.step()
         spec = self.world.products[product]
         mark = name if spec.kind is Idempotency.DEDUPLICATED else None
         job = Job(name, product, work, key, mark, spec.memory, line)
-        self.ground.ledger.note(books.CAME, now, backend.number, backend.life, name, round(work, 3))
+        self.environment.ledger.note(books.CAME, now, backend.number, backend.life, name, round(work, 3))
         way = backend.come(now, job, float(self.chance.random()))
         if backend.fallen and backend.up:
-            self.ground.ledger.note(books.FELL, now, backend.number)
+            self.environment.ledger.note(books.FELL, now, backend.number)
             self._fell(self)
             return
         if way is Way.TAKEN:
             line.job = job
         elif way is Way.TURNED_AWAY:
-            self.ground.ledger.note(books.AWAY, now, backend.number, name)
+            self.environment.ledger.note(books.AWAY, now, backend.number, name)
             line.say(DECLINED)
         elif way is Way.FAILED:
-            self.ground.ledger.note(books.FAILED, now, backend.number, name)
+            self.environment.ledger.note(books.FAILED, now, backend.number, name)
             line.say(answer(500, b"", *self.load(now)))
         self.step()
 
@@ -113,10 +115,10 @@
 
     def boot(self, cold: bool) -> None:
         """A process begins."""
-        b, rules, now = self.backend, self.world.rules, self.ground.now()
+        b, rules, now = self.backend, self.world.rules, self.environment.now()
         b.boot(now, cold)
-        self.ground.shut(self.machine, False)
-        self.ground.ledger.note(
+        self.environment.shut(self.machine, False)
+        self.environment.ledger.note(
             books.STATE,
             now,
             b.number,
@@ -133,8 +135,8 @@
     def die(self) -> None:
         """The process ends: its connections are reset, new ones refused."""
         self.step()
-        self.backend.die(self.ground.now())
-        self.ground.shut(self.machine, True)
+        self.backend.die(self.environment.now())
+        self.environment.shut(self.machine, True)
         self.reset()
         self.step()
 
@@ -166,14 +168,14 @@
         host.step()
         self._refuses = len(host.lines) >= host.world.backend.connections
         host.lines[self] = None
-        host.backend.charge(host.ground.now(), host.world.backend.connection_cost)
+        host.backend.charge(host.environment.now(), host.world.backend.connection_cost)
         host.step()
         self._rest()
 
     def _rest(self) -> None:
         self._busy = False
-        self._since = self._host.ground.loop.time()
-        self._host.ground.loop.call_later(self._host.backend.idle / 1000, self._idle, self._since)
+        self._since = self._host.environment.loop.time()
+        self._host.environment.loop.call_later(self._host.backend.idle / 1000, self._idle, self._since)
 
     def _idle(self, since: float) -> None:
         if not self._busy and since == self._since and self._transport is not None:
@@ -196,7 +198,9 @@
         host, (_, target, _) = self._host, head.first
         name = head.headers.get(protocol.ID, b"").decode()
         if target in (protocol.LIVE_PATH, protocol.STATS_PATH):
-            load = host.backend.report(host.ground.now()).encode() if target == protocol.STATS_PATH else b""
+            load = (
+                host.backend.report(host.environment.now()).encode() if target == protocol.STATS_PATH else b""
+            )
             self.say(answer(200, load))
             return
         found = host.asked(name)
@@ -204,10 +208,12 @@
             self.say(answer(400))
             return
         agent, life, product = found
-        if not host.ground.exact:
-            host.ground.ledger.note(books.SENT, host.ground.now(), agent, life, host.backend.number, name)
+        if not host.environment.exact:
+            host.environment.ledger.note(
+                books.SENT, host.environment.now(), agent, life, host.backend.number, name
+            )
         if self._refuses:
-            host.ground.ledger.note(books.AWAY, host.ground.now(), host.backend.number, name)
+            host.environment.ledger.note(books.AWAY, host.environment.now(), host.backend.number, name)
             self.say(DECLINED)
             self._transport.close()
             return
@@ -254,14 +260,14 @@
 
     def __init__(
         self,
-        ground: Environment,
+        environment: Environment,
         registry: Registry,
         machine: Machine,
         life_of: Callable[[int], int],
         machine_of: Callable[[int], Machine],
         spec: RegistrySpec,
     ) -> None:
-        self.ground = ground
+        self.environment = environment
         self.registry = registry
         self._spec = spec
         self._free_at = 0.0  # when it is through with the calls that have come so far
@@ -277,7 +283,7 @@
 
         One that waits too long is turned away, and worked through all the same.
         """
-        now = self.ground.now()
+        now = self.environment.now()
         self._free_at = max(self._free_at, now) + self._spec.call_cost
         waits = self._free_at - now
         return min(waits, self._spec.call_wait), waits <= self._spec.call_wait
@@ -312,7 +318,7 @@
         told = [[e.backend, e.state] for e in entries if e.state == "Ready" or not self.registry.succeeded(e)]
         word = self.life_of(agent), version, told, whole
         if line is None:
-            self.ground.ledger.note(books.TOLD, self.ground.now(), agent, *word)
+            self.environment.ledger.note(books.TOLD, self.environment.now(), agent, *word)
             return
         self._untold[agent].append((line, word))
         if len(self._untold[agent]) == 1:
@@ -321,19 +327,19 @@
     def mended(self) -> None:
         """Who can be reached again is told now. Guards against an agent that acts on a list before it is booked."""
         for agent, waiting in self._untold.items():
-            if waiting and self.ground.paths.reaches(self.machine, self.machine_of(agent)):
+            if waiting and self.environment.paths.reaches(self.machine, self.machine_of(agent)):
                 self._tell(agent)
 
     def _tell(self, agent: int) -> None:
         waiting = self._untold[agent]
-        if self.ground.paths.reaches(self.machine, self.machine_of(agent)):
+        if self.environment.paths.reaches(self.machine, self.machine_of(agent)):
             while waiting:
                 line, word = waiting.popleft()
                 if line.lasts:
-                    self.ground.ledger.note(books.TOLD, self.ground.now(), agent, *word)
+                    self.environment.ledger.note(books.TOLD, self.environment.now(), agent, *word)
         else:
             # Guards against a word that hangs before a cut zone and would pass for heard.
-            self.ground.loop.call_later(TOLD_EVERY, self._tell, agent)
+            self.environment.loop.call_later(TOLD_EVERY, self._tell, agent)
 
 
 class RegistryLine(asyncio.Protocol):
@@ -368,7 +374,7 @@
             target = head.first[1]
             waits, heard = self._host.turn()
             if waits:
-                self._host.ground.loop.call_later(waits / 1000, self._answer, target, heard)
+                self._host.environment.loop.call_later(waits / 1000, self._answer, target, heard)
             else:
                 self._answer(target, heard)
 
@@ -424,7 +430,7 @@
     def _beat(self) -> None:
         if self in self._host.lines:
             self._line(b"")
-            self._host.ground.loop.call_later(protocol.BEAT / 1000, self._beat)
+            self._host.environment.loop.call_later(protocol.BEAT / 1000, self._beat)
 
     def cut(self) -> None:
         self._transport.abort()
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -57,8 +57,8 @@
     To the protocol it is the transport.
     """
 
-    def __init__(self, ground: LoopbackGround, machine: Machine, inner: asyncio.Protocol) -> None:
-        self._environment = ground
+    def __init__(self, environment: LoopbackGround, machine: Machine, inner: asyncio.Protocol) -> None:
+        self._environment = environment
         self._machine = machine
         self._inner = inner
         self._transport: Any = None
@@ -77,15 +77,15 @@
         self._pass(0, lambda: self._inner.data_received(data))
 
     def _pass(self, way: int, what: Callable[[], None]) -> None:
-        ground = self._environment
+        environment = self._environment
         ends = (self._machine, self._from) if way else (self._from, self._machine)
-        if self._held[way] or not ground.paths.reaches(*ends):
+        if self._held[way] or not environment.paths.reaches(*ends):
             self._held[way].append(what)
-            ground.waiting[self] = None
+            environment.waiting[self] = None
             return
-        took = ground.paths.delay(self._from, self._machine) / 1000
-        self._due[way] = max(self._due[way], ground.loop.time() + took)
-        ground.loop.call_at(self._due[way], what)
+        took = environment.paths.delay(self._from, self._machine) / 1000
+        self._due[way] = max(self._due[way], environment.loop.time() + took)
+        environment.loop.call_at(self._due[way], what)
 
     def again(self) -> None:
         for way in (0, 1):
@@ -337,22 +337,22 @@
     `tree` is the checkout of another version, whose agents are run in place of this one's.
     """
     with tempfile.TemporaryDirectory(prefix="lupinreach-bed-") as folder:
-        ground = LoopbackGround(world, seed, Path(folder), tree)
-        stage = Stage(world, seed, ground, progress)
-        ground.whose = stage.whose
+        environment = LoopbackGround(world, seed, Path(folder), tree)
+        stage = Stage(world, seed, environment, progress)
+        environment.whose = stage.whose
         if watch is not None:
             watch(stage)
         try:
             if await until_stopped(stage.play()):
-                ground.ledger.stop()
+                environment.ledger.stop()
         finally:
-            await ground.close()
-            for what in ground.ended_badly:
-                ground.ledger.note(books.FAULT, ground.now(), what)
-            ground.ledger.seal()
+            await environment.close()
+            for what in environment.ended_badly:
+                environment.ledger.note(books.FAULT, environment.now(), what)
+            environment.ledger.seal()
             if costs is not None:
-                costs.update(ground.costs)
-    return ground.ledger
+                costs.update(environment.costs)
+    return environment.ledger
 
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -81,11 +81,11 @@
         self,
         world: World,
         seed: int,
-        ground: Environment,
+        environment: Environment,
         progress: Callable[[float], None] | None = None,
     ) -> None:
         self.world = world
-        self.ground = ground
+        self.environment = environment
         self._seed = seed
         self._progress = progress
         self._chance = stream(seed, "stage")
@@ -101,12 +101,12 @@
         self._again: set[int] = set()  # of those, the ones to start after that
         self._client_machines = [Machine(f"agent {n}", n % len(world.zones)) for n in range(world.agents)]
         self.clients = [
-            ClientHost(ground, world, n, self._client_machines[n], ground.addresses.agent(n))
+            ClientHost(environment, world, n, self._client_machines[n], environment.addresses.agent(n))
             for n in range(world.agents)
         ]
         self._registry_machine = Machine("registry", 0)
         self.registry_host = RegistryHost(
-            ground,
+            environment,
             self.registry,
             self._registry_machine,
             self.agents.__getitem__,
@@ -143,7 +143,7 @@
     def _add(self, b: Backend, kind: str, suffix: str = "") -> BackendHost:
         machine = Machine(f"backend {b.number}", b.zone)
         host = BackendHost(
-            self.ground,
+            self.environment,
             self.world,
             b,
             machine,
@@ -156,7 +156,7 @@
             Entry(
                 f"b-{b.number:04x}{suffix}",
                 b.number,
-                text(self.ground.addresses.backend(b.number)),
+                text(self.environment.addresses.backend(b.number)),
                 self.world.zones[b.zone],
                 kind,
                 b.cell,
@@ -178,16 +178,16 @@
 
     async def play(self) -> None:
         """All of it; the ledger holds what happened."""
-        ground, world = self.ground, self.world
+        environment, world = self.environment, self.world
         facts = {**plain(world), "seed": self._seed, "mode": "", "measure": []}
-        ground.ledger.note(books.WORLD, ground.now(), facts)
+        environment.ledger.note(books.WORLD, environment.now(), facts)
         for host in self.hosts:
             await self._serve(host)
             host.boot(cold=False)
             self.registry.set(self.entries[host.backend.number])
         for n in range(world.agents):
-            await ground.serve(
-                ground.addresses.registry(n),
+            await environment.serve(
+                environment.addresses.registry(n),
                 self._registry_machine,
                 lambda n=n: RegistryLine(self.registry_host, n),
             )  # type: ignore[misc]
@@ -195,23 +195,25 @@
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
         calls = arrivals(world, self._seed)
         self._agent_of = [a.agent for a in calls]
-        begin = ground.now()
-        loop = ground.loop
+        begin = environment.now()
+        loop = environment.loop
         self._make_trouble()
         loop.call_later(SAMPLE / 1000, self._sample)
         for number, arrival in enumerate(calls):
-            wait = begin + arrival.at - ground.now()
+            wait = begin + arrival.at - environment.now()
             if wait > 0:
                 await asyncio.sleep(wait / 1000)
             self.clients[arrival.agent].ask(number, arrival)
             if self._progress and number % 64 == 0:
                 self._progress(arrival.at)
         longest = max(p.timeout for p in world.products)
-        await asyncio.sleep(max(0.0, begin + world.length - ground.now()) / 1000 + SETTLES * longest / 1000)
+        await asyncio.sleep(
+            max(0.0, begin + world.length - environment.now()) / 1000 + SETTLES * longest / 1000
+        )
 
     async def _serve(self, host: BackendHost) -> None:
-        address = self.ground.addresses.backend(host.backend.number)
-        await self.ground.serve(address, host.machine, lambda: BackendLine(host))
+        address = self.environment.addresses.backend(host.backend.number)
+        await self.environment.serve(address, host.machine, lambda: BackendLine(host))
 
     async def _start_agent(self, n: int) -> None:
         self.agents[n] += 1
@@ -220,9 +222,9 @@
         known = self.registry.whole()
         raw = self._told(n, self._raw(n, life))
         self.registry_host.told(n, self.registry.version, known, True)
-        self.ground.ledger.note(books.AGENT, self.ground.now(), n, life, "started")
+        self.environment.ledger.note(books.AGENT, self.environment.now(), n, life, "started")
         async with asyncio.timeout(READY_WITHIN):
-            await self.ground.start_agent(
+            await self.environment.start_agent(
                 n, life, raw, lambda: self._ended(n, life), self._ahead[n], self._drift[n]
             )
         self.up.add(n)
@@ -230,7 +232,7 @@
 
     def _raw(self, n: int, life: int) -> dict[str, Any]:
         """What an agent is told at its start."""
-        known, at = self.registry.whole(), self.ground.addresses
+        known, at = self.registry.whole(), self.environment.addresses
         raw = {
             "name": f"agent-{n}",
             "listen": text(at.agent(n)),
@@ -251,11 +253,11 @@
                 "peers": [text(at.peer(i)) for i in range(self.world.agents)],
             }
         if self.world.store:
-            raw["store"] = {"file": self.ground.carried(n)} | ({"ran": True} if self.world.ran else {})
+            raw["store"] = {"file": self.environment.carried(n)} | ({"ran": True} if self.world.ran else {})
         if self.world.in_touch:
             raw["fleet"] = {"beat_ms": BEAT, "ask_ms": ASK, "share_ms": self.world.share}
         if self.world.carry:
-            raw["carry"] = {"file": self.ground.carried(n), "most_age_s": self.world.carry}
+            raw["carry"] = {"file": self.environment.carried(n), "most_age_s": self.world.carry}
         return raw
 
     def _told(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
@@ -263,31 +265,31 @@
         return raw
 
     def _ended(self, n: int, life: int) -> None:
-        self.ground.ledger.note(books.AGENT, self.ground.now(), n, life, "ended")
+        self.environment.ledger.note(books.AGENT, self.environment.now(), n, life, "ended")
         self._stopping.discard(n)
         if n in self._again:
             self._again.discard(n)
             self._revive(n)
 
     def _sample(self) -> None:
-        now = self.ground.now()
+        now = self.environment.now()
         for host in self.hosts:
             host.step()
             b = host.backend
             if b.up:
-                self.ground.ledger.note(
+                self.environment.ledger.note(
                     books.LOAD, now, b.number, len(b.running), len(b.queue), round(b.part(now), 3)
                 )
-        pools = self.ground.pools()
+        pools = self.environment.pools()
         if pools:
-            self.ground.ledger.note(books.POOLS, now, sorted(pools.items()))
-        self.ground.loop.call_later(SAMPLE / 1000, self._sample)
+            self.environment.ledger.note(books.POOLS, now, sorted(pools.items()))
+        self.environment.loop.call_later(SAMPLE / 1000, self._sample)
 
     # Troubles.
 
     def _make_trouble(self) -> None:
         """All of it, when it is due from now."""
-        loop = self.ground.loop
+        loop = self.environment.loop
         for number, trouble in enumerate(self.world.troubles):
             targets = self._targets(number, trouble)
             if trouble.kind == "registry-older":
@@ -311,12 +313,16 @@
         return sorted(int(n) for n in chance.permutation(total)[:wanted])
 
     def _begin(self, number: int, trouble: Trouble, targets: list[int]) -> None:
-        self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "begins", targets)
+        self.environment.ledger.note(
+            books.TROUBLE, self.environment.now(), number, trouble.kind, "begins", targets
+        )
         self._strike(trouble, targets, True)
-        self.ground.loop.call_later(trouble.length / 1000, self._end, number, trouble, targets)
+        self.environment.loop.call_later(trouble.length / 1000, self._end, number, trouble, targets)
 
     def _end(self, number: int, trouble: Trouble, targets: list[int]) -> None:
-        self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "ends", targets)
+        self.environment.ledger.note(
+            books.TROUBLE, self.environment.now(), number, trouble.kind, "ends", targets
+        )
         self._strike(trouble, targets, False)
 
     def _strike(self, trouble: Trouble, targets: list[int], on: bool) -> None:
@@ -375,9 +381,9 @@
         for pair in pairs:
             # Counted, so that one of two troubles that part the same pair doesn't heal the other's.
             self._parted[pair] += 1 if on else -1
-        self.ground.paths.parted = {pair for pair, times in self._parted.items() if times}
+        self.environment.paths.parted = {pair for pair, times in self._parted.items() if times}
         if not on:
-            self.ground.mended()
+            self.environment.mended()
 
     def _apart_one_way(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._apart(t, targets, on, both=False)
@@ -385,14 +391,14 @@
     def _thief(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._set(targets, "stolen", t.strength if on else 0.0)
         if on:
-            until = self.ground.now() + t.length
+            until = self.environment.now() + t.length
 
             def turn(now_on: bool) -> None:
-                if self.ground.now() < until - 1:
+                if self.environment.now() < until - 1:
                     self._set(targets, "stolen", t.strength if now_on else 0.0)
-                    self.ground.loop.call_later(THIEF / 2000, turn, not now_on)
+                    self.environment.loop.call_later(THIEF / 2000, turn, not now_on)
 
-            self.ground.loop.call_later(THIEF / 2000, turn, False)
+            self.environment.loop.call_later(THIEF / 2000, turn, False)
 
     def _vanish(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -403,7 +409,7 @@
             else:
                 self._later(self.world.registry.silent_lag, self._unlist_lost, n, host.backend.life)
         if not on:
-            self.ground.mended()
+            self.environment.mended()
             for n in targets:
                 self._announce(n, state="Ready")
 
@@ -413,32 +419,34 @@
             self._list(n, state="Gone")
 
     def _cut(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.cut = (
-            self.ground.paths.cut | set(targets) if on else self.ground.paths.cut - set(targets)
+        self.environment.paths.cut = (
+            self.environment.paths.cut | set(targets) if on else self.environment.paths.cut - set(targets)
         )
         if not on:
-            self.ground.mended()
+            self.environment.mended()
 
     def _cut_reset(self, t: Trouble, targets: list[int], on: bool) -> None:
-        refused = self.ground.paths.refused
-        self.ground.paths.refused = refused | set(targets) if on else refused - set(targets)
-        self.ground.refused()
+        refused = self.environment.paths.refused
+        self.environment.paths.refused = refused | set(targets) if on else refused - set(targets)
+        self.environment.refused()
         if not on:
-            self.ground.mended()
+            self.environment.mended()
 
     def _datagrams_doubled(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.doubled = t.strength if on else 0.0
+        self.environment.paths.doubled = t.strength if on else 0.0
 
     def _datagrams_late(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.late, self.ground.paths.late_by = (t.share, t.strength) if on else (0.0, 0.0)
+        self.environment.paths.late, self.environment.paths.late_by = (
+            (t.share, t.strength) if on else (0.0, 0.0)
+        )
 
     def _loss(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.loss = t.strength if on else self.world.network.loss
+        self.environment.paths.loss = t.strength if on else self.world.network.loss
 
     # Backends that come and go.
 
     def _later(self, lag: Any, what: Callable[..., None], *args: Any) -> None:
-        self.ground.loop.call_later(lag.at(float(self._chance.random())) / 1000, what, *args)
+        self.environment.loop.call_later(lag.at(float(self._chance.random())) / 1000, what, *args)
 
     def _announce(self, n: int, **changed: Any) -> None:
         """The registry gets to know it after its lag."""
@@ -472,18 +480,18 @@
         host = self.hosts[n]
         host.die()
         b = host.backend
-        self.ground.ledger.note(
-            books.STATE, self.ground.now(), n, b.life, "Gone", 0.0, 0.0, 0.0, b.zone, b.cell
+        self.environment.ledger.note(
+            books.STATE, self.environment.now(), n, b.life, "Gone", 0.0, 0.0, 0.0, b.zone, b.cell
         )
 
     def _return(self, n: int) -> None:
         self.hosts[n].boot(cold=True)
-        self._announce(n, state="Ready", boot=int(self.ground.now()))
+        self._announce(n, state="Ready", boot=int(self.environment.now()))
 
     def _fell(self, host: BackendHost) -> None:
         """Pushed over: it stays down."""
         host.backend.up = False
-        self.ground.loop.call_soon(self._die, host.backend.number)
+        self.environment.loop.call_soon(self._die, host.backend.number)
         self._later(self.world.registry.silent_lag, self._unlist_lost, host.backend.number, host.backend.life)
 
     def _crash(self, t: Trouble, targets: list[int], on: bool) -> None:
@@ -498,14 +506,23 @@
         for n in targets:
             if on:
                 b = self.hosts[n].backend
-                self.ground.ledger.note(
-                    books.STATE, self.ground.now(), n, b.life, "Terminating", 0.0, 0.0, 0.0, b.zone, b.cell
+                self.environment.ledger.note(
+                    books.STATE,
+                    self.environment.now(),
+                    n,
+                    b.life,
+                    "Terminating",
+                    0.0,
+                    0.0,
+                    0.0,
+                    b.zone,
+                    b.cell,
                 )
                 self._announce(n, state="Terminating")
             else:
                 self._die(n)
                 self._list(n, state="Gone")
-                self.ground.loop.call_later(UNDRAINED, self._return, n)
+                self.environment.loop.call_later(UNDRAINED, self._return, n)
 
     def _replace(self, t: Trouble, targets: list[int], on: bool) -> None:
         """As a deployment does: it drains, and another machine under another name takes its place."""
@@ -517,7 +534,7 @@
             self._list(n, state="Gone")
             old = self.entries[n]
             self.entries[n] = replace(old, uid=f"{old.uid}-{self.hosts[n].backend.life}")
-            self.ground.loop.call_later(UNDRAINED, self._return, n)
+            self.environment.loop.call_later(UNDRAINED, self._return, n)
 
     # The registry and the agents.
 
@@ -527,7 +544,7 @@
         else:
             self.registry.up = True
             self._learn_missed()
-        self.ground.shut(self._registry_machine, on)
+        self.environment.shut(self._registry_machine, on)
 
     def _registry_back(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._registry_down(t, targets, on)
@@ -545,7 +562,7 @@
     def _sleep_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on and n in self.up:
-                self.ground.hold_agent(n, t.length)
+                self.environment.hold_agent(n, t.length)
 
     def _twin_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -554,29 +571,29 @@
             if on:
                 self._twinned[n] = t
                 # Where nobody sends and with a registry that refuses: what it can touch is the disk.
-                where = self.ground.addresses.twin(n)
+                where = self.environment.addresses.twin(n)
                 raw = self._told(n, self._raw(n, 0)) | {
                     "listen": text(where),
                     "discovery": text((where[0], NOBODY)),
                 }
                 if "peer_listen" in raw:
                     raw["peer_listen"] = text((where[0], where[1] + 1))
-                self._run(self.ground.start_twin(n, raw))
+                self._run(self.environment.start_twin(n, raw))
             elif self._twinned[n] is t:
                 del self._twinned[n]
-                self.ground.stop_twin(n)
+                self.environment.stop_twin(n)
 
     def _deaf_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._unheard(self.ground.paths.deaf, targets, on)
+        self._unheard(self.environment.paths.deaf, targets, on)
 
     def _dumb_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._unheard(self.ground.paths.dumb, targets, on)
+        self._unheard(self.environment.paths.dumb, targets, on)
 
     def _unheard(self, struck: set[Machine], targets: list[int], on: bool) -> None:
         machines = {self._client_machines[n] for n in targets}
         struck.update(machines) if on else struck.difference_update(machines)
         if not on:
-            self.ground.mended()
+            self.environment.mended()
 
     def _clock_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -586,50 +603,50 @@
 
     def _disk_torn(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            text = self.ground.disk(n).copy()
+            text = self.environment.disk(n).copy()
             if text is not None:
-                self.ground.disk(n).put(text[: int(t.strength * len(text))])
+                self.environment.disk(n).put(text[: int(t.strength * len(text))])
 
     def _disk_lost(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            self.ground.disk(n).lose_power()
+            self.environment.disk(n).lose_power()
 
     def _disk_other(self, t: Trouble, targets: list[int], on: bool) -> None:
-        copies = {n: self.ground.disk((n + 1) % self.world.agents).copy() for n in targets} if on else {}
+        copies = {n: self.environment.disk((n + 1) % self.world.agents).copy() for n in targets} if on else {}
         for n, text in copies.items():
-            self.ground.disk(n).put(text)
+            self.environment.disk(n).put(text)
 
     def _disk_older(self, t: Trouble, targets: list[int], on: bool) -> None:
         copies = self._copies.pop(self.world.troubles.index(t), {}) if on else {}
         for n, text in copies.items():
-            self.ground.disk(n).put(text)
+            self.environment.disk(n).put(text)
 
     def _keep_disks(self, number: int, targets: list[int]) -> None:
-        self._copies[number] = {n: self.ground.disk(n).copy() for n in targets}
+        self._copies[number] = {n: self.environment.disk(n).copy() for n in targets}
 
     def _disk_stuck(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
-            self.ground.disk(n).stuck = on
+            self.environment.disk(n).stuck = on
 
     def _disk_hangs(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            self.ground.disk(n).hang(t.length)
+            self.environment.disk(n).hang(t.length)
 
     def _drift_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             self._drift[n] = t.strength if on else 0.0
 
     def _restart_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._down_and_up(targets, on, "stopping", self.ground.stop_agent)
+        self._down_and_up(targets, on, "stopping", self.environment.stop_agent)
 
     def _kill_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._down_and_up(targets, on, "killed", self.ground.kill_agent)
+        self._down_and_up(targets, on, "killed", self.environment.kill_agent)
 
     def _down_and_up(self, targets: list[int], on: bool, how: str, act: Callable[[int], None]) -> None:
         for n in targets:
             killed = how == "killed"
             if on and (n in self.up or (killed and n in self._stopping)):
-                self.ground.ledger.note(books.AGENT, self.ground.now(), n, self.agents[n], how)
+                self.environment.ledger.note(books.AGENT, self.environment.now(), n, self.agents[n], how)
                 self.up.discard(n)
                 self._again.discard(n)
                 (self._stopping.discard if killed else self._stopping.add)(n)
@@ -646,20 +663,20 @@
             self._run(self._start_agent(n))
 
     def _run(self, start: Coroutine[Any, Any, None]) -> None:
-        task = self.ground.loop.create_task(start)
+        task = self.environment.loop.create_task(start)
         self._starting[task] = None
         task.add_done_callback(lambda done: self._starting.pop(done, None))
 
     def _busy_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         if not on:
             return
-        until = self.ground.now() + t.length
+        until = self.environment.now() + t.length
 
         def again() -> None:
-            if self.ground.now() < until:
+            if self.environment.now() < until:
                 for n in targets:
                     if n in self.up:
-                        self.ground.hold_agent(n, t.strength)
-                self.ground.loop.call_later(BUSY_EVERY / 1000, again)
+                        self.environment.hold_agent(n, t.strength)
+                self.environment.loop.call_later(BUSY_EVERY / 1000, again)
 
         again()
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -70,13 +70,13 @@
 class Seen:
     """The true state, as far as one agent could act on it."""
 
-    def __init__(self, ground: VirtualGround, machine: Machine, agent: Agent) -> None:
-        self._environment, self._machine, self._agent = ground, machine, agent
+    def __init__(self, environment: VirtualGround, machine: Machine, agent: Agent) -> None:
+        self._environment, self._machine, self._agent = environment, machine, agent
 
     def backend(self, index: int) -> Backend | None:
-        ground, place = self._environment, self._agent.directory.place(index)
-        host = ground.hosts[ground.backend_at[place.address]]
-        there = ground.paths.reaches(self._machine, host.machine) and ground.paths.reaches(
+        environment, place = self._environment, self._agent.directory.place(index)
+        host = environment.hosts[environment.backend_at[place.address]]
+        there = environment.paths.reaches(self._machine, host.machine) and environment.paths.reaches(
             host.machine, self._machine
         )
         if not there or not host.backend.up:
@@ -284,30 +284,30 @@
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
     """One run; its ledger, in which a fault stands where anything raised that nobody caught."""
-    ground = VirtualGround(world, seed)
-    loop = ground.loop
+    environment = VirtualGround(world, seed)
+    loop = environment.loop
     asyncio.set_event_loop(loop)
     frozen = gc.isenabled()
     gc.disable()  # guards against a collector whose turns cost a third of the run
     try:
         IOLoop.current()  # makes Tornado's own for this loop, outside of all owners
-        stage = Stage(world, seed, ground, progress)
-        ground.bind(stage, {ground.addresses.backend(n): n for n in range(world.fleet)})
+        stage = Stage(world, seed, environment, progress)
+        environment.bind(stage, {environment.addresses.backend(n): n for n in range(world.fleet)})
         loop.run_until_complete(stage.play())
-        ground.close()
-        for what, times in sorted(ground.agent_faults.items()):
-            ground.ledger.note(books.FAULT, ground.now(), f"{what} x{times}")
+        environment.close()
+        for what, times in sorted(environment.agent_faults.items()):
+            environment.ledger.note(books.FAULT, environment.now(), f"{what} x{times}")
         for context in loop.faults:
             raised = context.get("exception")
-            ground.ledger.note(
-                books.FAULT, ground.now(), f"{context['message']}: {type(raised).__name__}: {raised}"
+            environment.ledger.note(
+                books.FAULT, environment.now(), f"{context['message']}: {type(raised).__name__}: {raised}"
             )
     finally:
-        ledger = ground.ledger
+        ledger = environment.ledger
         ledger.seal()
         loop.end()
         # What killed agents left half-way ends while there still is a loop that it can call.
-        stage = ground = None  # type: ignore[assignment]
+        stage = environment = None  # type: ignore[assignment]
         IOLoop._ioloop_for_asyncio.pop(loop, None)  # holds their streams
         gc.collect()
         if frozen:
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -66,8 +66,8 @@
         self.mine = order["mine"]  # numbers of the agents or backends that are this process's
         self.places = Places(order["port"])
         self.folder = Path(order["folder"])
-        self.ground = HostGround(self.world, self.seed, self.places, order["begin"], self.folder)
-        self.loop = self.ground.loop
+        self.environment = HostGround(self.world, self.seed, self.places, order["begin"], self.folder)
+        self.loop = self.environment.loop
         self.calls = arrivals(self.world, self.seed)
 
     async def open(self) -> None:
@@ -94,7 +94,7 @@
         for b in draw(self.world, self.seed).backends:
             if b.number in self.mine:
                 host = BackendHost(
-                    self.ground,
+                    self.environment,
                     self.world,
                     b,
                     Machine(f"backend {b.number}", b.zone),
@@ -103,7 +103,7 @@
                     self._fell,
                 )
                 self.hosts[b.number] = host
-                await self.ground.serve(
+                await self.environment.serve(
                     self.places.backend(b.number), host.machine, lambda host=host: BackendLine(host)
                 )  # type: ignore[misc]
         self.loop.call_later(SAMPLE / 1000, self._sample)
@@ -113,12 +113,12 @@
         say({"event": "fell", "backend": host.backend.number})
 
     def _sample(self) -> None:
-        now = self.ground.now()
+        now = self.environment.now()
         for n, host in self.hosts.items():
             host.step()
             b = host.backend
             if b.up:
-                self.ground.ledger.note(
+                self.environment.ledger.note(
                     books.LOAD, now, n, len(b.running), len(b.queue), round(b.part(now), 3)
                 )
         self.loop.call_later(SAMPLE / 1000, self._sample)
@@ -158,13 +158,15 @@
         self.registry = Registry()
         agents = [Machine(f"agent {n}", n % len(self.world.zones)) for n in range(self.world.agents)]
         self.host = EndpointsFor(
-            self.ground, self.registry, machine, lambda _: 0, agents.__getitem__, self.world.registry
+            self.environment, self.registry, machine, lambda _: 0, agents.__getitem__, self.world.registry
         )
         self.host.places = self.places
         self.machine = machine
         self.machines = {m.name: m for m in (machine, *agents)}
         for n in range(self.world.agents):
-            await self.ground.serve(self.places.registry(n), machine, lambda n=n: RegistryLine(self.host, n))  # type: ignore[misc]
+            await self.environment.serve(
+                self.places.registry(n), machine, lambda n=n: RegistryLine(self.host, n)
+            )  # type: ignore[misc]
 
     async def do_plane(
         self,
@@ -176,7 +178,7 @@
         **_: Any,
     ) -> None:
         """Whom its word reaches now: what a relay holds back was told to nobody yet."""
-        some, paths = self.machines, self.ground.paths
+        some, paths = self.machines, self.environment.paths
         paths.cut, paths.refused, paths.parted = set(cut), set(refused), {(a, b) for a, b in parted}
         paths.deaf, paths.dumb = ({some[n] for n in names if n in some} for names in (deaf, dumb))
         self.host.mended()
@@ -189,7 +191,7 @@
         if registry.up and not up:
             self.host.down()
         registry.up = up
-        self.ground.shut(self.machine, not up)
+        self.environment.shut(self.machine, not up)
         if up:
             self.host.changed()
 
@@ -199,12 +201,12 @@
 
     async def open(self) -> None:
         self.hosts = {
-            n: ClientHost(self.ground, self.world, n, Machine(f"agent {n}", 0), self.places.front(n))
+            n: ClientHost(self.environment, self.world, n, Machine(f"agent {n}", 0), self.places.front(n))
             for n in self.mine
         }
 
     async def do_begin(self, at: float) -> None:
-        self.ground._spawn(self._ask(at))
+        self.environment._spawn(self._ask(at))
 
     async def _ask(self, at: float) -> None:
         mine = [(i, a) for i, a in enumerate(self.calls) if a.agent in self.hosts]
@@ -213,7 +215,7 @@
             self.hosts[arrival.agent].ask(number, arrival)
 
     async def _until(self, at: float) -> None:
-        wait = at - self.ground.now()
+        wait = at - self.environment.now()
         if wait > 0:
             await asyncio.sleep(wait / 1000)
 
@@ -265,11 +267,11 @@
                             await self.posts.pair(n, other, places.peer_for(n, other))
 
     def _passed(self, what: str, name: str) -> None:
-        self.ground.ledger.note(what, self.ground.now(), name)
+        self.environment.ledger.note(what, self.environment.now(), name)
 
     def _sent(self, name: str, agent: int, backend: int) -> None:
         # As it leaves the agent: what a cut holds back for seconds was sent in time.
-        self.ground.ledger.note(books.SENT, self.ground.now(), agent, 0, backend, name)
+        self.environment.ledger.note(books.SENT, self.environment.now(), agent, 0, backend, name)
 
     async def do_plane(
         self,
@@ -341,9 +343,9 @@
             break
         await host.do(order)
     watching.cancel()
-    ledger = host.ground.ledger
+    ledger = host.environment.ledger
     for what in faults:
-        ledger.note(books.FAULT, host.ground.now(), f"{first['role']}: {what}")
+        ledger.note(books.FAULT, host.environment.now(), f"{first['role']}: {what}")
     ledger.save(Path(first["ledger"]))
     say({"event": "ended", "late": late.told()})
     return 0
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -111,8 +111,8 @@
 class RemoteBackend:
     """What the stage acts on; the backend itself is in a process of the rig."""
 
-    def __init__(self, ground: RigGround, backend: Backend, machine: Machine) -> None:
-        self._environment = ground
+    def __init__(self, environment: RigGround, backend: Backend, machine: Machine) -> None:
+        self._environment = environment
         self.backend = backend
         self.machine = machine
         self._told: dict[str, float] = {}
@@ -149,7 +149,7 @@
     def changed(self) -> None:
         registry = self._stage.registry
         held = [[version, vars(entry)] for version, entry in registry.copy().values()]
-        self._stage.ground.tell_registry(
+        self._stage.environment.tell_registry(
             {"do": "hold", "version": registry.version, "up": registry.up, "entries": held}
         )
 
@@ -161,10 +161,10 @@
         """Told with the plane."""
 
     def told(self, agent: int, version: int, entries: list[Entry], whole: bool) -> None:
-        ground = self._stage.ground
-        ground.ledger.note(
+        environment = self._stage.environment
+        environment.ledger.note(
             books.TOLD,
-            ground.now(),
+            environment.now(),
             agent,
             self._stage.agents[agent],
             version,
@@ -174,7 +174,7 @@
 
     def wire(self, agent: int, entry: Entry) -> dict[str, Any]:
         return entry.wire() | {
-            "endpoint": text(self._stage.ground.addresses.backend_for(agent, entry.backend))
+            "endpoint": text(self._stage.environment.addresses.backend_for(agent, entry.backend))
         }
 
 
@@ -319,17 +319,17 @@
 class RigStage(Stage):
     """The stage with its peers elsewhere."""
 
-    ground: RigGround
+    environment: RigGround
 
-    def __init__(self, world: World, seed: int, ground: RigGround) -> None:
-        super().__init__(world, seed, ground)
+    def __init__(self, world: World, seed: int, environment: RigGround) -> None:
+        super().__init__(world, seed, environment)
         self.registry_host = RemoteRegistry(self)  # type: ignore[assignment]
-        ground.fell = lambda n: self._fell(self.hosts[n])
+        environment.fell = lambda n: self._fell(self.hosts[n])
 
     def _add(self, b: Backend, kind: str, suffix: str = "") -> Any:
         machine = Machine(f"backend {b.number}", b.zone)
-        self.hosts.append(RemoteBackend(self.ground, b, machine))  # type: ignore[arg-type]
-        address = self.ground.addresses.backend(b.number)
+        self.hosts.append(RemoteBackend(self.environment, b, machine))  # type: ignore[arg-type]
+        address = self.environment.addresses.backend(b.number)
         self.entries.append(
             Entry(
                 f"b-{b.number:04x}{suffix}",
@@ -344,7 +344,7 @@
 
     def _told(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
         """Everything that it knows others by is the relay's."""
-        at = self.ground.addresses
+        at = self.environment.addresses
         raw = raw | {"discovery": text(at.registry_for(n))}
         if self.world.limits.peers:
             raw |= {
@@ -354,30 +354,30 @@
         return raw
 
     async def play(self) -> None:
-        ground, world = self.ground, self.world
-        await ground.open()
-        watching = ground.loop.create_task(ground.own.watch())
+        environment, world = self.environment, self.world
+        await environment.open()
+        watching = environment.loop.create_task(environment.own.watch())
         facts = {**plain(world), "seed": self._seed, "mode": "processes", "measure": []}
-        ground.ledger.note(books.WORLD, ground.now(), facts)
+        environment.ledger.note(books.WORLD, environment.now(), facts)
         for host in self.hosts:
             host.boot(cold=False)
             self.registry.set(self.entries[host.backend.number])
         self.registry_host.changed()
         async with asyncio.timeout(ENDS_WITHIN):
-            await ground.all_booted.wait()
+            await environment.all_booted.wait()
         for first in range(0, world.agents, 16):
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
-        begin = ground.now() + BEGINS_IN * 1000
-        ground.tell_clients({"do": "begin", "at": begin})
+        begin = environment.now() + BEGINS_IN * 1000
+        environment.tell_clients({"do": "begin", "at": begin})
         await asyncio.sleep(BEGINS_IN)
         self._make_trouble()
         longest = max(p.timeout for p in world.products)
-        await asyncio.sleep((begin + world.length - ground.now()) / 1000 + SETTLES * longest / 1000)
+        await asyncio.sleep((begin + world.length - environment.now()) / 1000 + SETTLES * longest / 1000)
         watching.cancel()
 
     def _strike(self, trouble: Trouble, targets: list[int], on: bool) -> None:
         super()._strike(trouble, targets, on)
-        paths = self.ground.paths
+        paths = self.environment.paths
         machines = {
             h.machine.name: {k: getattr(h.machine, k) for k in MADE_BY_RELAY}
             for h in self.hosts
@@ -394,14 +394,14 @@
             "dumb": sorted(m.name for m in paths.dumb),
             "machines": machines,
         }
-        self.ground.tell_registry(plane)
-        self.ground.tell_relays(plane)
+        self.environment.tell_registry(plane)
+        self.environment.tell_relays(plane)
 
     def _registry_down(self, t: Trouble, targets: list[int], on: bool) -> None:
         self.registry.up = not on
         if not on:
             self._learn_missed()
-        self.ground.tell_relays({"do": "shut", "name": "registry", "on": on})
+        self.environment.tell_relays({"do": "shut", "name": "registry", "on": on})
         self.registry_host.changed()
 
     def _registry_back(self, t: Trouble, targets: list[int], on: bool) -> None:
@@ -415,32 +415,32 @@
     def _sleep_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if n in self.up:
-                self.ground._signal(n, signal.SIGSTOP if on else signal.SIGCONT)
+                self.environment._signal(n, signal.SIGSTOP if on else signal.SIGCONT)
 
 
 async def play_on(world: World, seed: int) -> tuple[Ledger, dict[str, dict[str, float]], dict[str, float]]:
     """One run; the merged ledger, how late each process of the rig was, and what starting and stopping took in s."""
     with tempfile.TemporaryDirectory(prefix="lupinreach-rig-") as folder:
         began = time.monotonic()
-        ground = RigGround(world, seed, Path(folder))
-        stage = RigStage(world, seed, ground)
+        environment = RigGround(world, seed, Path(folder))
+        stage = RigStage(world, seed, environment)
         ended = began
         stopped = False
         try:
             stopped = await until_stopped(stage.play())
         finally:
-            ended, until = time.monotonic(), ground.now()
-            await ground.close()
+            ended, until = time.monotonic(), environment.now()
+            await environment.close()
             closed = time.monotonic()
-        for what in ground.ended_badly:
-            ground.ledger.note(books.FAULT, ground.now(), what)
-        ground.ledger.seal()
+        for what in environment.ended_badly:
+            environment.ledger.note(books.FAULT, environment.now(), what)
+        environment.ledger.seal()
         longest = max(p.timeout for p in world.products)
         played = (world.length + SETTLES * longest) / 1000
         took = {"start": round(ended - began - played - BEGINS_IN, 2), "stop": round(closed - ended, 2)}
-        merged = ground.merged(ground.ledger.records, until)
+        merged = environment.merged(environment.ledger.records, until)
         merged.stopped = stopped
-        return merged, ground.lateness(), took
+        return merged, environment.lateness(), took
 
 
 def fits(world: World) -> str:
