--- a/benchmarks/drawn_losses.py
+++ b/benchmarks/drawn_losses.py
@@ -14,7 +14,7 @@
 
 import click
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.trial import play, spec
 
 SHARE = 300.0  # ms between two words of what agents share
@@ -23,7 +23,7 @@
 
 def drawn(number: int, touch: bool, processes: bool, share: bool = False) -> dict[str, Any]:
     """The trial of that number, as a file would have it."""
-    chance = stream(number, "drawn losses")
+    chance = random_stream(number, "drawn losses")
 
     def among(low: float, high: float) -> float:
         return low + (high - low) * float(chance.random())
--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -20,7 +20,7 @@
 
 import click
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.fleet import wire
 from lupinreach.fleet.life import Life
 from lupinreach.fleet.membership import FAN, Members
@@ -84,7 +84,7 @@
 
 def held(agents: int) -> int:
     """Bytes of one agent's tables that has heard of all: members, evidence of all backends, counts, who stands."""
-    chance = stream(1, "costs").random
+    chance = random_stream(1, "costs").random
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     members, warmth = Members(0, agents, BEAT, chance), Warmth(0, 20_000.0, chance)
@@ -98,7 +98,7 @@
 
 def spread(agents: int, rows: int = 60) -> dict[str, float]:
     """Ms until one agent's word of one backend, among `rows` that two agents each tell of, is known to half and to 99% of all."""
-    chance = stream(agents, "spread").random
+    chance = random_stream(agents, "spread").random
     each = [Warmth(n, 60_000.0, chance) for n in range(agents)]
     room = wire.NEWS_ROOM // 2 // wire.STOOD_ROW.size
     for backend in range(rows):
--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from lupinreach.bed.commands.experiment import Result, run_many
-from lupinreach.bed.world.chance import Stream, stream
+from lupinreach.bed.world.random_streams import RandomStream, random_stream
 from lupinreach.bed.world.spec import TROUBLES, BackendKind, Trouble, World
 from lupinreach.model import Idempotency
 
@@ -31,12 +31,12 @@
 RISKY = 4.0  # x the usual share of what must not run twice
 
 
-def draw(world: World, number: int, chance: Stream) -> World:
+def draw(world: World, number: int, chance: RandomStream) -> World:
     """One world round the given one; each second one under stress, where rules are looked for and not service."""
     return _stressed(world, number, chance) if number % 2 else _likely(world, number, chance)
 
 
-def _stressed(world: World, number: int, chance: Stream) -> World:
+def _stressed(world: World, number: int, chance: RandomStream) -> World:
     """Endings that are rare elsewhere are common here.
 
     Guards against a fault that needs two rare things at once: drawn apart they would hardly ever meet.
@@ -68,7 +68,7 @@
     )
 
 
-def _likely(world: World, number: int, chance: Stream) -> World:
+def _likely(world: World, number: int, chance: RandomStream) -> World:
     kinds = [k for k in TROUBLES if k not in NOT_DRAWN]
     drawn = []
     for _ in range(int(chance.integers(1, MOST_TROUBLES + 1))):
@@ -106,7 +106,7 @@
     told: Callable[[str], None] = lambda _: None,
 ) -> tuple[Found | None, list[Found]]:
     """`budget` runs: the broken rule, shrunk, if one was met; and the worlds with the least service, worst first."""
-    chance = stream(seed, "search")
+    chance = random_stream(seed, "search")
     worst: list[Found] = []
     batch = 4 * (workers or 8)
     for begin in range(0, budget, batch):
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -14,9 +14,9 @@
 from lupinreach.bed.peers.messages import Reader, answer
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import Stream
 from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
+from lupinreach.bed.world.random_streams import RandomStream
 from lupinreach.bed.world.spec import RegistrySpec, World
 from lupinreach.model import Idempotency
 from lupinreach.net import protocol
@@ -40,7 +40,7 @@
         world: World,
         backend: Backend,
         machine: Machine,
-        chance: Stream,
+        chance: RandomStream,
         asked: Asked,
         fell: Callable[[BackendHost], None],
     ) -> None:
--- a/lupinreach/bed/ways/disk.py
+++ b/lupinreach/bed/ways/disk.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from lupinreach.bed.world.chance import Stream
+from lupinreach.bed.world.random_streams import RandomStream
 from lupinreach.store.files import Disk
 
 CARRIED = "carried"
@@ -23,7 +23,7 @@
 class MemoryDisk(Disk):
     """Files and names, each with what of it a power loss leaves."""
 
-    def __init__(self, chance: Stream) -> None:
+    def __init__(self, chance: RandomStream) -> None:
         self._chance = chance
         self._names: dict[str, _File] = {}
         self._kept: dict[str, _File] = {}  # names that were synced
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -26,10 +26,10 @@
 from lupinreach.bed.ways.stage import Stage
 from lupinreach.bed.ways.stopping import until_stopped
 from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.environment import Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import World
 from lupinreach.config import Address
 
@@ -130,7 +130,9 @@
         self.costs: dict[int, tuple[float, float]] = {}  # by agent at its end: s of CPU, MB at most
         self.loop = asyncio.get_running_loop()
         network = world.network
-        self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
+        self.paths = Paths(
+            network.same, network.cross, network.jitter, network.loss, random_stream(seed, "paths")
+        )
         self.addresses = Addresses(free_port())
         self.ledger = Ledger(self.now())
         self._runs = world.fault or world.policy
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -13,9 +13,9 @@
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
 from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import Trouble, World, plain
 from lupinreach.bed.world.traffic import arrivals
 from lupinreach.config import ASK, BEAT, Address
@@ -43,7 +43,7 @@
 
 def draw(world: World, seed: int) -> Fleet:
     """The backends of a run; their true speeds and times come from the seed."""
-    chance, rules = stream(seed, "fleet"), world.rules
+    chance, rules = random_stream(seed, "fleet"), world.rules
     groups = {p.group for p in world.products if p.kind is Idempotency.DEDUPLICATED}
     memories: dict[Any, Marks] = {}
     fleet = Fleet([], [])
@@ -88,7 +88,7 @@
         self.environment = environment
         self._seed = seed
         self._progress = progress
-        self._chance = stream(seed, "stage")
+        self._chance = random_stream(seed, "stage")
         fleet = draw(world, seed)
         self.registry = Registry()
         self.agents = [0] * world.agents  # their lives
@@ -147,7 +147,7 @@
             self.world,
             b,
             machine,
-            stream(self._seed, "backend", b.number),
+            random_stream(self._seed, "backend", b.number),
             self._asked,
             self._fell,
         )
@@ -237,7 +237,7 @@
             "name": f"agent-{n}",
             "listen": text(at.agent(n)),
             "discovery": text(at.registry(n)),
-            "seed": f"{int(stream(self._seed, 'agent', n, life).integers(1 << 48)):x}",
+            "seed": f"{int(random_stream(self._seed, 'agent', n, life).integers(1 << 48)):x}",
             "limits": {"sockets": self.world.sockets},
             "known": {
                 "rev": self.registry.version,
@@ -309,7 +309,7 @@
         if not total:
             return []
         wanted = max(1, round(trouble.share * total)) if trouble.strikes != "zones" else 1
-        chance = stream(self._seed, "trouble", number)
+        chance = random_stream(self._seed, "trouble", number)
         return sorted(int(n) for n in chance.permutation(total)[:wanted])
 
     def _begin(self, number: int, trouble: Trouble, targets: list[int]) -> None:
@@ -373,7 +373,7 @@
 
     def _apart(self, t: Trouble, targets: list[int], on: bool, both: bool = True) -> None:
         number, total = self.world.troubles.index(t), self.world.agents
-        some = stream(self._seed, "apart", number).permutation(total)[: round(t.strength * total)]
+        some = random_stream(self._seed, "apart", number).permutation(total)[: round(t.strength * total)]
         pairs = [
             (self.hosts[b].machine.name, self._client_machines[int(n)].name) for b in targets for n in some
         ]
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -19,10 +19,10 @@
 from lupinreach.bed.ways.policies import POLICIES, TrueState
 from lupinreach.bed.ways.stage import Stage
 from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.environment import EPOCH, Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import World
 from lupinreach.config import Address, AgentConfig, FleetConfig, Section, read_settings
 from lupinreach.net.agent import Agent
@@ -97,7 +97,9 @@
         self._seed = seed
         self._disks: dict[int, MemoryDisk] = {}  # one an agent, over all its lives
         network = world.network
-        self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
+        self.paths = Paths(
+            network.same, network.cross, network.jitter, network.loss, random_stream(seed, "paths")
+        )
         self.net = MemoryNet(self.loop, self.paths)
         self.net.sends = self._sends
         self.net.everybody = self.addresses.everybody()
@@ -110,7 +112,7 @@
         self._lives: dict[int, Life] = {}
         self._twins: dict[int, Life] = {}  # second processes; each leaves as it ends
         self._owners: dict[int, tuple[int, int]] = {}  # owner: agent, life; as many as there were lives
-        self._chance = stream(seed, "breaks")
+        self._chance = random_stream(seed, "breaks")
         self.works = [p.work for p in world.products]
         self._tasks: set[asyncio.Task[None]] = set()
         self._ends: dict[int, Callable[[], None]] = {}  # of the agents that run
@@ -203,7 +205,7 @@
         return begun
 
     def disk(self, number: int) -> MemoryDisk:
-        return self._disks.setdefault(number, MemoryDisk(stream(self._seed, "disk", number)))
+        return self._disks.setdefault(number, MemoryDisk(random_stream(self._seed, "disk", number)))
 
     def carried(self, number: int) -> str:
         return CARRIED
--- a/lupinreach/bed/world/network.py
+++ b/lupinreach/bed/world/network.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from lupinreach.bed.world.chance import Stream
+from lupinreach.bed.world.random_streams import RandomStream
 
 RESEND = 200.0  # ms that a lost segment costs
 MOST_RESENDS = 4
@@ -33,7 +33,7 @@
     cross: float
     jitter: float  # share of the delay
     loss: float  # share of segments
-    chance: Stream
+    chance: RandomStream
     cut: set[int] = field(default_factory=set)  # zones that can't reach the others
     refused: set[int] = field(
         default_factory=set
--- a/lupinreach/bed/world/chance.py
+++ b/lupinreach/bed/world/random_streams.py
@@ -6,10 +6,10 @@
 
 import numpy as np
 
-Stream = np.random.Generator
+RandomStream = np.random.Generator
 
 
-def stream(seed: int, *name: object) -> Stream:
+def random_stream(seed: int, *name: object) -> RandomStream:
     """The same numbers for the same seed and name, whatever other parts draw."""
     text = ":".join(map(str, name)).encode()
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence((seed, crc32(text), len(text)))))
--- a/lupinreach/bed/world/traffic.py
+++ b/lupinreach/bed/world/traffic.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import Traffic, World
 
 GRAIN = 50.0  # ms: the rate is even within one
@@ -31,7 +31,7 @@
     if traffic.shape == "day":
         rate *= 1 + traffic.swing * np.sin(2 * np.pi * at / traffic.period)
     elif traffic.shape == "bursts":
-        chance = stream(seed, "bursts")
+        chance = random_stream(seed, "bursts")
         spans = max(1, int(np.ceil(world.length / traffic.period)))
         begins = (np.arange(spans) + chance.random(spans) * 0.7) * traffic.period
         within = np.zeros(grains, dtype=bool)
@@ -49,7 +49,7 @@
     """All API calls of the run, in the order of their times."""
     traffic = world.traffic
     rate = rates(traffic, world, seed)
-    chance = stream(seed, "arrivals")
+    chance = random_stream(seed, "arrivals")
     counts = chance.poisson(rate * GRAIN / 1000)
     total = int(counts.sum())
     at = np.sort(np.repeat(np.arange(len(rate)) * GRAIN, counts) + chance.random(total) * GRAIN)
--- a/lupinreach/trial/campaign/draw.py
+++ b/lupinreach/trial/campaign/draw.py
@@ -9,7 +9,7 @@
 import copy
 from typing import Any
 
-from lupinreach.bed.world.chance import Stream, stream
+from lupinreach.bed.world.random_streams import RandomStream, random_stream
 from lupinreach.bed.world.spec import TROUBLES
 
 Raw = dict[str, Any]
@@ -47,17 +47,17 @@
 VIRTUAL_ALONE = frozenset({"disk-hangs", "disk-lost", "busy-agents"})  # can't be made with processes
 
 
-def among(chance: Stream, low: float, high: float) -> float:
+def among(chance: RandomStream, low: float, high: float) -> float:
     return round(low + (high - low) * float(chance.random()), 3)
 
 
-def pick(chance: Stream, some: Any) -> Any:
+def pick(chance: RandomStream, some: Any) -> Any:
     return some[int(chance.integers(len(some)))]
 
 
 def plain(seed: int, number: int) -> Raw:
     """The history of that number of a campaign, drawn with no look at any other."""
-    chance = stream(seed, "campaign", number)
+    chance = random_stream(seed, "campaign", number)
     agents, backends, cores = (
         int(chance.integers(2, 8)),
         int(chance.integers(3, 9)),
@@ -107,7 +107,7 @@
     return raw
 
 
-def power(chance: Stream) -> Raw:
+def power(chance: RandomStream) -> Raw:
     found: Raw = {"kind": "power", "at": among(chance, FIRST, LAST - 2), "agents": among(chance, 0.3, 1.5)}
     if chance.random() < 0.7:
         found["backends"] = among(chance, 0.3, 2.0)
@@ -120,7 +120,7 @@
     return found
 
 
-def trouble(chance: Stream) -> Raw:
+def trouble(chance: RandomStream) -> Raw:
     kind = pick(chance, ROOMS[pick(chance, sorted(ROOMS))])
     strikes, usual, low, high = TROUBLES[kind]
     found: Raw = {"kind": kind, "at": among(chance, FIRST, LAST), "seconds": among(chance, *SPAN)}
@@ -144,7 +144,7 @@
 
 def near(raw: Raw, seed: int, number: int) -> Raw:
     """A step from there: one thing is added, taken away, moved, brought together with another, or made longer."""
-    chance = stream(seed, "campaign near", number)
+    chance = random_stream(seed, "campaign near", number)
     found = copy.deepcopy(raw)
     found["name"] = f"history-{number}"
     for _ in range(1 + int(chance.integers(2))):
--- a/lupinreach/trial/campaign/hunt.py
+++ b/lupinreach/trial/campaign/hunt.py
@@ -15,7 +15,7 @@
 
 from lupinreach.bed.commands.search import smaller
 from lupinreach.bed.ways import virtual
-from lupinreach.bed.world.chance import Stream, stream
+from lupinreach.bed.world.random_streams import RandomStream, random_stream
 from lupinreach.bed.world.spec import to_toml
 from lupinreach.config import BadConfig
 from lupinreach.trial import bounds, play, spec
@@ -88,7 +88,7 @@
             self._by.setdefault(word, []).append((h.number, h.raw))
             del self._by[word][:-RARE]
 
-    def parent(self, chance: Stream) -> tuple[int, draw.Raw] | None:
+    def parent(self, chance: RandomStream) -> tuple[int, draw.Raw] | None:
         """One that reached a word that few did; each such word alike."""
         rare = sorted(word for word, times in self.times.items() if times <= RARE)
         return draw.pick(chance, self._by[draw.pick(chance, rare)]) if rare else None
@@ -110,7 +110,7 @@
 
     def draw(self, number: int) -> tuple[int, int | None, draw.Raw, int]:
         """The history of a number: plain, or near to one that reached something rare by now."""
-        chance = stream(self._seed, "guide", number)
+        chance = random_stream(self._seed, "guide", number)
         if chance.random() < self._guided and (found := self.guide.parent(chance)) is not None:
             parent, raw = found
             return number, parent, draw.near(raw, self._seed, number), number
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -24,9 +24,9 @@
 from lupinreach.bed.ways.stage import draw
 from lupinreach.bed.world import ledger as books
 from lupinreach.bed.world import spec as beds
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.traffic import arrivals
 from lupinreach.config import Address
 from lupinreach.trial.rig.late import Lateness
@@ -98,7 +98,7 @@
                     self.world,
                     b,
                     Machine(f"backend {b.number}", b.zone),
-                    stream(self.seed, "backend", b.number),
+                    random_stream(self.seed, "backend", b.number),
                     self.asked,
                     self._fell,
                 )
@@ -230,9 +230,9 @@
             network.cross,
             network.jitter,
             network.loss,
-            stream(self.seed, "paths", *self.mine[:1]),
+            random_stream(self.seed, "paths", *self.mine[:1]),
         )
-        self.plane = Plane(paths, stream(self.seed, "relay", *self.mine[:1]))
+        self.plane = Plane(paths, random_stream(self.seed, "relay", *self.mine[:1]))
         places, self.machines = self.places, {"registry": Machine("registry", 0)}
         backends = [(b.number, b.zone) for b in draw(self.world, self.seed).backends]
         for n in range(self.world.agents):
--- a/lupinreach/trial/rig/relay.py
+++ b/lupinreach/trial/rig/relay.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from lupinreach.bed.world.chance import Stream
 from lupinreach.bed.world.ledger import REACHED, REPLIED
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import RandomStream
 from lupinreach.config import Address
 
 BACKLOG = 256
@@ -198,7 +198,7 @@
 class Plane:
     """All links of some agents."""
 
-    def __init__(self, paths: Paths, chance: Stream) -> None:
+    def __init__(self, paths: Paths, chance: RandomStream) -> None:
         self.loop = asyncio.get_running_loop()
         self.paths = paths
         self.chance = chance
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -11,7 +11,7 @@
 import pytest
 from test_trial import command
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.ops.sharing import Sharing
 from lupinreach.trial import play, spec
 from lupinreach.trial.campaign import draw, hunt, page
@@ -62,7 +62,7 @@
     guide = Guide()
     for n in range(1, 40):
         guide.learn(history(n, {"usual"} | ({"rare"} if n == 7 else set())))
-    chance = stream(1, "test")
+    chance = random_stream(1, "test")
     assert {guide.parent(chance)[0] for _ in range(20)} == {7}
     assert Guide().parent(chance) is None
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -11,7 +11,7 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.bed.ways.disk import CARRIED, Folder, MemoryDisk
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.model import BackendSnapshot, PolicySnapshot
 from lupinreach.ops.carry import Carry, judged
 from lupinreach.store import records
@@ -64,7 +64,7 @@
     found = set()
     for steps in range(4):
         for seed in range(40):
-            disk = Stops(stream(seed, "disk"), 9)
+            disk = Stops(random_stream(seed, "disk"), 9)
             assert replace(CARRIED, b"old text", sync, disk)
             disk.sync(".")
             disk._names[CARRIED].safe = len(b"old text")
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -14,7 +14,7 @@
 from benchmarks.drawn_losses import drawn
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.disk import MemoryDisk
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.config import BadConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.life import Life
@@ -107,7 +107,7 @@
             config=SimpleNamespace(settings=SimpleNamespace(agents=4)),
         )
         one = object.__new__(Marks)
-        store = Store("/a/carried", "agent-0", Disk(stream(1, "disk")))
+        store = Store("/a/carried", "agent-0", Disk(random_stream(1, "disk")))
         store.put("beat", [1, 1])
         await store.flush()
         one.__dict__.update(
@@ -182,7 +182,7 @@
 
 def test_an_id_is_safe_before_it_counts_and_goes_after_two_turns():
     async def work():
-        disk = MemoryDisk(stream(1, "disk"))
+        disk = MemoryDisk(random_stream(1, "disk"))
         _, ran = part(Store("/a/carried", "a", disk))
         assert await asyncio.gather(*(ran.keep(b"id-%d" % n) for n in range(50))) == [Remembered.KEPT] * 50
         disk.lose_power()
@@ -202,7 +202,7 @@
 
 def test_a_disk_that_can_t_be_written_and_a_full_store():
     async def work():
-        disk = MemoryDisk(stream(1, "disk"))
+        disk = MemoryDisk(random_stream(1, "disk"))
         agent, ran = part(store := Store("/a/carried", "a", disk))
         disk.stuck = True
         assert (
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -16,7 +16,7 @@
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.disk import MemoryDisk
 from lupinreach.bed.ways.virtual import VirtualLog
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.config import BadConfig, FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.life import Life
@@ -210,7 +210,7 @@
         update_backends=lambda now, news, entries: agent.listed.append((news, entries))
     )
     agent.peers = SimpleNamespace(send=lambda to, data: agent.sent.append((to, wire.read(data))))
-    store = Store("carried", "a", MemoryDisk(stream(1, "disk")))
+    store = Store("carried", "a", MemoryDisk(random_stream(1, "disk")))
     return agent, Returning(agent, store, Found(dict(state or {})), config, 77)
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -14,8 +14,8 @@
 import pytest
 
 from lupinreach.bed.judging.check import Checker
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import plain
 from lupinreach.trial import spec
 from lupinreach.trial.rig.host import TheRegistry
@@ -119,8 +119,8 @@
 
 
 def plane():
-    paths = Paths(0.0, 0.0, 0.0, 0.0, stream(1, "paths"))
-    return Plane(paths, stream(1, "relay")), Machine("near", 0), Machine("far", 1)
+    paths = Paths(0.0, 0.0, 0.0, 0.0, random_stream(1, "paths"))
+    return Plane(paths, random_stream(1, "relay")), Machine("near", 0), Machine("far", 1)
 
 
 async def echo(reader, writer):
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as tries
 from hypothesis import strategies as some
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.fleet import counts as counting
 from lupinreach.fleet import grants, wire
 from lupinreach.fleet import warmth as standing
@@ -193,7 +193,7 @@
 
 
 def evidence(me=0, zone=0):
-    return Evidence(me, zone, 500.0, lambda draws=stream(me, "evidence"): float(draws.random()))
+    return Evidence(me, zone, 500.0, lambda draws=random_stream(me, "evidence"): float(draws.random()))
 
 
 rows = some.lists(
@@ -319,7 +319,7 @@
 
 
 def counts(me=0, customers=3, window=1000.0):
-    return Counts(me, customers, window, lambda draws=stream(me, "counts"): float(draws.random()))
+    return Counts(me, customers, window, lambda draws=random_stream(me, "counts"): float(draws.random()))
 
 
 class Sums(Counts):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 from test_disk import Stops
 
 from lupinreach.bed.ways.disk import CARRIED, MemoryDisk
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.store import records, trust
 from lupinreach.store.records import HEAD, record, whole
 from lupinreach.store.store import Store
@@ -73,7 +73,7 @@
 
 
 def test_the_file_of_the_version_before_is_taken_and_written_anew():
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     disk.put(b'{"form":1,"at":5}')
     store = Store(CARRIED, "a", disk)
     assert store.open().state == {"learnt": {"form": 1, "at": 5}}
@@ -106,7 +106,7 @@
 def test_after_a_power_loss_at_any_step_what_was_flushed_is_there_and_nothing_that_was_not_put():
     outcomes = 0
     for steps in range(30):
-        disk, safe, put = Stops(stream(1, "disk"), steps), {}, [{}]
+        disk, safe, put = Stops(random_stream(1, "disk"), steps), {}, [{}]
         store = Store(CARRIED, "a", disk)
         state = {}
         for life in range(1, 4):
@@ -132,7 +132,7 @@
         def append(self, path, text, sync):
             super().append(path, text, False)
 
-    disk = Lazy(stream(1, "disk"))
+    disk = Lazy(random_stream(1, "disk"))
     store = Store(CARRIED, "a", disk)
     for life in (1, 2):
         store.put("life", life)
@@ -141,7 +141,7 @@
 
 
 def test_two_processes_on_one_disk_lower_neither_s_life_nor_floor():
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     one, two = Store(CARRIED, "a", disk), Store(CARRIED, "a", disk)
     one.open(), two.open()
     for store, life in ((one, 4), (two, 6)):
@@ -155,7 +155,7 @@
 
 def test_a_disk_that_fails_is_said_once_and_what_was_put_is_written_when_it_is_back():
     said = []
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     store = Store(CARRIED, "a", disk, said.append)
     store.put("life", 1)
     assert asyncio.run(store.flush()) and store.well
@@ -170,7 +170,7 @@
 
 
 def test_the_file_stays_bounded_and_so_does_what_is_held():
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     store = Store(CARRIED, "a", disk)
     for n in range(400):
         store.put("learnt", [n] * 2000)
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -12,8 +12,8 @@
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.loop import VirtualLoop
 from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySockets, Side
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import read as read_world
 from lupinreach.config import BadConfig
 from lupinreach.trial import figures, play, spec
@@ -259,7 +259,7 @@
 def posted(change, messages=200):
     """What one of three agents hears of what another sends, so many a second apart by 1 ms."""
     loop = VirtualLoop()
-    paths = Paths(1.0, 1.0, 0.0, 0.0, stream(1, "paths"))
+    paths = Paths(1.0, 1.0, 0.0, 0.0, random_stream(1, "paths"))
     net = MemoryNet(loop, paths)
     net.everybody = ("all", 1)
     posts = []
