--- a/lupinreach/bed/commands/experiment.py
+++ b/lupinreach/bed/commands/experiment.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lupinreach.bed.judging import check, service
-from lupinreach.bed.judging.check import Breach
+from lupinreach.bed.judging.check import Violation
 from lupinreach.bed.ways import loopback, virtual
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.spec import World
@@ -24,7 +24,7 @@
     """One run, judged and counted."""
 
     seed: int
-    breaches: list[Breach]
+    violations: list[Violation]
     rules: dict[str, str]
     figures: dict[str, Any]
     digest: str
@@ -32,7 +32,7 @@
 
     @property
     def kept(self) -> bool:
-        return not self.breaches
+        return not self.violations
 
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
@@ -41,11 +41,11 @@
 
 def judge(world: World, seed: int, ledger: Ledger) -> Result:
     checker = check.Checker(world)
-    breaches = checker.read(ledger.records)
+    violations = checker.read(ledger.records)
     return Result(
         seed,
-        breaches,
-        check.verdict(breaches),
+        violations,
+        check.verdict(violations),
         service.count(world, ledger.records),
         ledger.digest(),
         len(checker.unheard),
--- a/lupinreach/bed/judging/check.py
+++ b/lupinreach/bed/judging/check.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Breach:
+class Violation:
     rule: str
     name: str  # of what went wrong, one of a few
     at: float  # ms
@@ -63,7 +63,7 @@
     def __init__(self, world: World) -> None:
         self._world = world
         self._products = {p.name: p for p in world.products}
-        self.breaches: list[Breach] = []
+        self.violations: list[Violation] = []
         self._relayed = False  # a relay stands between clients and agents, and has booked
         self.unheard: list[
             str
@@ -90,9 +90,9 @@
         self._tipped: set[tuple[int, float]] = set()
 
     def _breach(self, rule: str, name: str, at: float, what: str) -> None:
-        self.breaches.append(Breach(rule, name, round(at, 3), what))
+        self.violations.append(Violation(rule, name, round(at, 3), what))
 
-    def read(self, records: Iterable[Record]) -> list[Breach]:
+    def read(self, records: Iterable[Record]) -> list[Violation]:
         """All breaches, in the order of their times."""
         for record in records:
             handle = getattr(self, "_on_" + record[0], None)
@@ -100,8 +100,8 @@
                 handle(record[1] / 1000, *record[2:])
         for name, one in self.tries.items():
             self._judge(name, one)
-        self.breaches.sort(key=lambda b: b.at)
-        return self.breaches
+        self.violations.sort(key=lambda b: b.at)
+        return self.violations
 
     # Record by record.
 
@@ -342,10 +342,10 @@
         return {DedupScope.ALL: 0, DedupScope.ZONE: zone, DedupScope.CELL: cell}[one.product.group]
 
 
-def verdict(breaches: list[Breach]) -> dict[str, str]:
+def verdict(violations: list[Violation]) -> dict[str, str]:
     """Each rule, kept or how often it was broken and as what."""
     found: dict[str, Counter[str]] = defaultdict(Counter)
-    for b in breaches:
+    for b in violations:
         found[b.rule][b.name] += 1
     return {
         rule: ", ".join(f"{name} x{n}" for name, n in found[rule].most_common()) or "kept" for rule in RULES
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -67,8 +67,8 @@
 
 @pytest.mark.parametrize("fault", SHOWS)
 def test_a_planted_fault_is_caught_by_its_name_and_its_twin_without_it_is_clean(fault):
-    breaches, _ = judged(world(fault=fault, **SHOWS[fault]))
-    assert FAULTS[fault].caught_as in {b.name for b in breaches}
+    violations, _ = judged(world(fault=fault, **SHOWS[fault]))
+    assert FAULTS[fault].caught_as in {b.name for b in violations}
     assert judged(world(**SHOWS[fault]))[0] == []
 
 
@@ -81,8 +81,8 @@
         "dispatch",
         lambda self, now, call: kept(self, now, call) if call.token._id != b"9.0" else 1 / 0,
     )
-    breaches, records = judged(world(seconds=1))
-    assert [(b.rule, b.what) for b in breaches] == [("faults", "fault: api call x1")]
+    violations, records = judged(world(seconds=1))
+    assert [(b.rule, b.what) for b in violations] == [("faults", "fault: api call x1")]
     assert [r[3] for r in records if r[0] == "got" and r[2] == "9.0"] == [500]
 
 
@@ -117,20 +117,20 @@
 
 
 def test_a_zone_cut_in_mid_answer_holds_bytes_back_and_breaks_no_rule():
-    breaches, records = judged(
+    violations, records = judged(
         world(
             troubles=[trouble("cut", targets=["b"]), trouble("cut", at=5, seconds=0.1)],
             network={"cross": 20.0, "jitter": 2.0},
         )
     )
-    assert breaches == []
+    assert violations == []
     answered = {r[2] for r in records if r[0] == "got" and r[3] == 200}
     ran = {r[3] for r in records if r[0] == "ran"}
     assert ran - answered  # work that was done, and whose answer was cut off
 
 
 def test_a_restart_with_many_api_calls_out_answers_all_that_was_taken():
-    breaches, records = judged(
+    violations, records = judged(
         world(
             agents={"count": 1},
             products=[LOOK | {"work": 400, "slo": 2000}, PAY | {"work": 400, "slo": 2000}],
@@ -143,14 +143,16 @@
     out = {r[2] for r in records if r[0] == "asked" and r[1] < stopping} - {
         r[2] for r in records if r[0] == "got" and r[1] < stopping
     }
-    assert len(out) > 100 and breaches == []
+    assert len(out) > 100 and violations == []
     ended = [r for r in records if r[0] == "agent" and r[4] == "ended"]
     assert len(ended) == 1 and out <= {r[2] for r in records if r[0] == "got" and r[1] <= ended[0][1]}
 
 
 def test_an_agent_killed_outright_loses_only_what_it_held_and_comes_back():
-    breaches, records = judged(world(agents={"count": 1}, troubles=[trouble("kill-agents", at=2, seconds=1)]))
-    assert breaches == []
+    violations, records = judged(
+        world(agents={"count": 1}, troubles=[trouble("kill-agents", at=2, seconds=1)])
+    )
+    assert violations == []
     killed = next(r[1] for r in records if r[0] == "agent" and r[4] == "killed")
     back = next(r[1] for r in records if r[0] == "agent" and r[3] == 2)
     fulfilled = [r[1] for r in records if r[0] == "got" and r[3] == 200]
@@ -160,9 +162,9 @@
 
 def test_an_event_loop_held_up_for_50_ms_delays_answers_and_loses_none():
     _, calm = judged(world(agents={"count": 1}))
-    breaches, records = judged(world(agents={"count": 1}, troubles=[trouble("busy-agents", seconds=4)]))
+    violations, records = judged(world(agents={"count": 1}, troubles=[trouble("busy-agents", seconds=4)]))
     p99 = [service.count(world(), some)["latency_ms"]["p99"] for some in (calm, records)]
-    assert breaches == [] and p99[1] > p99[0] + 20
+    assert violations == [] and p99[1] > p99[0] + 20
 
 
 def test_a_registry_that_comes_back_with_a_lower_version_is_followed_again():
@@ -171,8 +173,8 @@
         registry={"restart_version": 1},
         troubles=[trouble("registry-back", at=1, seconds=2), trouble("drain", at=9, seconds=4, targets=[1])],
     )
-    breaches, records = judged(one)
-    assert breaches == []
+    violations, records = judged(one)
+    assert violations == []
     versions = [r[4] for r in records if r[0] == "told" and r[2] == 0]
     assert any(b < a for a, b in zip(versions, versions[1:], strict=False))
     told = next(r[1] for r in records if r[0] == "told" and r[2] == 0 and [1, "Terminating"] in r[5])
@@ -190,17 +192,17 @@
             network={"same": 0.5, "cross": 0.5, "jitter": 0.0},
             traffic={"calls_per_s": 60},
         )
-        breaches, records = judged(one)
-        return one, breaches, records
+        violations, records = judged(one)
+        return one, violations, records
 
     one, _, records = play(500.0)
     exact = statistics.mode(round(c.answered, 3) for c in service.calls(one, records).values())
     kinds = set()
     for waits in (exact - 0.001, exact, exact + 0.001, exact + 0.1):
-        _, breaches, records = play(waits)
+        _, violations, records = play(waits)
         kinds |= {r[0] for r in records}
         # Nothing but what was too late: no second answer, nothing sent after it, no other call's.
-        assert {b.name for b in breaches} <= {"no answer"}
+        assert {b.name for b in violations} <= {"no answer"}
     assert {"left", "got"} <= kinds
 
 
@@ -403,8 +405,8 @@
     (tmp_path / "small.toml").write_text(spec.to_toml(broken.world))
     again = spec.read_file(tmp_path / "small.toml")
     assert again.agents < one.agents and len(again.troubles) == 1
-    breaches, records = judged(again, again.seeds[0])
-    assert "effect twice" in {b.name for b in breaches}
+    violations, records = judged(again, again.seeds[0])
+    assert "effect twice" in {b.name for b in violations}
 
 
 def test_a_calm_day_on_loopback_serves_as_in_virtual_time():
@@ -427,8 +429,8 @@
         traffic={"calls_per_s": 60},
         network={"same": 10.0, "cross": 25.0},
     )
-    breaches, records = judged(one)
-    assert breaches == []
+    violations, records = judged(one)
+    assert violations == []
     shots, came = ({r[i] for r in records if r[0] == kind} for kind, i in (("sent", 5), ("came", 4)))
     assert shots - came  # written to a connection whose close was on its way
 
@@ -443,8 +445,8 @@
             {"kind": "kill-agents", "at": 1, "seconds": 1, "share": 1.0},
         ],
     )
-    breaches, records = judged(one)
-    assert breaches == []
+    violations, records = judged(one)
+    assert violations == []
     told = {(r[2], r[3]) for r in records if r[0] == "told"}
     assert len({agent for agent, _ in told}) == 8
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -62,7 +62,7 @@
     "name", [pytest.param(name, marks=pytest.mark.rig(SMALL | more)) for name, more in TROUBLES.items()]
 )
 def test_a_small_fleet_of_processes_keeps_the_rules_and_comes_back(name, played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
     ends = played.result.figures["answers"]
     assert ends["fulfilled"] > 0.5 * played.result.figures["calls"]
     # Warm again for two seconds: by both together, since one dear API call is a tenth of a second's value.
@@ -309,8 +309,8 @@
     rows += [("reached", reached * 1000, "a.0")] if reached else []
     rows += [("replied", replied * 1000, "a.0")] if replied else []
     checker = Checker(world)
-    breaches = checker.read([*rows, ("left", 1_000_000, "a.0")])
-    assert [b.name for b in breaches] == (["no answer"] if whose == "agent" else [])
+    violations = checker.read([*rows, ("left", 1_000_000, "a.0")])
+    assert [b.name for b in violations] == (["no answer"] if whose == "agent" else [])
     assert checker.unheard == (["a.0"] if whose == "rig" else [])
 
 
