--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -8,7 +8,7 @@
 
 from lupinreach.bed.peers.messages import Reader
 from lupinreach.bed.peers.servers import BODY
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.spec import World
@@ -66,8 +66,8 @@
             return
         one = Try(call, number, arrival, began, f"{call:x}.{number}", now, waits)
         customer = world.customers[arrival.customer].name if arrival.customer >= 0 else ""
-        self.environment.ledger.note(
-            books.ASKED,
+        self.environment.ledger.add_record(
+            record_kinds.ASKED,
             now,
             one.name,
             call,
@@ -130,7 +130,7 @@
 
     def _left(self, one: Try) -> None:
         if self._over(one):
-            self.environment.ledger.note(books.LEFT, self.environment.now(), one.name)
+            self.environment.ledger.add_record(record_kinds.LEFT, self.environment.now(), one.name)
             if one.call in self.lines:
                 self.lines.pop(one.call).drop()
             self._again(one, harmless=False, wait=0.0)
@@ -142,8 +142,8 @@
         status = head.first[2]
         wait = float(head.headers.get(b"retry-after", b"0")) * 1000
         carried = body[len(BODY) :].decode("latin-1") if status == 200 and body.startswith(BODY) else ""
-        self.environment.ledger.note(
-            books.GOT, self.environment.now(), one.name, status, round(wait, 1), carried
+        self.environment.ledger.add_record(
+            record_kinds.GOT, self.environment.now(), one.name, status, round(wait, 1), carried
         )
         if status != 200:
             self._again(one, harmless=status in REFUSED, wait=wait if self.world.clients.honours else 0.0)
@@ -151,7 +151,7 @@
     def lost(self, one: Try, why: str) -> None:
         self.lines.pop(one.call, None)
         if self._over(one):
-            self.environment.ledger.note(books.LOST, self.environment.now(), one.name, why)
+            self.environment.ledger.add_record(record_kinds.LOST, self.environment.now(), one.name, why)
             self._again(one, harmless=why == "refused", wait=0.0)
 
     def _again(self, one: Try, harmless: bool, wait: float) -> None:
@@ -194,7 +194,9 @@
 
     def data_received(self, data: bytes) -> None:
         if self.one is None:
-            self._host.environment.ledger.note(books.EXTRA, self._host.environment.now(), self._last)
+            self._host.environment.ledger.add_record(
+                record_kinds.EXTRA, self._host.environment.now(), self._last
+            )
             self._transport.abort()
             return
         try:
@@ -207,7 +209,9 @@
                 continue
             one, self.one = self.one, None
             if one is None:
-                self._host.environment.ledger.note(books.EXTRA, self._host.environment.now(), self._last)
+                self._host.environment.ledger.add_record(
+                    record_kinds.EXTRA, self._host.environment.now(), self._last
+                )
                 self._transport.abort()
                 return
             self._used = True
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -13,7 +13,7 @@
 from lupinreach.bed.peers.backend import Backend, Job, Way
 from lupinreach.bed.peers.messages import Reader, answer
 from lupinreach.bed.peers.registry import Entry, Registry
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.random_streams import RandomStream
@@ -79,7 +79,9 @@
     def _done(self, now: float, job: Job) -> None:
         if job.token is None:
             return
-        self.environment.ledger.note(books.RAN, now, self.backend.number, job.name, not job.repeat)
+        self.environment.ledger.add_record(
+            record_kinds.RAN, now, self.backend.number, job.name, not job.repeat
+        )
         job.token.done(now, job)
 
     def come(self, line: BackendLine, name: str, work: float, product: int, key: str | None) -> None:
@@ -89,19 +91,21 @@
         spec = self.world.products[product]
         mark = name if spec.kind is Idempotency.DEDUPLICATED else None
         job = Job(name, product, work, key, mark, spec.memory, line)
-        self.environment.ledger.note(books.CAME, now, backend.number, backend.life, name, round(work, 3))
+        self.environment.ledger.add_record(
+            record_kinds.CAME, now, backend.number, backend.life, name, round(work, 3)
+        )
         way = backend.come(now, job, float(self.chance.random()))
         if backend.fallen and backend.up:
-            self.environment.ledger.note(books.FELL, now, backend.number)
+            self.environment.ledger.add_record(record_kinds.FELL, now, backend.number)
             self._fell(self)
             return
         if way is Way.TAKEN:
             line.job = job
         elif way is Way.TURNED_AWAY:
-            self.environment.ledger.note(books.AWAY, now, backend.number, name)
+            self.environment.ledger.add_record(record_kinds.AWAY, now, backend.number, name)
             line.say(DECLINED)
         elif way is Way.FAILED:
-            self.environment.ledger.note(books.FAILED, now, backend.number, name)
+            self.environment.ledger.add_record(record_kinds.FAILED, now, backend.number, name)
             line.say(answer(500, b"", *self.load(now)))
         self.step()
 
@@ -118,8 +122,8 @@
         b, rules, now = self.backend, self.world.rules, self.environment.now()
         b.boot(now, cold)
         self.environment.shut(self.machine, False)
-        self.environment.ledger.note(
-            books.STATE,
+        self.environment.ledger.add_record(
+            record_kinds.STATE,
             now,
             b.number,
             b.life,
@@ -209,11 +213,13 @@
             return
         agent, life, product = found
         if not host.environment.exact:
-            host.environment.ledger.note(
-                books.SENT, host.environment.now(), agent, life, host.backend.number, name
+            host.environment.ledger.add_record(
+                record_kinds.SENT, host.environment.now(), agent, life, host.backend.number, name
             )
         if self._refuses:
-            host.environment.ledger.note(books.AWAY, host.environment.now(), host.backend.number, name)
+            host.environment.ledger.add_record(
+                record_kinds.AWAY, host.environment.now(), host.backend.number, name
+            )
             self.say(DECLINED)
             self._transport.close()
             return
@@ -318,7 +324,7 @@
         told = [[e.backend, e.state] for e in entries if e.state == "Ready" or not self.registry.succeeded(e)]
         word = self.life_of(agent), version, told, whole
         if line is None:
-            self.environment.ledger.note(books.TOLD, self.environment.now(), agent, *word)
+            self.environment.ledger.add_record(record_kinds.TOLD, self.environment.now(), agent, *word)
             return
         self._untold[agent].append((line, word))
         if len(self._untold[agent]) == 1:
@@ -336,7 +342,9 @@
             while waiting:
                 line, word = waiting.popleft()
                 if line.lasts:
-                    self.environment.ledger.note(books.TOLD, self.environment.now(), agent, *word)
+                    self.environment.ledger.add_record(
+                        record_kinds.TOLD, self.environment.now(), agent, *word
+                    )
         else:
             # Guards against a word that hangs before a cut zone and would pass for heard.
             self.environment.loop.call_later(TOLD_EVERY, self._tell, agent)
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -25,7 +25,7 @@
 from lupinreach.bed.ways.disk import Folder
 from lupinreach.bed.ways.stage import Stage
 from lupinreach.bed.ways.stopping import until_stopped
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
@@ -262,8 +262,8 @@
             event = json.loads(line)
             if event["event"] == "started":
                 up.set()
-            elif event["event"] in books.BOOKED:
-                self.ledger.note(books.SAID, self.now(), number, event.pop("event"), event)
+            elif event["event"] in record_kinds.RECORDED_LOG_EVENTS:
+                self.ledger.add_record(record_kinds.SAID, self.now(), number, event.pop("event"), event)
             elif event["event"] == "fault":
                 self.ended_badly.append(f"agent {number}: {event.get('why')}")
         code = await agent.wait()
@@ -350,7 +350,7 @@
         finally:
             await environment.close()
             for what in environment.ended_badly:
-                environment.ledger.note(books.FAULT, environment.now(), what)
+                environment.ledger.add_record(record_kinds.FAULT, environment.now(), what)
             environment.ledger.seal()
             if costs is not None:
                 costs.update(environment.costs)
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -12,7 +12,7 @@
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.random_streams import random_stream
@@ -180,7 +180,7 @@
         """All of it; the ledger holds what happened."""
         environment, world = self.environment, self.world
         facts = {**plain(world), "seed": self._seed, "mode": "", "measure": []}
-        environment.ledger.note(books.WORLD, environment.now(), facts)
+        environment.ledger.add_record(record_kinds.WORLD, environment.now(), facts)
         for host in self.hosts:
             await self._serve(host)
             host.boot(cold=False)
@@ -222,7 +222,7 @@
         known = self.registry.whole()
         raw = self._told(n, self._raw(n, life))
         self.registry_host.told(n, self.registry.version, known, True)
-        self.environment.ledger.note(books.AGENT, self.environment.now(), n, life, "started")
+        self.environment.ledger.add_record(record_kinds.AGENT, self.environment.now(), n, life, "started")
         async with asyncio.timeout(READY_WITHIN):
             await self.environment.start_agent(
                 n, life, raw, lambda: self._ended(n, life), self._ahead[n], self._drift[n]
@@ -265,7 +265,7 @@
         return raw
 
     def _ended(self, n: int, life: int) -> None:
-        self.environment.ledger.note(books.AGENT, self.environment.now(), n, life, "ended")
+        self.environment.ledger.add_record(record_kinds.AGENT, self.environment.now(), n, life, "ended")
         self._stopping.discard(n)
         if n in self._again:
             self._again.discard(n)
@@ -277,12 +277,12 @@
             host.step()
             b = host.backend
             if b.up:
-                self.environment.ledger.note(
-                    books.LOAD, now, b.number, len(b.running), len(b.queue), round(b.part(now), 3)
+                self.environment.ledger.add_record(
+                    record_kinds.LOAD, now, b.number, len(b.running), len(b.queue), round(b.part(now), 3)
                 )
         pools = self.environment.pools()
         if pools:
-            self.environment.ledger.note(books.POOLS, now, sorted(pools.items()))
+            self.environment.ledger.add_record(record_kinds.POOLS, now, sorted(pools.items()))
         self.environment.loop.call_later(SAMPLE / 1000, self._sample)
 
     # Troubles.
@@ -313,15 +313,15 @@
         return sorted(int(n) for n in chance.permutation(total)[:wanted])
 
     def _begin(self, number: int, trouble: Trouble, targets: list[int]) -> None:
-        self.environment.ledger.note(
-            books.TROUBLE, self.environment.now(), number, trouble.kind, "begins", targets
+        self.environment.ledger.add_record(
+            record_kinds.TROUBLE, self.environment.now(), number, trouble.kind, "begins", targets
         )
         self._strike(trouble, targets, True)
         self.environment.loop.call_later(trouble.length / 1000, self._end, number, trouble, targets)
 
     def _end(self, number: int, trouble: Trouble, targets: list[int]) -> None:
-        self.environment.ledger.note(
-            books.TROUBLE, self.environment.now(), number, trouble.kind, "ends", targets
+        self.environment.ledger.add_record(
+            record_kinds.TROUBLE, self.environment.now(), number, trouble.kind, "ends", targets
         )
         self._strike(trouble, targets, False)
 
@@ -480,8 +480,8 @@
         host = self.hosts[n]
         host.die()
         b = host.backend
-        self.environment.ledger.note(
-            books.STATE, self.environment.now(), n, b.life, "Gone", 0.0, 0.0, 0.0, b.zone, b.cell
+        self.environment.ledger.add_record(
+            record_kinds.STATE, self.environment.now(), n, b.life, "Gone", 0.0, 0.0, 0.0, b.zone, b.cell
         )
 
     def _return(self, n: int) -> None:
@@ -506,8 +506,8 @@
         for n in targets:
             if on:
                 b = self.hosts[n].backend
-                self.environment.ledger.note(
-                    books.STATE,
+                self.environment.ledger.add_record(
+                    record_kinds.STATE,
                     self.environment.now(),
                     n,
                     b.life,
@@ -646,7 +646,9 @@
         for n in targets:
             killed = how == "killed"
             if on and (n in self.up or (killed and n in self._stopping)):
-                self.environment.ledger.note(books.AGENT, self.environment.now(), n, self.agents[n], how)
+                self.environment.ledger.add_record(
+                    record_kinds.AGENT, self.environment.now(), n, self.agents[n], how
+                )
                 self.up.discard(n)
                 self._again.discard(n)
                 (self._stopping.discard if killed else self._stopping.add)(n)
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -18,7 +18,7 @@
 from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySocket, MemorySockets
 from lupinreach.bed.ways.policies import POLICIES, TrueState
 from lupinreach.bed.ways.stage import Stage
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import EPOCH, Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
@@ -54,7 +54,7 @@
         self._say = say
 
     def event(self, event: str, **fields: object) -> None:
-        if event in books.BOOKED:
+        if event in record_kinds.RECORDED_LOG_EVENTS:
             self._say(event, fields)
 
 
@@ -147,7 +147,7 @@
                 agent, life = self._owners[sock.owner]
                 backend = self.backend_at.get(sock.address)
                 if backend is not None:
-                    self.ledger.note(books.SENT, self.now(), agent, life, backend, name)
+                    self.ledger.add_record(record_kinds.SENT, self.now(), agent, life, backend, name)
                 other = sock.other
                 if (
                     other is not None
@@ -190,7 +190,7 @@
         owner = len(self._owners) + 1
         self._owners[owner] = number, life
         log = VirtualLog(
-            lambda event, fields: self.ledger.note(books.SAID, self.now(), number, event, fields)
+            lambda event, fields: self.ledger.add_record(record_kinds.SAID, self.now(), number, event, fields)
         )
         with self.loop.owned_by(owner):
             sockets = MemorySockets(self.net, self._machines(number), raw["limits"]["sockets"])
@@ -298,11 +298,13 @@
         loop.run_until_complete(stage.play())
         environment.close()
         for what, times in sorted(environment.agent_faults.items()):
-            environment.ledger.note(books.FAULT, environment.now(), f"{what} x{times}")
+            environment.ledger.add_record(record_kinds.FAULT, environment.now(), f"{what} x{times}")
         for context in loop.faults:
             raised = context.get("exception")
-            environment.ledger.note(
-                books.FAULT, environment.now(), f"{context['message']}: {type(raised).__name__}: {raised}"
+            environment.ledger.add_record(
+                record_kinds.FAULT,
+                environment.now(),
+                f"{context['message']}: {type(raised).__name__}: {raised}",
             )
     finally:
         ledger = environment.ledger
--- a/lupinreach/bed/world/ledger.py
+++ b/lupinreach/bed/world/ledger.py
@@ -43,7 +43,7 @@
 
 
 # Events of an agent's log that are booked.
-BOOKED = frozenset(
+RECORDED_LOG_EVENTS = frozenset(
     {"returned", "asked", "fleet", "store lost", "store failed", "registry reset", "ran recalled", "shared"}
 )
 
@@ -66,7 +66,7 @@
         """The run is over: what its parts do while they are taken down is none of it."""
         self._sealed = True
 
-    def note(self, kind: str, now: float, *fields: Any) -> None:
+    def add_record(self, kind: str, now: float, *fields: Any) -> None:
         """Book one fact. `now` in ms on the run's clock."""
         if not self._sealed:
             self.records.append((kind, round((now - self._start) * 1000), *fields))
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -22,7 +22,7 @@
 from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
 from lupinreach.bed.ways.loopback import BACKLOG, LoopbackGround
 from lupinreach.bed.ways.stage import draw
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world import spec as beds
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
@@ -118,8 +118,8 @@
             host.step()
             b = host.backend
             if b.up:
-                self.environment.ledger.note(
-                    books.LOAD, now, n, len(b.running), len(b.queue), round(b.part(now), 3)
+                self.environment.ledger.add_record(
+                    record_kinds.LOAD, now, n, len(b.running), len(b.queue), round(b.part(now), 3)
                 )
         self.loop.call_later(SAMPLE / 1000, self._sample)
 
@@ -267,11 +267,11 @@
                             await self.posts.pair(n, other, places.peer_for(n, other))
 
     def _passed(self, what: str, name: str) -> None:
-        self.environment.ledger.note(what, self.environment.now(), name)
+        self.environment.ledger.add_record(what, self.environment.now(), name)
 
     def _sent(self, name: str, agent: int, backend: int) -> None:
         # As it leaves the agent: what a cut holds back for seconds was sent in time.
-        self.environment.ledger.note(books.SENT, self.environment.now(), agent, 0, backend, name)
+        self.environment.ledger.add_record(record_kinds.SENT, self.environment.now(), agent, 0, backend, name)
 
     async def do_plane(
         self,
@@ -345,7 +345,7 @@
     watching.cancel()
     ledger = host.environment.ledger
     for what in faults:
-        ledger.note(books.FAULT, host.environment.now(), f"{first['role']}: {what}")
+        ledger.add_record(record_kinds.FAULT, host.environment.now(), f"{first['role']}: {what}")
     ledger.save(Path(first["ledger"]))
     say({"event": "ended", "late": late.told()})
     return 0
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -24,7 +24,7 @@
 from lupinreach.bed.ways.loopback import ENDS_WITHIN, LoopbackGround, free_port
 from lupinreach.bed.ways.stage import SETTLES, Stage, text
 from lupinreach.bed.ways.stopping import until_stopped
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.ledger import Ledger, Record
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.spec import Trouble, World, plain
@@ -162,8 +162,8 @@
 
     def told(self, agent: int, version: int, entries: list[Entry], whole: bool) -> None:
         environment = self._stage.environment
-        environment.ledger.note(
-            books.TOLD,
+        environment.ledger.add_record(
+            record_kinds.TOLD,
             environment.now(),
             agent,
             self._stage.agents[agent],
@@ -301,15 +301,17 @@
             if p.ledger is not None and p.ledger.exists():
                 booked = (tuple(orjson.loads(line)) for line in p.ledger.read_bytes().splitlines())
                 rows += [
-                    r for r in booked if r[0] == books.FAULT or r[1] <= (until - self.ledger._start) * 1000
+                    r
+                    for r in booked
+                    if r[0] == record_kinds.FAULT or r[1] <= (until - self.ledger._start) * 1000
                 ]
-        rows.sort(key=lambda r: (r[1], r[0] != books.AGENT))
+        rows.sort(key=lambda r: (r[1], r[0] != record_kinds.AGENT))
         lives: dict[int, int] = {}
         merged = Ledger(self.ledger._start)
         for r in rows:
-            if r[0] == books.AGENT and r[4] == "started":
+            if r[0] == record_kinds.AGENT and r[4] == "started":
                 lives[r[2]] = r[3]
-            elif r[0] in (books.SENT, books.TOLD) and not r[3]:
+            elif r[0] in (record_kinds.SENT, record_kinds.TOLD) and not r[3]:
                 r = (*r[:3], lives.get(r[2], 1), *r[4:])
             merged.records.append(r)
         merged.seal()
@@ -358,7 +360,7 @@
         await environment.open()
         watching = environment.loop.create_task(environment.own.watch())
         facts = {**plain(world), "seed": self._seed, "mode": "processes", "measure": []}
-        environment.ledger.note(books.WORLD, environment.now(), facts)
+        environment.ledger.add_record(record_kinds.WORLD, environment.now(), facts)
         for host in self.hosts:
             host.boot(cold=False)
             self.registry.set(self.entries[host.backend.number])
@@ -433,7 +435,7 @@
             await environment.close()
             closed = time.monotonic()
         for what in environment.ended_badly:
-            environment.ledger.note(books.FAULT, environment.now(), what)
+            environment.ledger.add_record(record_kinds.FAULT, environment.now(), what)
         environment.ledger.seal()
         longest = max(p.timeout for p in world.products)
         played = (world.length + SETTLES * longest) / 1000
