--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -50,11 +50,13 @@
         self.life = 0
         self.machine = machine
         self.address = address
-        self.idle: list[ClientLine] = []  # each leaves when it is used, or closes
+        self.idle: list[ClientConnection] = []  # each leaves when it is used, or closes
         self.names: dict[
             str, tuple[int, int, int]
         ] = {}  # of the tries that are open: agent, its life, product
-        self.lines: dict[int, ClientLine] = {}  # of open tries, by API call; each leaves with its answer
+        self.lines: dict[
+            int, ClientConnection
+        ] = {}  # of open tries, by API call; each leaves with its answer
 
     def ask(self, call: int, arrival: Arrival, number: int = 0, began: float | None = None) -> None:
         """Begin one try."""
@@ -93,7 +95,7 @@
     def dial(self, one: Try) -> None:
         """Ask it on a new connection."""
         if not one.over:
-            line = ClientLine(self)
+            line = ClientConnection(self)
             line.wanted = one
             self.environment.connect(self.machine, line, self.address)
 
@@ -163,7 +165,7 @@
             )
 
 
-class ClientLine(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection of a client's to its agent."""
 
     def __init__(self, host: ClientHost) -> None:
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -51,7 +51,7 @@
         self.chance = chance
         self.asked = asked
         self._fell = fell
-        self.lines: dict[BackendLine, None] = {}  # each leaves when it closes
+        self.lines: dict[BackendConnection, None] = {}  # each leaves when it closes
         self._timer: asyncio.TimerHandle | None = None
         self._due = inf
         self.reports = bool(world.limits.reports)
@@ -84,7 +84,7 @@
         )
         job.token.done(now, job)
 
-    def come(self, line: BackendLine, name: str, work: float, product: int, key: str | None) -> None:
+    def come(self, line: BackendConnection, name: str, work: float, product: int, key: str | None) -> None:
         """One request is whole."""
         now, backend = self.environment.now(), self.backend
         self.step()
@@ -150,7 +150,7 @@
             line.cut()
 
 
-class BackendLine(asyncio.Protocol):
+class BackendConnection(asyncio.Protocol):
     """One connection to a backend."""
 
     def __init__(self, host: BackendHost) -> None:
@@ -282,7 +282,7 @@
         self.machine_of = machine_of
         # By agent, in order; emptied once it is reached.
         self._untold: defaultdict[int, deque[Any]] = defaultdict(deque)
-        self.lines: dict[RegistryLine, None] = {}
+        self.lines: dict[RegistryConnection, None] = {}
 
     def turn(self) -> tuple[float, bool]:
         """Ms until a call that comes now gets its answer, and if that is what it asked for.
@@ -314,7 +314,7 @@
         version: int,
         entries: list[Entry],
         whole: bool,
-        line: RegistryLine | None = None,
+        line: RegistryConnection | None = None,
     ) -> None:
         """Book what an agent is told: once it can get there, and if the connection it goes by lasts until then.
 
@@ -350,7 +350,7 @@
             self.environment.loop.call_later(TOLD_EVERY, self._tell, agent)
 
 
-class RegistryLine(asyncio.Protocol):
+class RegistryConnection(asyncio.Protocol):
     """One connection of an agent's to the registry."""
 
     def __init__(self, host: RegistryHost, agent: int) -> None:
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -11,7 +11,13 @@
 from lupinreach.bed.peers.backend import Backend, Marks
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
-from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
+from lupinreach.bed.peers.servers import (
+    SAMPLE,
+    BackendConnection,
+    BackendHost,
+    RegistryConnection,
+    RegistryHost,
+)
 from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
@@ -189,7 +195,7 @@
             await environment.serve(
                 environment.addresses.registry(n),
                 self._registry_machine,
-                lambda n=n: RegistryLine(self.registry_host, n),
+                lambda n=n: RegistryConnection(self.registry_host, n),
             )  # type: ignore[misc]
         for first in range(0, world.agents, 16):
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
@@ -213,7 +219,7 @@
 
     async def _serve(self, host: BackendHost) -> None:
         address = self.environment.addresses.backend(host.backend.number)
-        await self.environment.serve(address, host.machine, lambda: BackendLine(host))
+        await self.environment.serve(address, host.machine, lambda: BackendConnection(host))
 
     async def _start_agent(self, n: int) -> None:
         self.agents[n] += 1
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -19,7 +19,13 @@
 
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
-from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
+from lupinreach.bed.peers.servers import (
+    SAMPLE,
+    BackendConnection,
+    BackendHost,
+    RegistryConnection,
+    RegistryHost,
+)
 from lupinreach.bed.ways.loopback import BACKLOG, LoopbackGround
 from lupinreach.bed.ways.stage import draw
 from lupinreach.bed.world import ledger as record_kinds
@@ -104,7 +110,7 @@
                 )
                 self.hosts[b.number] = host
                 await self.environment.serve(
-                    self.places.backend(b.number), host.machine, lambda host=host: BackendLine(host)
+                    self.places.backend(b.number), host.machine, lambda host=host: BackendConnection(host)
                 )  # type: ignore[misc]
         self.loop.call_later(SAMPLE / 1000, self._sample)
 
@@ -165,7 +171,7 @@
         self.machines = {m.name: m for m in (machine, *agents)}
         for n in range(self.world.agents):
             await self.environment.serve(
-                self.places.registry(n), machine, lambda n=n: RegistryLine(self.host, n)
+                self.places.registry(n), machine, lambda n=n: RegistryConnection(self.host, n)
             )  # type: ignore[misc]
 
     async def do_plane(
