--- a/lupinreach/bed/peers/backend.py
+++ b/lupinreach/bed/peers/backend.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(eq=False)
-class Marks:
+class GroupMemory:
     """What a group of backends remembers together: marks of deduplicated API calls, and keys met lately."""
 
     until: dict[str, float] = field(default_factory=dict)  # by mark; swept as it grows
@@ -73,7 +73,7 @@
         rules: RuleSpec,
         idle: float,
         report_every: float,
-        marks: Marks,
+        marks: GroupMemory,
     ) -> None:
         self.number = number
         self.zone = zone
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from lupinreach.bed.peers.backend import Backend, Marks
+from lupinreach.bed.peers.backend import Backend, GroupMemory
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.peers.servers import (
@@ -51,7 +51,7 @@
     """The backends of a run; their true speeds and times come from the seed."""
     chance, rules = random_stream(seed, "fleet"), world.rules
     groups = {p.group for p in world.products if p.kind is Idempotency.DEDUPLICATED}
-    memories: dict[Any, Marks] = {}
+    memories: dict[Any, GroupMemory] = {}
     fleet = Fleet([], [])
     for kind in world.backends:
         for i in range(kind.count):
@@ -73,7 +73,7 @@
                     rules,
                     world.backend.idle.at(idle),
                     world.backend.report_every.at(report),
-                    memories.setdefault(shared, Marks()),
+                    memories.setdefault(shared, GroupMemory()),
                 )
             )
             fleet.kinds.append(kind.name)
--- a/lupinreach/bed/world/spec.py
+++ b/lupinreach/bed/world/spec.py
@@ -91,7 +91,7 @@
 }
 
 
-class Strict(Section):
+class StrictSection(Section):
     """A section whose unknown keys are refused."""
 
     def __init__(self, raw: Any, path: str = "") -> None:
@@ -102,11 +102,11 @@
         self._asked.add(key)
         return super()._get(key, default)
 
-    def section(self, key: str) -> Strict:
-        return Strict(self.mapping(key), self.at(key))
+    def section(self, key: str) -> StrictSection:
+        return StrictSection(self.mapping(key), self.at(key))
 
-    def sections(self, key: str, default: Any = ()) -> list[Strict]:  # type: ignore[override]
-        return [Strict(raw, f"{self.at(key)}[{i}]") for i, raw in enumerate(self.items(key, default))]
+    def sections(self, key: str, default: Any = ()) -> list[StrictSection]:  # type: ignore[override]
+        return [StrictSection(raw, f"{self.at(key)}[{i}]") for i, raw in enumerate(self.items(key, default))]
 
     def span(self, key: str, default: tuple[float, float], low: float = 0.0, high: float = inf) -> Span:
         """A number, or a range [least, most] that each draws from."""
@@ -401,7 +401,7 @@
     from lupinreach.bed.ways.faults import FAULTS
     from lupinreach.bed.ways.policies import POLICIES
 
-    top = Strict(dict(raw))
+    top = StrictSection(dict(raw))
     zones = tuple(top.texts("zones")) or ("here",)
     agents = top.section("agents")
     products = tuple(_product(s) for s in top.sections("products", [{"name": "look"}]))
@@ -465,7 +465,7 @@
 MEASURES = ("service", "worst_10s", "products", "customers", "latency", "answers", "shots", "load")
 
 
-def _kind(s: Strict, zones: tuple[str, ...]) -> BackendKind:
+def _kind(s: StrictSection, zones: tuple[str, ...]) -> BackendKind:
     named = s.texts("zones")
     for i, name in enumerate(named):
         if name not in zones:
@@ -481,7 +481,7 @@
     return kind
 
 
-def _product(s: Strict) -> ProductSpec:
+def _product(s: StrictSection) -> ProductSpec:
     slo = s.number("slo", 500.0, low=1.0)
     product = ProductSpec(
         s.text("name"),
@@ -502,13 +502,13 @@
     return product
 
 
-def _customer(s: Strict) -> CustomerSpec:
+def _customer(s: StrictSection) -> CustomerSpec:
     customer = CustomerSpec(s.text("name"), s.number("share", 1.0, high=1.0))
     s.done()
     return customer
 
 
-def _traffic(s: Strict, agents: Strict) -> Traffic:
+def _traffic(s: StrictSection, agents: StrictSection) -> Traffic:
     traffic = Traffic(
         s.number("calls_per_s", 50.0, low=0.01),
         s.choice("shape", SHAPES, "poisson"),
@@ -523,7 +523,7 @@
     return traffic
 
 
-def _clients(s: Strict) -> ClientSpec:
+def _clients(s: StrictSection) -> ClientSpec:
     clients = ClientSpec(
         s.whole("retries", 1, high=20),
         s.number("wait", 50.0),
@@ -537,7 +537,7 @@
     return clients
 
 
-def _backend(s: Strict) -> BackendSpec:
+def _backend(s: StrictSection) -> BackendSpec:
     spec = BackendSpec(
         queue=s.whole("queue", 20, low=1),
         choke_at=s.number("choke_at", 8.0),
@@ -558,7 +558,7 @@
     return spec
 
 
-def _registry(s: Strict) -> RegistrySpec:
+def _registry(s: StrictSection) -> RegistrySpec:
     spec = RegistrySpec(
         s.span("lag", (200.0, 1000.0)),
         s.span("silent_lag", (2000.0, 6000.0)),
@@ -571,7 +571,7 @@
     return spec
 
 
-def _network(s: Strict) -> NetworkSpec:
+def _network(s: StrictSection) -> NetworkSpec:
     spec = NetworkSpec(
         s.number("same", 0.3),
         s.number("cross", 2.0),
@@ -582,7 +582,7 @@
     return spec
 
 
-def _rules(s: Strict) -> RuleSpec:
+def _rules(s: StrictSection) -> RuleSpec:
     spec = RuleSpec(
         s.number("drain_grace", 1500.0),
         s.number("fall_multiple", 2.5, low=1.0),
@@ -596,7 +596,7 @@
     return spec
 
 
-def _limits(s: Strict) -> LimitSpec:
+def _limits(s: StrictSection) -> LimitSpec:
     known = ("outstanding", "backlog", "utilization")
     reports = tuple(s.texts("reports"))
     for i, name in enumerate(reports):
@@ -617,7 +617,7 @@
     return spec
 
 
-def _trouble(s: Strict, zones: tuple[str, ...]) -> Trouble:
+def _trouble(s: StrictSection, zones: tuple[str, ...]) -> Trouble:
     kind = s.choice("kind", {k: k for k in TROUBLES})
     strikes, usual, low, high = TROUBLES[kind]
     names: list[int] = []
--- a/lupinreach/trial/spec.py
+++ b/lupinreach/trial/spec.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from lupinreach.bed.world import spec as beds
-from lupinreach.bed.world.spec import Strict, Trouble, World
+from lupinreach.bed.world.spec import StrictSection, Trouble, World
 from lupinreach.config import BadConfig
 
 TRIALS = Path(__file__).parent / "trials"
@@ -63,7 +63,7 @@
 
 def read(raw: Mapping[str, Any]) -> Trial:
     tables = dict(raw)
-    top = Strict({k: tables.pop(k) for k in ("faults", "since", "expect") if k in tables})
+    top = StrictSection({k: tables.pop(k) for k in ("faults", "since", "expect") if k in tables})
     faults = top.sections("faults")
     # The world is read with its own troubles first, so that the faults can name its zones and count its machines.
     world = beds.read(tables)
@@ -80,7 +80,7 @@
     return Trial(replace(world, troubles=tuple(troubles)), since, expect)
 
 
-def _expect(s: Strict) -> tuple[tuple[str, float], ...]:
+def _expect(s: StrictSection) -> tuple[tuple[str, float], ...]:
     found = []
     for name in FIGURES:
         bound = s.number(name, -1.0, low=-1.0)
@@ -90,7 +90,7 @@
     return tuple(found)
 
 
-def _power(s: Strict, world: World) -> tuple[list[Trouble], float]:
+def _power(s: StrictSection, world: World) -> tuple[list[Trouble], float]:
     """Power fails at `at`; each of agents, backends and registry returns so many s later, or is not struck at all.
 
     `over` spreads a return, one machine after the other; `rack` names the one zone that is struck. `never` in
@@ -140,7 +140,7 @@
     return troubles, max(back, default=at)
 
 
-def _returns(s: Strict, key: str) -> float | None:
+def _returns(s: StrictSection, key: str) -> float | None:
     if isinstance(s._get(key, None), str):
         s.choice(key, {"never": NEVER})
         return NEVER * 1000
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -224,10 +224,10 @@
 
 
 def test_a_backend_does_its_work_in_the_time_that_its_cores_and_age_allow():
-    from lupinreach.bed.peers.backend import Backend, Job, Marks, Way
+    from lupinreach.bed.peers.backend import Backend, GroupMemory, Job, Way
 
     one = world(rules={"cold": 1000.0, "start_capacity": 0.5})
-    b = Backend(0, 0, 2, 2.0, one.backend, one.rules, 1e9, 100.0, Marks())
+    b = Backend(0, 0, 2, 2.0, one.backend, one.rules, 1e9, 100.0, GroupMemory())
     b.boot(0.0, cold=False)
     jobs = [Job(str(i), 0, 10.0, None, None, 0.0, None) for i in range(5)]
     assert all(b.come(0.0, j, 0.9) is Way.TAKEN for j in jobs) and b.holds == 5
@@ -249,9 +249,9 @@
 
 
 def test_a_mark_is_remembered_for_its_time_and_by_its_group_only():
-    from lupinreach.bed.peers.backend import Marks
+    from lupinreach.bed.peers.backend import GroupMemory
 
-    here, there = Marks(), Marks()
+    here, there = GroupMemory(), GroupMemory()
     assert not here.repeat(0.0, "m", 100.0) and here.repeat(99.0, "m", 100.0)
     assert not there.repeat(50.0, "m", 100.0) and not here.repeat(101.0, "m", 100.0)
 
