--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -147,7 +147,7 @@
 @bed.command("list")
 def list_worlds() -> None:
     """The worlds that come with the bed."""
-    for path in sorted(spec.WORLDS.glob("*.toml")):
+    for path in sorted(spec.WORLDS_DIR.glob("*.toml")):
         print(path.stem)
 
 
@@ -202,7 +202,7 @@
             }
             for r in results
         ]
-        Path(out).write_text(json.dumps({"world": spec.plain(world), "runs": rows}, indent=1) + "\n")
+        Path(out).write_text(json.dumps({"world": spec.world_to_dict(world), "runs": rows}, indent=1) + "\n")
     print(json.dumps(experiment.summary(world, results) | ({"stopped": True} if stopped else {})))
     sys.exit(STOPPED if stopped else KEPT if all(r.kept for r in results) else BROKEN)
 
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -22,7 +22,7 @@
 from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.random_streams import random_stream
-from lupinreach.bed.world.spec import Trouble, World, plain
+from lupinreach.bed.world.spec import Trouble, World, world_to_dict
 from lupinreach.bed.world.traffic import arrivals
 from lupinreach.config import ASK, BEAT, Address
 from lupinreach.model import DedupScope, Idempotency
@@ -185,7 +185,7 @@
     async def play(self) -> None:
         """All of it; the ledger holds what happened."""
         environment, world = self.environment, self.world
-        facts = {**plain(world), "seed": self._seed, "mode": "", "measure": []}
+        facts = {**world_to_dict(world), "seed": self._seed, "mode": "", "measure": []}
         environment.ledger.add_record(record_kinds.WORLD, environment.now(), facts)
         for host in self.hosts:
             await self._serve(host)
--- a/lupinreach/bed/world/spec.py
+++ b/lupinreach/bed/world/spec.py
@@ -358,7 +358,7 @@
         }
 
 
-WORLDS = Path(__file__).parent / "worlds"
+WORLDS_DIR = Path(__file__).parent / "worlds"
 
 
 def read_file(path: str | Path) -> World:
@@ -366,7 +366,7 @@
     return read(load(Path(path)))
 
 
-def load(path: Path, folders: tuple[Path, ...] = (WORLDS,), depth: int = 0) -> dict[str, Any]:
+def load(path: Path, folders: tuple[Path, ...] = (WORLDS_DIR,), depth: int = 0) -> dict[str, Any]:
     """The tables of a TOML file and of those that it begins from; names without an ending are looked up in `folders`."""
     own = [folder / f"{path}.toml" for folder in folders if (folder / f"{path}.toml").is_file()]
     if not path.suffix and not path.exists() and own:
@@ -641,7 +641,7 @@
     return trouble
 
 
-def plain(world: World) -> dict[str, Any]:
+def world_to_dict(world: World) -> dict[str, Any]:
     """The world as a TOML-shaped object that `read` takes back."""
 
     def span(s: Span) -> float | list[float]:
@@ -726,7 +726,7 @@
             return '"' + v.replace("\\", "\\\\").replace('"', '\\"') + '"'
         return repr(v)
 
-    raw = plain(world)
+    raw = world_to_dict(world)
     lines = [
         f"{k} = {value(v)}"
         for k, v in raw.items()
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -27,7 +27,7 @@
 from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.ledger import Ledger, Record
 from lupinreach.bed.world.network import Machine
-from lupinreach.bed.world.spec import Trouble, World, plain
+from lupinreach.bed.world.spec import Trouble, World, world_to_dict
 from lupinreach.trial.rig.late import Lateness
 from lupinreach.trial.rig.places import MOST_AGENTS, MOST_BACKENDS, Places
 
@@ -208,7 +208,7 @@
             *(Process("relay", mine) for mine in shares(world.agents, AGENTS_EACH)),
         ]
         order = {
-            "world": plain(world),
+            "world": world_to_dict(world),
             "seed": self._seed,
             "port": self.addresses.port,
             "begin": self.ledger._start,
@@ -359,7 +359,7 @@
         environment, world = self.environment, self.world
         await environment.open()
         watching = environment.loop.create_task(environment.own.watch())
-        facts = {**plain(world), "seed": self._seed, "mode": "processes", "measure": []}
+        facts = {**world_to_dict(world), "seed": self._seed, "mode": "processes", "measure": []}
         environment.ledger.add_record(record_kinds.WORLD, environment.now(), facts)
         for host in self.hosts:
             host.boot(cold=False)
--- a/lupinreach/trial/spec.py
+++ b/lupinreach/trial/spec.py
@@ -17,7 +17,7 @@
 from lupinreach.config import BadConfig
 
 TRIALS = Path(__file__).parent / "trials"
-FOLDERS = (TRIALS, beds.WORLDS)
+FOLDERS = (TRIALS, beds.WORLDS_DIR)
 NEVER = 86_400.0  # s: longer than any run
 FIGURES = (
     "first_10s",
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -326,7 +326,7 @@
     assert str(refused.value).startswith(complaint)
 
 
-@pytest.mark.parametrize("name", sorted(p.stem for p in spec.WORLDS.glob("*.toml")))
+@pytest.mark.parametrize("name", sorted(p.stem for p in spec.WORLDS_DIR.glob("*.toml")))
 def test_a_world_written_down_is_read_back_the_same(name, tmp_path):
     one = spec.read_file(name)
     (tmp_path / "w.toml").write_text(spec.to_toml(one))
@@ -454,6 +454,6 @@
 @pytest.mark.parametrize("name", ["fleet-herd", "fleet-zone", "fleet-join"])
 def test_a_large_fleet_world_keeps_the_rules(name):
     whole = spec.read_file(name)
-    short = spec.read(spec.plain(whole) | {"seconds": 9})
+    short = spec.read(spec.world_to_dict(whole) | {"seconds": 9})
     records = virtual.play(short, 1).records
     assert check.Checker(short).read(records) == []
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -16,7 +16,7 @@
 from lupinreach.bed.judging.check import Checker
 from lupinreach.bed.world.network import Machine, Paths
 from lupinreach.bed.world.random_streams import random_stream
-from lupinreach.bed.world.spec import plain
+from lupinreach.bed.world.spec import world_to_dict
 from lupinreach.trial import spec
 from lupinreach.trial.rig.host import TheRegistry
 from lupinreach.trial.rig.places import Places
@@ -409,7 +409,7 @@
 def test_an_agent_that_can_t_be_reached_is_told_nothing_with_processes_either(tmp_path):
     async def work():
         order = {
-            "world": plain(spec.read(SMALL).world),
+            "world": world_to_dict(spec.read(SMALL).world),
             "seed": 1,
             "mine": [],
             "port": free(),
