--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -28,7 +28,7 @@
 BODY = b"ran:"
 DECLINED = answer(503, b"", b"Srv-Declined: 1")
 TOLD_EVERY = 0.05  # s between two looks whether an agent can be told again
-SAMPLE = 1000.0  # ms between two records of a backend's load
+LOAD_SAMPLE_INTERVAL_MS = 1000.0  # ms between two records of a backend's load
 
 
 class BackendHost:
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -12,7 +12,7 @@
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.peers.servers import (
-    SAMPLE,
+    LOAD_SAMPLE_INTERVAL_MS,
     BackendConnection,
     BackendHost,
     RegistryConnection,
@@ -204,7 +204,7 @@
         begin = environment.now()
         loop = environment.loop
         self._make_trouble()
-        loop.call_later(SAMPLE / 1000, self._sample)
+        loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
         for number, arrival in enumerate(calls):
             wait = begin + arrival.at - environment.now()
             if wait > 0:
@@ -289,7 +289,7 @@
         pools = self.environment.pools()
         if pools:
             self.environment.ledger.add_record(record_kinds.POOLS, now, sorted(pools.items()))
-        self.environment.loop.call_later(SAMPLE / 1000, self._sample)
+        self.environment.loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
 
     # Troubles.
 
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -19,7 +19,7 @@
 from lupinreach.bed.ways.policies import POLICIES, TrueState
 from lupinreach.bed.ways.stage import Stage
 from lupinreach.bed.world import ledger as record_kinds
-from lupinreach.bed.world.environment import EPOCH, Addresses
+from lupinreach.bed.world.environment import VIRTUAL_EPOCH_MS, Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
 from lupinreach.bed.world.random_streams import random_stream
@@ -39,7 +39,7 @@
     def __init__(self, loop: VirtualLoop, ahead: float = 0.0, drift: float = 0.0) -> None:
         self._loop = loop
         self._rate = 1 + drift
-        self._anchor = EPOCH + ahead - loop.time() * 1000 * drift
+        self._anchor = VIRTUAL_EPOCH_MS + ahead - loop.time() * 1000 * drift
 
     def now(self) -> float:
         return self._anchor + self._loop.time() * 1000 * self._rate
@@ -104,7 +104,7 @@
         self.net.sends = self._sends
         self.net.everybody = self.addresses.everybody()
         self.clock = VirtualClock(self.loop)
-        self.ledger = Ledger(EPOCH + START * 1000)
+        self.ledger = Ledger(VIRTUAL_EPOCH_MS + START * 1000)
         self._fault = FAULTS.get(world.fault)
         self._tamper = self._fault.tamper() if self._fault and self._fault.tamper else None
         self._decide = self._fault.decide if self._fault and self._fault.decide else POLICIES[world.policy]
--- a/lupinreach/bed/world/environment.py
+++ b/lupinreach/bed/world/environment.py
@@ -11,7 +11,7 @@
 from lupinreach.bed.world.network import Machine, Paths
 from lupinreach.config import Address
 
-EPOCH = 1_700_000_000_000.0  # ms: when virtual runs begin
+VIRTUAL_EPOCH_MS = 1_700_000_000_000.0  # ms: when virtual runs begin
 
 
 class Environment(Protocol):
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -20,7 +20,7 @@
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.peers.servers import (
-    SAMPLE,
+    LOAD_SAMPLE_INTERVAL_MS,
     BackendConnection,
     BackendHost,
     RegistryConnection,
@@ -112,7 +112,7 @@
                 await self.environment.serve(
                     self.places.backend(b.number), host.machine, lambda host=host: BackendConnection(host)
                 )  # type: ignore[misc]
-        self.loop.call_later(SAMPLE / 1000, self._sample)
+        self.loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
 
     def _fell(self, host: BackendHost) -> None:
         host.die()
@@ -127,7 +127,7 @@
                 self.environment.ledger.add_record(
                     record_kinds.LOAD, now, n, len(b.running), len(b.queue), round(b.part(now), 3)
                 )
-        self.loop.call_later(SAMPLE / 1000, self._sample)
+        self.loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
 
     async def do_boot(self, backend: int, cold: bool) -> None:
         self.hosts[backend].boot(cold)
