--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -387,7 +387,7 @@
         for pair in pairs:
             # Counted, so that one of two troubles that part the same pair doesn't heal the other's.
             self._parted[pair] += 1 if on else -1
-        self.environment.paths.parted = {pair for pair, times in self._parted.items() if times}
+        self.environment.paths.blocked_pairs = {pair for pair, times in self._parted.items() if times}
         if not on:
             self.environment.mended()
 
@@ -425,24 +425,26 @@
             self._list(n, state="Gone")
 
     def _cut(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.environment.paths.cut = (
-            self.environment.paths.cut | set(targets) if on else self.environment.paths.cut - set(targets)
+        self.environment.paths.cut_zones = (
+            self.environment.paths.cut_zones | set(targets)
+            if on
+            else self.environment.paths.cut_zones - set(targets)
         )
         if not on:
             self.environment.mended()
 
     def _cut_reset(self, t: Trouble, targets: list[int], on: bool) -> None:
-        refused = self.environment.paths.refused
-        self.environment.paths.refused = refused | set(targets) if on else refused - set(targets)
+        refused = self.environment.paths.reset_zones
+        self.environment.paths.reset_zones = refused | set(targets) if on else refused - set(targets)
         self.environment.refused()
         if not on:
             self.environment.mended()
 
     def _datagrams_doubled(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.environment.paths.doubled = t.strength if on else 0.0
+        self.environment.paths.duplicate_share = t.strength if on else 0.0
 
     def _datagrams_late(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.environment.paths.late, self.environment.paths.late_by = (
+        self.environment.paths.delayed_share, self.environment.paths.delay_ms = (
             (t.share, t.strength) if on else (0.0, 0.0)
         )
 
@@ -590,10 +592,10 @@
                 self.environment.stop_twin(n)
 
     def _deaf_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._unheard(self.environment.paths.deaf, targets, on)
+        self._unheard(self.environment.paths.not_receiving, targets, on)
 
     def _dumb_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._unheard(self.environment.paths.dumb, targets, on)
+        self._unheard(self.environment.paths.not_sending, targets, on)
 
     def _unheard(self, struck: set[Machine], targets: list[int], on: bool) -> None:
         machines = {self._client_machines[n] for n in targets}
--- a/lupinreach/bed/world/network.py
+++ b/lupinreach/bed/world/network.py
@@ -34,30 +34,30 @@
     jitter: float  # share of the delay
     loss: float  # share of segments
     chance: RandomStream
-    cut: set[int] = field(default_factory=set)  # zones that can't reach the others
-    refused: set[int] = field(
+    cut_zones: set[int] = field(default_factory=set)  # zones that can't reach the others
+    reset_zones: set[int] = field(
         default_factory=set
     )  # zones that are cut too, whose connections to the others are reset
-    doubled: float = 0.0  # share of the datagrams that come twice,
-    late: float = 0.0  # and that are held back
-    late_by: float = 0.0  # for so many ms
-    deaf: set[Machine] = field(default_factory=set)  # nothing gets to them,
-    dumb: set[Machine] = field(default_factory=set)  # nor away from these, but within the machine
-    parted: set[tuple[str, str]] = field(
+    duplicate_share: float = 0.0  # share of the datagrams that come twice,
+    delayed_share: float = 0.0  # and that are held back
+    delay_ms: float = 0.0  # for so many ms
+    not_receiving: set[Machine] = field(default_factory=set)  # nothing gets to them,
+    not_sending: set[Machine] = field(default_factory=set)  # nor away from these, but within the machine
+    blocked_pairs: set[tuple[str, str]] = field(
         default_factory=set
     )  # from the first by name nothing gets to the second
 
     def reaches(self, a: Machine, b: Machine) -> bool:
         """If what `a` sends gets to `b`; the way back is asked for by itself."""
-        if a is not b and (a in self.dumb or b in self.deaf):
+        if a is not b and (a in self.not_sending or b in self.not_receiving):
             return False
-        if a.vanished or b.vanished or (self.parted and (a.name, b.name) in self.parted):
+        if a.vanished or b.vanished or (self.blocked_pairs and (a.name, b.name) in self.blocked_pairs):
             return False
-        return a.zone == b.zone or not ({a.zone, b.zone} & (self.cut | self.refused))
+        return a.zone == b.zone or not ({a.zone, b.zone} & (self.cut_zones | self.reset_zones))
 
     def refuses(self, a: Machine, b: Machine) -> bool:
         """If a connection between them is reset, and a new one refused."""
-        return a.zone != b.zone and bool({a.zone, b.zone} & self.refused)
+        return a.zone != b.zone and bool({a.zone, b.zone} & self.reset_zones)
 
     def delay(self, a: Machine, b: Machine) -> float:
         """Ms for one segment that gets there."""
@@ -80,8 +80,10 @@
     def datagram(self, a: Machine, b: Machine) -> list[float]:
         """Ms after which each copy of one datagram comes; none where it is lost."""
         copies = []
-        for _ in range(2 if self.doubled and self.chance.random() < self.doubled else 1):
+        for _ in range(2 if self.duplicate_share and self.chance.random() < self.duplicate_share else 1):
             if self.reaches(a, b) and not (self.loss and self.chance.random() < self.loss):
-                held = self.late_by if self.late and self.chance.random() < self.late else 0.0
+                held = (
+                    self.delay_ms if self.delayed_share and self.chance.random() < self.delayed_share else 0.0
+                )
                 copies.append(self.delay(a, b) + held)
         return copies
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -185,8 +185,14 @@
     ) -> None:
         """Whom its word reaches now: what a relay holds back was told to nobody yet."""
         some, paths = self.machines, self.environment.paths
-        paths.cut, paths.refused, paths.parted = set(cut), set(refused), {(a, b) for a, b in parted}
-        paths.deaf, paths.dumb = ({some[n] for n in names if n in some} for names in (deaf, dumb))
+        paths.cut_zones, paths.reset_zones, paths.blocked_pairs = (
+            set(cut),
+            set(refused),
+            {(a, b) for a, b in parted},
+        )
+        paths.not_receiving, paths.not_sending = (
+            {some[n] for n in names if n in some} for names in (deaf, dumb)
+        )
         self.host.mended()
 
     async def do_hold(self, version: int, up: bool, entries: list[list[Any]]) -> None:
@@ -292,13 +298,16 @@
     ) -> None:
         """How all links are from now on."""
         paths = self.plane.paths
-        paths.doubled, paths.late, paths.late_by = posts
-        if paths.refused != set(refused):
-            paths.refused = set(refused)
+        paths.duplicate_share, paths.delayed_share, paths.delay_ms = posts
+        if paths.reset_zones != set(refused):
+            paths.reset_zones = set(refused)
             await self.plane.doors(lambda near, far: near.zone != far.zone)
-        paths.parted = {(a, b) for a, b in parted}
-        paths.cut, paths.loss = set(cut), loss
-        paths.deaf, paths.dumb = {self.machines[n] for n in deaf}, {self.machines[n] for n in dumb}
+        paths.blocked_pairs = {(a, b) for a, b in parted}
+        paths.cut_zones, paths.loss = set(cut), loss
+        paths.not_receiving, paths.not_sending = (
+            {self.machines[n] for n in deaf},
+            {self.machines[n] for n in dumb},
+        )
         for name, machine in self.machines.items():
             new = {"vanished": False, "breaks": 0.0, "slower": 0.0, "narrow": 0.0} | machines.get(name, {})
             for key, value in new.items():
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -387,13 +387,13 @@
         }
         plane = {
             "do": "plane",
-            "cut": sorted(paths.cut),
-            "refused": sorted(paths.refused),
+            "cut": sorted(paths.cut_zones),
+            "refused": sorted(paths.reset_zones),
             "loss": paths.loss,
-            "posts": [paths.doubled, paths.late, paths.late_by],
-            "parted": sorted(paths.parted),
-            "deaf": sorted(m.name for m in paths.deaf),
-            "dumb": sorted(m.name for m in paths.dumb),
+            "posts": [paths.duplicate_share, paths.delayed_share, paths.delay_ms],
+            "parted": sorted(paths.blocked_pairs),
+            "deaf": sorted(m.name for m in paths.not_receiving),
+            "dumb": sorted(m.name for m in paths.not_sending),
             "machines": machines,
         }
         self.environment.tell_registry(plane)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -153,7 +153,7 @@
         server, door, (reader, writer) = await link(between, near, far)
         writer.write(b"a")
         assert await reader.readexactly(1) == b"A"
-        for struck in (between.paths.dumb, between.paths.deaf):
+        for struck in (between.paths.not_sending, between.paths.not_receiving):
             struck.add(near)
             writer.write(b"b")
             with pytest.raises(TimeoutError):
@@ -211,13 +211,13 @@
         assert await reader.readexactly(1000) == b"A" * 1000
         assert time.monotonic() - began >= 0.2  # 1,000 bytes each way at 10 a ms
         far.narrow = 0.0
-        between.paths.parted = {("far", "near")}
+        between.paths.blocked_pairs = {("far", "near")}
         assert between.paths.reaches(near, far) and not between.paths.reaches(far, near)
         assert between.paths.reaches(Machine("other", 0), far)
         writer.write(b"b")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(1), 0.1)
-        between.paths.parted = set()
+        between.paths.blocked_pairs = set()
         between.mended()
         assert await reader.readexactly(1) == b"B"
         between.close()
@@ -343,7 +343,7 @@
         machines[1].vanished = True
         ends[0][0].sendto(b"lost", places.peer_for(0, 1))
         await asyncio.sleep(0.1)
-        machines[1].vanished, between.paths.doubled = False, 1.0
+        machines[1].vanished, between.paths.duplicate_share = False, 1.0
         ends[0][0].sendto(b"twice", places.peer_for(0, 1))
         await asyncio.sleep(0.1)
         assert [data for data, _ in ends[1][1].got].count(b"twice") == 2
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -289,7 +289,7 @@
 def test_datagrams_in_virtual_time_come_to_one_or_all_and_never_to_a_process_that_is_gone():
     own, other, gone = posted(lambda paths: None)
     assert own == [] and other == list(range(200)) and gone == [i for i in range(0, 99, 2)]
-    assert posted(lambda paths: paths.refused.add(1))[1] == []
+    assert posted(lambda paths: paths.reset_zones.add(1))[1] == []
 
 
 def test_datagrams_are_doubled_and_held_back_past_later_ones_as_a_trial_says():
@@ -297,7 +297,7 @@
     assert 260 < len(twice) < 340 and set(twice) == set(range(200))
 
     def late(paths):
-        paths.late, paths.late_by = 0.25, 50.0
+        paths.delayed_share, paths.delay_ms = 0.25, 50.0
 
     _, held, _ = posted(late)
     assert (
