--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -121,7 +121,7 @@
         """A process begins."""
         b, rules, now = self.backend, self.world.rules, self.environment.now()
         b.boot(now, cold)
-        self.environment.shut(self.machine, False)
+        self.environment.set_refusing(self.machine, False)
         self.environment.ledger.add_record(
             record_kinds.STATE,
             now,
@@ -140,7 +140,7 @@
         """The process ends: its connections are reset, new ones refused."""
         self.step()
         self.backend.die(self.environment.now())
-        self.environment.shut(self.machine, True)
+        self.environment.set_refusing(self.machine, True)
         self.reset()
         self.step()
 
@@ -212,7 +212,7 @@
             self.say(answer(400))
             return
         agent, life, product = found
-        if not host.environment.exact:
+        if not host.environment.sees_agent_traffic:
             host.environment.ledger.add_record(
                 record_kinds.SENT, host.environment.now(), agent, life, host.backend.number, name
             )
@@ -330,7 +330,7 @@
         if len(self._untold[agent]) == 1:
             self._tell(agent)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Who can be reached again is told now. Guards against an agent that acts on a list before it is booked."""
         for agent, waiting in self._untold.items():
             if waiting and self.environment.paths.reaches(self.machine, self.machine_of(agent)):
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -123,7 +123,7 @@
 
 
 class LoopbackGround:
-    exact = False
+    sees_agent_traffic = False
 
     def __init__(self, world: World, seed: int, folder: Path, tree: Path | None = None) -> None:
         self._tree = tree  # of another version of the agent; None: this one
@@ -174,7 +174,7 @@
         else:
             self._servers.setdefault(machine, []).append(server)
 
-    def shut(self, machine: Machine, on: bool) -> None:
+    def set_refusing(self, machine: Machine, on: bool) -> None:
         if on and machine not in self._shut:
             self._shut.add(machine)
             for server in self._servers.pop(machine, ()):
@@ -193,12 +193,12 @@
         except OSError as failed:
             protocol.connection_lost(failed)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         held, self.waiting = list(self.waiting), {}
         for line in held:
             line.again()
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         """Cut off in either way, connections here stay open and silent; the relay of a trial resets them."""
 
     # Agents.
@@ -284,7 +284,7 @@
     def kill_agent(self, number: int) -> None:
         self._signal(number, signal.SIGKILL)
 
-    def hold_agent(self, number: int, ms: float) -> None:
+    def pause_agent(self, number: int, ms: float) -> None:
         self._signal(number, signal.SIGSTOP)
         self.loop.call_later(ms / 1000, self._signal, number, signal.SIGCONT)
 
--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -409,7 +409,7 @@
         machine, protocol = self.servers[address]
         if not self.paths.reaches(sock.machine, machine) or not self.paths.reaches(machine, sock.machine):
             self.dials.append((sock, address))  # nothing came, or no answer to it
-        elif machine.shut:
+        elif machine.refusing:
             self.loop.call_later(back, sock.fail, errno.ECONNREFUSED, context=self.context)
         else:
             line = Line(self, machine, protocol())
@@ -427,7 +427,7 @@
         else:
             self.loop.call_soon(line.up, context=self.context)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Something can be reached again: what was held goes on."""
         held, self.waiting = list(self.waiting), {}
         for side in held:
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -335,7 +335,7 @@
         strike = getattr(self, "_" + trouble.kind.replace("-", "_"), None)
         if strike is not None:
             strike(trouble, targets, on)
-            self.registry_host.mended()
+            self.registry_host.release_held()
 
     def _each(self, targets: list[int], change: Callable[[BackendHost], None]) -> None:
         for n in targets:
@@ -389,7 +389,7 @@
             self._parted[pair] += 1 if on else -1
         self.environment.paths.blocked_pairs = {pair for pair, times in self._parted.items() if times}
         if not on:
-            self.environment.mended()
+            self.environment.release_held()
 
     def _apart_one_way(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._apart(t, targets, on, both=False)
@@ -415,7 +415,7 @@
             else:
                 self._later(self.world.registry.silent_lag, self._unlist_lost, n, host.backend.life)
         if not on:
-            self.environment.mended()
+            self.environment.release_held()
             for n in targets:
                 self._announce(n, state="Ready")
 
@@ -431,14 +431,14 @@
             else self.environment.paths.cut_zones - set(targets)
         )
         if not on:
-            self.environment.mended()
+            self.environment.release_held()
 
     def _cut_reset(self, t: Trouble, targets: list[int], on: bool) -> None:
         refused = self.environment.paths.reset_zones
         self.environment.paths.reset_zones = refused | set(targets) if on else refused - set(targets)
-        self.environment.refused()
+        self.environment.reset_refused()
         if not on:
-            self.environment.mended()
+            self.environment.release_held()
 
     def _datagrams_doubled(self, t: Trouble, targets: list[int], on: bool) -> None:
         self.environment.paths.duplicate_share = t.strength if on else 0.0
@@ -552,7 +552,7 @@
         else:
             self.registry.up = True
             self._learn_missed()
-        self.environment.shut(self._registry_machine, on)
+        self.environment.set_refusing(self._registry_machine, on)
 
     def _registry_back(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._registry_down(t, targets, on)
@@ -570,7 +570,7 @@
     def _sleep_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on and n in self.up:
-                self.environment.hold_agent(n, t.length)
+                self.environment.pause_agent(n, t.length)
 
     def _twin_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -601,7 +601,7 @@
         machines = {self._client_machines[n] for n in targets}
         struck.update(machines) if on else struck.difference_update(machines)
         if not on:
-            self.environment.mended()
+            self.environment.release_held()
 
     def _clock_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -686,7 +686,7 @@
             if self.environment.now() < until:
                 for n in targets:
                     if n in self.up:
-                        self.environment.hold_agent(n, t.strength)
+                        self.environment.pause_agent(n, t.strength)
                 self.environment.loop.call_later(BUSY_EVERY / 1000, again)
 
         again()
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -89,7 +89,7 @@
 
 
 class VirtualGround:
-    exact = True
+    sees_agent_traffic = True
     addresses = Addresses(7000)
 
     def __init__(self, world: World, seed: int) -> None:
@@ -129,14 +129,14 @@
     def connect(self, machine: Machine, protocol: asyncio.Protocol, address: Address) -> None:
         self.net.connect(machine, protocol, address)
 
-    def mended(self) -> None:
-        self.net.mended()
+    def release_held(self) -> None:
+        self.net.release_held()
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         self.net.refuse()
 
-    def shut(self, machine: Machine, on: bool) -> None:
-        machine.shut = on
+    def set_refusing(self, machine: Machine, on: bool) -> None:
+        machine.refusing = on
 
     def _sends(self, sock: MemorySocket, piece: bytes) -> tuple[bytes, int]:
         """What an agent writes: booked, tampered with, or broken off."""
@@ -237,7 +237,7 @@
             if what.startswith("fault"):
                 self.agent_faults[what] += times
 
-    def hold_agent(self, number: int, ms: float) -> None:
+    def pause_agent(self, number: int, ms: float) -> None:
         self.loop.hold(self._lives[number].owner, ms)
 
     def pools(self) -> dict[int, int]:
--- a/lupinreach/bed/world/environment.py
+++ b/lupinreach/bed/world/environment.py
@@ -18,7 +18,7 @@
     paths: Paths
     ledger: Ledger
     addresses: Addresses
-    exact: bool  # it sees itself when an agent sends, and when connections are cut
+    sees_agent_traffic: bool  # it sees itself when an agent sends, and when connections are cut
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop: ...
@@ -55,7 +55,7 @@
 
     def kill_agent(self, number: int) -> None: ...
 
-    def hold_agent(self, number: int, ms: float) -> None: ...
+    def pause_agent(self, number: int, ms: float) -> None: ...
 
     def disk(self, number: int) -> Any:
         """The agent's folder: `copy`, `put`, `stuck`, `lose_power`; and `carried`, the file's path."""
@@ -63,13 +63,13 @@
 
     def carried(self, number: int) -> str: ...
 
-    def mended(self) -> None: ...
+    def release_held(self) -> None: ...
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         """Connections that the paths refuse from now on are reset."""
         ...
 
-    def shut(self, machine: Machine, on: bool) -> None:
+    def set_refusing(self, machine: Machine, on: bool) -> None:
         """Connections to it are refused, or accepted again."""
         ...
 
--- a/lupinreach/bed/world/network.py
+++ b/lupinreach/bed/world/network.py
@@ -18,7 +18,7 @@
     name: str
     zone: int
     vanished: bool = False  # says nothing and hears nothing; what is open stays open
-    shut: bool = False  # connections are refused
+    refusing: bool = False  # connections are refused
     resets: float = 0.0  # share of the requests after whose last byte a connection to it breaks,
     breaks: float = 0.0  # and of those that break before it
     slower: float = 0.0  # ms more, each way
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -46,7 +46,7 @@
 class HostGround(LoopbackGround):
     """Sockets as they are: what is between machines is the relay's matter, and so is when agents send."""
 
-    exact = True
+    sees_agent_traffic = True
 
     def __init__(self, world: beds.World, seed: int, places: Places, begin: float, folder: Path) -> None:
         super().__init__(world, seed, folder)
@@ -193,7 +193,7 @@
         paths.not_receiving, paths.not_sending = (
             {some[n] for n in names if n in some} for names in (deaf, dumb)
         )
-        self.host.mended()
+        self.host.release_held()
 
     async def do_hold(self, version: int, up: bool, entries: list[list[Any]]) -> None:
         """All that the registry is to know from now on."""
@@ -203,7 +203,7 @@
         if registry.up and not up:
             self.host.down()
         registry.up = up
-        self.environment.shut(self.machine, not up)
+        self.environment.set_refusing(self.machine, not up)
         if up:
             self.host.changed()
 
@@ -312,7 +312,7 @@
             new = {"vanished": False, "breaks": 0.0, "slower": 0.0, "narrow": 0.0} | machines.get(name, {})
             for key, value in new.items():
                 setattr(machine, key, value)
-        self.plane.mended()
+        self.plane.release_held()
 
     async def do_shut(self, name: str, on: bool) -> None:
         await self.plane.shut(name, on)
--- a/lupinreach/trial/rig/relay.py
+++ b/lupinreach/trial/rig/relay.py
@@ -242,14 +242,14 @@
         """A machine's process is gone: connections to it are refused, those that it had are reset."""
         for _, _, far, *_ in self._doors:
             if far.name == name:
-                far.shut = on
+                far.refusing = on
         await self.doors(lambda near, far: far.name == name)
 
     async def doors(self, some: Callable[[Machine, Machine], bool] = lambda near, far: True) -> None:
         """Bring those doors and links to what the machines and paths are now."""
         for at, near, far, address, book, sent in self._doors:
             if some(near, far):
-                if not (far.shut or self.paths.refuses(near, far)):
+                if not (far.refusing or self.paths.refuses(near, far)):
                     await self._unlock(at, near, far, address, book, sent)
                 elif at in self._open:
                     self._open.pop(at).close()
@@ -257,11 +257,11 @@
                     0
                 )  # guards against a relay that stands still while a whole fleet comes and goes
         for link in [link for link in self.links if some(link.near, link.far)]:
-            if link.far.shut or self.paths.refuses(link.near, link.far):
+            if link.far.refusing or self.paths.refuses(link.near, link.far):
                 link.reset()
                 await asyncio.sleep(0)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Something can be reached again: what was held goes on."""
         held, self.waiting = list(self.waiting), {}
         for way in held:
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -157,7 +157,7 @@
         self._stage.registry.up = False
         self.changed()
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Told with the plane."""
 
     def told(self, agent: int, version: int, entries: list[Entry], whole: bool) -> None:
@@ -252,13 +252,13 @@
     async def serve(self, *_: Any) -> None:
         """Every server is in a process of its own."""
 
-    def shut(self, machine: Machine, on: bool) -> None:
+    def set_refusing(self, machine: Machine, on: bool) -> None:
         """Told by the stand-ins themselves."""
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Told with the plane as a whole."""
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         """So is this."""
 
     def kill_agent(self, number: int) -> None:
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -159,7 +159,7 @@
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.readexactly(1), 0.1)
             struck.clear()
-            between.mended()
+            between.release_held()
             assert await reader.readexactly(1) == b"B"
         between.close()
         server.close()
@@ -218,7 +218,7 @@
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(1), 0.1)
         between.paths.blocked_pairs = set()
-        between.mended()
+        between.release_held()
         assert await reader.readexactly(1) == b"B"
         between.close()
         server.close()
