--- a/lupinreach/bed/commands/report.py
+++ b/lupinreach/bed/commands/report.py
@@ -74,7 +74,7 @@
     )
     facts = {
         "agents": world.agents,
-        "backends": world.fleet,
+        "backends": world.backend_count,
         "policy": world.policy,
         "seed": result.seed,
         **{k: v for k, v in result.figures.items() if not isinstance(v, dict)},
--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -141,7 +141,7 @@
 
 def size(world: World) -> str:
     return (
-        f"{len(world.troubles)} troubles, {world.agents} agents, {world.fleet} backends, "
+        f"{len(world.troubles)} troubles, {world.agents} agents, {world.backend_count} backends, "
         f"{world.length / 1000:.1f} s, {world.traffic.calls_per_s:.0f} API calls a second"
     )
 
@@ -167,9 +167,9 @@
             length=world.length / 2,
             troubles=tuple(replace(t, at=t.at / 2, length=t.length / 2) for t in world.troubles),
         )
-    if world.fleet > 2 and not any(t.names for t in world.troubles):
+    if world.backend_count > 2 and not any(t.targets for t in world.troubles):
         halves = tuple(_half(kind) for kind in world.backends)
-        if sum(k.count for k in halves) < world.fleet:
+        if sum(k.count for k in halves) < world.backend_count:
             yield replace(world, backends=halves)
     if world.traffic.calls_per_s > 2:
         yield replace(
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -308,13 +308,13 @@
 
     def _targets(self, number: int, trouble: Trouble) -> list[int]:
         """What it strikes: what the world names, else drawn."""
-        if trouble.names:
-            return list(trouble.names)
+        if trouble.targets:
+            return list(trouble.targets)
         pool = {"backends": len(self.hosts), "agents": self.world.agents, "zones": len(self.world.zones)}
-        total = pool.get(trouble.strikes, 0)
+        total = pool.get(trouble.target_kind, 0)
         if not total:
             return []
-        wanted = max(1, round(trouble.share * total)) if trouble.strikes != "zones" else 1
+        wanted = max(1, round(trouble.share * total)) if trouble.target_kind != "zones" else 1
         chance = random_stream(self._seed, "trouble", number)
         return sorted(int(n) for n in chance.permutation(total)[:wanted])
 
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -294,7 +294,7 @@
     try:
         IOLoop.current()  # makes Tornado's own for this loop, outside of all owners
         stage = Stage(world, seed, environment, progress)
-        environment.bind(stage, {environment.addresses.backend(n): n for n in range(world.fleet)})
+        environment.bind(stage, {environment.addresses.backend(n): n for n in range(world.backend_count)})
         loop.run_until_complete(stage.play())
         environment.close()
         for what, times in sorted(environment.agent_faults.items()):
--- a/lupinreach/bed/world/spec.py
+++ b/lupinreach/bed/world/spec.py
@@ -261,11 +261,11 @@
     at: float  # ms
     length: float  # ms
     share: float  # of what it strikes, unless named
-    names: tuple[int, ...]
+    targets: tuple[int, ...]
     strength: float
 
     @property
-    def strikes(self) -> str:
+    def target_kind(self) -> str:
         return TROUBLES[self.kind][0]
 
 
@@ -301,7 +301,7 @@
     measure: tuple[str, ...] = ()
 
     @property
-    def fleet(self) -> int:
+    def backend_count(self) -> int:
         return sum(kind.count for kind in self.backends)
 
     def settings(self, agent: int) -> dict[str, Any]:
@@ -454,10 +454,10 @@
         raise BadConfig("agents.ran: needs agents.store and a non-idempotent product")
     if world.traffic.calls_per_s * world.length / 1000 > MOST_CALLS:
         raise BadConfig(f"traffic.calls_per_s: more than {MOST_CALLS} API calls in all")
-    most = {"backends": world.fleet, "agents": world.agents, "zones": len(zones), "none": 0}
+    most = {"backends": world.backend_count, "agents": world.agents, "zones": len(zones), "none": 0}
     for i, t in enumerate(world.troubles):
-        for n in t.names:
-            if n >= most[t.strikes]:
+        for n in t.targets:
+            if n >= most[t.target_kind]:
                 raise BadConfig(f"troubles[{i}].targets: there is no {n} among {most[t.strikes]} {t.strikes}")
     return world
 
@@ -619,16 +619,16 @@
 
 def _trouble(s: StrictSection, zones: tuple[str, ...]) -> Trouble:
     kind = s.choice("kind", {k: k for k in TROUBLES})
-    strikes, usual, low, high = TROUBLES[kind]
+    target_kind, usual, low, high = TROUBLES[kind]
     names: list[int] = []
     for i, target in enumerate(s.items("targets")):
         where = f"{s.at('targets')}[{i}]"
-        if strikes == "zones" and target in zones:
+        if target_kind == "zones" and target in zones:
             names.append(zones.index(target))
-        elif type(target) is int and target >= 0 and strikes in ("backends", "agents"):
+        elif type(target) is int and target >= 0 and target_kind in ("backends", "agents"):
             names.append(target)
         else:
-            raise BadConfig(f"{where}: {target!r} names none of the {strikes}")
+            raise BadConfig(f"{where}: {target!r} names none of the {target_kind}")
     trouble = Trouble(
         kind,
         s.number("at", 5.0) * 1000,
@@ -707,7 +707,7 @@
                 "seconds": t.length / 1000,
                 "share": t.share,
                 "strength": t.strength,
-                "targets": [world.zones[n] if t.strikes == "zones" else n for n in t.names],
+                "targets": [world.zones[n] if t.target_kind == "zones" else n for n in t.targets],
             }
             for t in world.troubles
         ],
--- a/lupinreach/trial/campaign/draw.py
+++ b/lupinreach/trial/campaign/draw.py
@@ -122,12 +122,12 @@
 
 def trouble(chance: RandomStream) -> Raw:
     kind = pick(chance, ROOMS[pick(chance, sorted(ROOMS))])
-    strikes, usual, low, high = TROUBLES[kind]
+    target_kind, usual, low, high = TROUBLES[kind]
     found: Raw = {"kind": kind, "at": among(chance, FIRST, LAST), "seconds": among(chance, *SPAN)}
-    if strikes == "zones":
+    if target_kind == "zones":
         found["targets"] = ["b"]
-    elif strikes != "none" or kind == "datagrams-late":
-        found["share"] = among(chance, 0.2, 1.0 if strikes == "agents" else 0.6)
+    elif target_kind != "none" or kind == "datagrams-late":
+        found["share"] = among(chance, 0.2, 1.0 if target_kind == "agents" else 0.6)
     if high > low:
         found["strength"] = round(min(high, max(low, usual * among(chance, 0.3, 1.5))), 3)
     if kind == "surge":
--- a/lupinreach/trial/campaign/hunt.py
+++ b/lupinreach/trial/campaign/hunt.py
@@ -190,7 +190,7 @@
 
 def size(trial: Trial) -> str:
     kinds = ", ".join(sorted({t.kind for t in trial.world.troubles}))
-    return f"{trial.world.agents} agents, {trial.world.fleet} backends, {len(trial.world.troubles)} faults ({kinds})"
+    return f"{trial.world.agents} agents, {trial.world.backend_count} backends, {len(trial.world.troubles)} faults ({kinds})"
 
 
 def smallest(h: History) -> tuple[Trial, int]:
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -53,7 +53,7 @@
             found = spec.read_file(file)
             world = found.world
             print(
-                f"{file}: good; world {world.name}, {world.agents} agents, {world.fleet} backends, "
+                f"{file}: good; world {world.name}, {world.agents} agents, {world.backend_count} backends, "
                 f"{len(world.troubles)} troubles"
             )
     except BadConfig as wrong:
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -202,7 +202,7 @@
 
         world = self._world
         self._processes = [
-            *(Process("backends", mine) for mine in shares(world.fleet, BACKENDS_EACH)),
+            *(Process("backends", mine) for mine in shares(world.backend_count, BACKENDS_EACH)),
             Process("registry", []),
             *(Process("clients", mine) for mine in shares(world.agents, CLIENTS_EACH)),
             *(Process("relay", mine) for mine in shares(world.agents, AGENTS_EACH)),
@@ -229,7 +229,7 @@
             self.fell(event["backend"])
         elif event["event"] == "booted":
             self._booted.add(event["backend"])
-            if len(self._booted) == self._world.fleet:
+            if len(self._booted) == self._world.backend_count:
                 self.all_booted.set()
 
     def _each(self, role: str) -> list[Process]:
@@ -449,7 +449,7 @@
     """Why this world can't be played with processes; empty if it can."""
     if world.agents > MOST_AGENTS:
         return f"agents.count: at most {MOST_AGENTS} with processes"
-    if world.fleet > MOST_BACKENDS:
+    if world.backend_count > MOST_BACKENDS:
         return f"backends: at most {MOST_BACKENDS} with processes"
     if world.fault and FAULTS[world.fault].decide is None:
         return f"fault: {world.fault} can be planted in virtual time only"
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -78,7 +78,7 @@
     one = spec.read(SMALL | {"faults": [POWER | {"rack": "b", "over": {"backends": 3}}]})
     kills = [t for t in one.world.troubles if t.kind == "kill-agents"]
     crashes = [t for t in one.world.troubles if t.kind == "crash"]
-    assert [t.names for t in kills] == [(1, 3)] and [t.names for t in crashes] == [(1,), (3,), (5,)]
+    assert [t.targets for t in kills] == [(1, 3)] and [t.targets for t in crashes] == [(1,), (3,), (5,)]
     assert [t.length for t in crashes] == [1500.0, 2500.0, 3500.0] and one.since == 4500.0
 
 
