--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -484,7 +484,7 @@
         self._machine = machine
         self._most = most  # sockets that the process may have open
 
-    def random_stream(self, address: Address) -> Any:
+    def stream(self, address: Address) -> Any:
         if len(self._net.of_owner.get(OWNER.get(), ())) >= self._most:
             raise OSError(errno.EMFILE, "too many open files")
         return MemorySocket(self._net, self._machine)
