--- a/lupinreach/bed/judging/check.py
+++ b/lupinreach/bed/judging/check.py
@@ -142,7 +142,7 @@
     def _on_replied(self, at: float, name: str) -> None:
         self.tries[name].replied = min(at, self.tries[name].replied)
 
-    def _on_agent(self, at: float, agent: int, life: int, what: str) -> None:
+    def _on_agent(self, at: float, agent: int, incarnation: int, what: str) -> None:
         if what == "killed":
             self._killed[agent].append((at, inf))
         elif what == "started" and self._killed[agent] and self._killed[agent][-1][1] == inf:
@@ -161,9 +161,15 @@
                 self._held_up[agent].append((at - LATE, at + LATE))
 
     def _on_told(
-        self, at: float, agent: int, life: int, version: int, entries: list[tuple[int, str]], whole: bool
+        self,
+        at: float,
+        agent: int,
+        incarnation: int,
+        version: int,
+        entries: list[tuple[int, str]],
+        whole: bool,
     ) -> None:
-        barred, listed = self._barred[agent, life], self._listed[agent, life]
+        barred, listed = self._barred[agent, incarnation], self._listed[agent, incarnation]
         named = set()
         ready = {backend for backend, state in entries if state == "Ready"}
         for backend, _ in entries:
@@ -180,8 +186,8 @@
                 barred.setdefault(backend, at)
         self._highest[agent] = max(version, self._highest[agent])
 
-    def _on_sent(self, at: float, agent: int, life: int, backend: int, name: str) -> None:
-        since = self._barred[agent, life].get(backend)
+    def _on_sent(self, at: float, agent: int, incarnation: int, backend: int, name: str) -> None:
+        since = self._barred[agent, incarnation].get(backend)
         if since is not None and at > since + self._world.rules.drain_grace + LATE:
             self._breach(
                 "drains",
@@ -189,7 +195,7 @@
                 at,
                 f"{name} to backend {backend}, {at - since:.0f} ms after agent {agent} was told",
             )
-        elif backend not in self._listed[agent, life]:
+        elif backend not in self._listed[agent, incarnation]:
             self._breach("drains", "sent to unlisted", at, f"{name} to backend {backend} by agent {agent}")
         one = self.tries.get(name)
         if one is None:
@@ -219,10 +225,13 @@
 
     def _on_said(self, at: float, agent: int, event: str, fields: dict[str, Any]) -> None:
         if event == "asked":
-            life = (agent if agent >= 0 else -1 - agent, *fields["life"])  # a second process is below 0
-            if life in self._said:
-                self._breach("lives", "life twice", at, f"agent {life[0]}, life {life[1]}")
-            self._said.add(life)
+            incarnation = (
+                agent if agent >= 0 else -1 - agent,
+                *fields["life"],
+            )  # a second process is below 0
+            if incarnation in self._said:
+                self._breach("lives", "life twice", at, f"agent {incarnation[0]}, life {incarnation[1]}")
+            self._said.add(incarnation)
 
     def _on_fault(self, at: float, what: str) -> None:
         self._breach("faults", "fault", at, what)
@@ -233,7 +242,7 @@
         self,
         at: float,
         backend: int,
-        life: int,
+        incarnation: int,
         state: str,
         capacity: float,
         cold: float,
@@ -247,7 +256,7 @@
             self._came[backend].clear()
             self._sum[backend] = 0
 
-    def _on_came(self, at: float, backend: int, life: int, name: str, work: float) -> None:
+    def _on_came(self, at: float, backend: int, incarnation: int, name: str, work: float) -> None:
         booted, capacity, cold, start = self._lives.get(backend, (0.0, 0.0, 0.0, 1.0))
         if not cold or at >= booted + cold:
             return
--- a/lupinreach/bed/peers/backend.py
+++ b/lupinreach/bed/peers/backend.py
@@ -84,7 +84,7 @@
         self.idle = idle
         self.marks = marks
         self.cell = number // spec.cell_size
-        self.life = 0
+        self.incarnation = 0
         self.up = False
         self.fallen = False
         self.booted = -inf  # long ago: warm
@@ -146,7 +146,7 @@
     # From life to life.
 
     def boot(self, now: float, cold: bool) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.up, self.fallen, self.choked = True, False, False
         self.booted = now if cold else -inf
         self._at, self._came = now, deque()
--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -47,7 +47,7 @@
         self.environment = environment
         self.world = world
         self.agent = agent
-        self.life = 0
+        self.incarnation = 0
         self.machine = machine
         self.address = address
         self.idle: list[ClientConnection] = []  # each leaves when it is used, or closes
@@ -80,7 +80,7 @@
             round(arrival.work, 3),
             round(waits, 3),
         )
-        self.names[one.name] = self.agent, self.life, arrival.product
+        self.names[one.name] = self.agent, self.incarnation, arrival.product
         one.timer = self.environment.loop.call_later(waits / 1000, self._left, one)
         self._begin(one)
 
--- a/lupinreach/bed/peers/registry.py
+++ b/lupinreach/bed/peers/registry.py
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self.version = 1
-        self.life = 1
+        self.incarnation = 1
         self.up = True
         self._entries: dict[
             str, tuple[int, Entry]
@@ -73,12 +73,12 @@
 
     def restore(self, held: dict[str, tuple[int, Entry]]) -> None:
         """It comes back with what it held then, and counts on from there."""
-        self.life += 1
+        self.incarnation += 1
         self._entries = dict(held)
         self.version = max((version for version, _ in held.values()), default=1)
 
     def restart(self, version: int) -> None:
         """It comes back with its entries and another count of versions, which may be lower."""
-        self.life += 1
+        self.incarnation += 1
         self.version = version
         self._entries = {uid: (version, e) for uid, (_, e) in self._entries.items() if e.state != "Gone"}
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -92,7 +92,7 @@
         mark = name if spec.kind is Idempotency.DEDUPLICATED else None
         job = Job(name, product, work, key, mark, spec.memory, line)
         self.environment.ledger.add_record(
-            record_kinds.CAME, now, backend.number, backend.life, name, round(work, 3)
+            record_kinds.CAME, now, backend.number, backend.incarnation, name, round(work, 3)
         )
         way = backend.come(now, job, float(self.chance.random()))
         if backend.fallen and backend.up:
@@ -126,7 +126,7 @@
             record_kinds.STATE,
             now,
             b.number,
-            b.life,
+            b.incarnation,
             "Ready",
             round(b.capacity, 4),
             rules.cold if cold else 0.0,
@@ -211,10 +211,10 @@
         if found is None:
             self.say(answer(400))
             return
-        agent, life, product = found
+        agent, incarnation, product = found
         if not host.environment.sees_agent_traffic:
             host.environment.ledger.add_record(
-                record_kinds.SENT, host.environment.now(), agent, life, host.backend.number, name
+                record_kinds.SENT, host.environment.now(), agent, incarnation, host.backend.number, name
             )
         if self._refuses:
             host.environment.ledger.add_record(
@@ -269,7 +269,7 @@
         environment: Environment,
         registry: Registry,
         machine: Machine,
-        life_of: Callable[[int], int],
+        incarnation_of: Callable[[int], int],
         machine_of: Callable[[int], Machine],
         spec: RegistrySpec,
     ) -> None:
@@ -278,7 +278,7 @@
         self._spec = spec
         self._free_at = 0.0  # when it is through with the calls that have come so far
         self.machine = machine
-        self.life_of = life_of
+        self.incarnation_of = incarnation_of
         self.machine_of = machine_of
         # By agent, in order; emptied once it is reached.
         self._untold: defaultdict[int, deque[Any]] = defaultdict(deque)
@@ -322,7 +322,7 @@
         """
         # Of a backend that was replaced, what is told of the process before says nothing of the one that is there now.
         told = [[e.backend, e.state] for e in entries if e.state == "Ready" or not self.registry.succeeded(e)]
-        word = self.life_of(agent), version, told, whole
+        word = self.incarnation_of(agent), version, told, whole
         if line is None:
             self.environment.ledger.add_record(record_kinds.TOLD, self.environment.now(), agent, *word)
             return
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -206,7 +206,7 @@
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -223,27 +223,29 @@
 
     async def _start_agent(self, n: int) -> None:
         self.agents[n] += 1
-        life = self.agents[n]
-        self.clients[n].life = life
+        incarnation = self.agents[n]
+        self.clients[n].incarnation = incarnation
         known = self.registry.whole()
-        raw = self._told(n, self._raw(n, life))
+        raw = self._told(n, self._raw(n, incarnation))
         self.registry_host.told(n, self.registry.version, known, True)
-        self.environment.ledger.add_record(record_kinds.AGENT, self.environment.now(), n, life, "started")
+        self.environment.ledger.add_record(
+            record_kinds.AGENT, self.environment.now(), n, incarnation, "started"
+        )
         async with asyncio.timeout(READY_WITHIN):
             await self.environment.start_agent(
-                n, life, raw, lambda: self._ended(n, life), self._ahead[n], self._drift[n]
+                n, incarnation, raw, lambda: self._ended(n, incarnation), self._ahead[n], self._drift[n]
             )
         self.up.add(n)
         self._begins.discard(n)
 
-    def _raw(self, n: int, life: int) -> dict[str, Any]:
+    def _raw(self, n: int, incarnation: int) -> dict[str, Any]:
         """What an agent is told at its start."""
         known, at = self.registry.whole(), self.environment.addresses
         raw = {
             "name": f"agent-{n}",
             "listen": text(at.agent(n)),
             "discovery": text(at.registry(n)),
-            "seed": f"{int(random_stream(self._seed, 'agent', n, life).integers(1 << 48)):x}",
+            "seed": f"{int(random_stream(self._seed, 'agent', n, incarnation).integers(1 << 48)):x}",
             "limits": {"sockets": self.world.sockets},
             "known": {
                 "rev": self.registry.version,
@@ -270,8 +272,10 @@
         """What an agent is told at its start, where others than the stage stand between it and its peers."""
         return raw
 
-    def _ended(self, n: int, life: int) -> None:
-        self.environment.ledger.add_record(record_kinds.AGENT, self.environment.now(), n, life, "ended")
+    def _ended(self, n: int, incarnation: int) -> None:
+        self.environment.ledger.add_record(
+            record_kinds.AGENT, self.environment.now(), n, incarnation, "ended"
+        )
         self._stopping.discard(n)
         if n in self._again:
             self._again.discard(n)
@@ -413,15 +417,15 @@
             if not on:
                 host.reset()  # what was open is reset when it is back
             else:
-                self._later(self.world.registry.silent_lag, self._unlist_lost, n, host.backend.life)
+                self._later(self.world.registry.silent_lag, self._unlist_lost, n, host.backend.incarnation)
         if not on:
             self.environment.release_held()
             for n in targets:
                 self._announce(n, state="Ready")
 
-    def _unlist_lost(self, n: int, life: int) -> None:
+    def _unlist_lost(self, n: int, incarnation: int) -> None:
         host = self.hosts[n]
-        if host.backend.life == life and (host.machine.vanished or not host.backend.up):
+        if host.backend.incarnation == incarnation and (host.machine.vanished or not host.backend.up):
             self._list(n, state="Gone")
 
     def _cut(self, t: Trouble, targets: list[int], on: bool) -> None:
@@ -489,7 +493,16 @@
         host.die()
         b = host.backend
         self.environment.ledger.add_record(
-            record_kinds.STATE, self.environment.now(), n, b.life, "Gone", 0.0, 0.0, 0.0, b.zone, b.cell
+            record_kinds.STATE,
+            self.environment.now(),
+            n,
+            b.incarnation,
+            "Gone",
+            0.0,
+            0.0,
+            0.0,
+            b.zone,
+            b.cell,
         )
 
     def _return(self, n: int) -> None:
@@ -500,13 +513,17 @@
         """Pushed over: it stays down."""
         host.backend.up = False
         self.environment.loop.call_soon(self._die, host.backend.number)
-        self._later(self.world.registry.silent_lag, self._unlist_lost, host.backend.number, host.backend.life)
+        self._later(
+            self.world.registry.silent_lag, self._unlist_lost, host.backend.number, host.backend.incarnation
+        )
 
     def _crash(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on and self.hosts[n].backend.up:
                 self._die(n)
-                self._later(self.world.registry.silent_lag, self._unlist_lost, n, self.hosts[n].backend.life)
+                self._later(
+                    self.world.registry.silent_lag, self._unlist_lost, n, self.hosts[n].backend.incarnation
+                )
             elif not on and not self.hosts[n].backend.fallen:
                 self._return(n)
 
@@ -518,7 +535,7 @@
                     record_kinds.STATE,
                     self.environment.now(),
                     n,
-                    b.life,
+                    b.incarnation,
                     "Terminating",
                     0.0,
                     0.0,
@@ -541,7 +558,7 @@
             self._die(n)
             self._list(n, state="Gone")
             old = self.entries[n]
-            self.entries[n] = replace(old, uid=f"{old.uid}-{self.hosts[n].backend.life}")
+            self.entries[n] = replace(old, uid=f"{old.uid}-{self.hosts[n].backend.incarnation}")
             self.environment.loop.call_later(UNDRAINED, self._return, n)
 
     # The registry and the agents.
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -169,13 +169,13 @@
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
         drift: float = 0.0,
     ) -> None:
-        self._lives[number] = await self._begin(number, life, raw, ahead, drift)
+        self._lives[number] = await self._begin(number, incarnation, raw, ahead, drift)
         self._ends[number] = ended
 
     async def start_twin(self, number: int, raw: dict[str, Any]) -> None:
--- a/lupinreach/bed/world/environment.py
+++ b/lupinreach/bed/world/environment.py
@@ -36,7 +36,7 @@
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -268,7 +268,7 @@
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
@@ -278,7 +278,7 @@
             self.tell_relays({"do": "shut", "name": f"agent {number}", "on": True})
             ended()
 
-        await super().start_agent(number, life, raw, over, ahead, drift)
+        await super().start_agent(number, incarnation, raw, over, ahead, drift)
         self.tell_relays({"do": "shut", "name": f"agent {number}", "on": False})
 
     async def close(self) -> None:
