--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -293,7 +293,7 @@
 
 
 def test_datagrams_are_doubled_and_held_back_past_later_ones_as_a_trial_says():
-    _, twice, _ = posted(lambda paths: setattr(paths, "doubled", 0.5))
+    _, twice, _ = posted(lambda paths: setattr(paths, "duplicate_share", 0.5))
     assert 260 < len(twice) < 340 and set(twice) == set(range(200))
 
     def late(paths):
