--- a/lupinreach/bed/peers/backend.py
+++ b/lupinreach/bed/peers/backend.py
@@ -112,7 +112,7 @@
     def holds(self) -> int:
         return len(self.running) + len(self.queue) + self.swallowed
 
-    def part(self, now: float) -> float:
+    def warm_fraction(self, now: float) -> float:
         """The part of its capacity that its age allows."""
         age = now - self.booted
         if age >= self.rules.cold:
@@ -122,7 +122,7 @@
     def _rate(self, now: float) -> float:
         """Ms of work a ms on one core."""
         choke = self.spec.choke_slower if self.choked else 1.0
-        return self.speed * self.part(now) * (1 - self.stolen) / (self.slower * choke)
+        return self.speed * self.warm_fraction(now) * (1 - self.stolen) / (self.slower * choke)
 
     # What a policy that sees the true state asks.
 
@@ -141,7 +141,7 @@
         return self._allowed(now) - lately
 
     def _allowed(self, now: float) -> float:
-        return self.rules.fall_multiple * self.capacity * self.part(now) * self.rules.fall
+        return self.rules.fall_multiple * self.capacity * self.warm_fraction(now) * self.rules.fall
 
     # From life to life.
 
@@ -264,7 +264,7 @@
         if rate <= 0:
             return now + STEP
         ahead = min(j.left for j in self.running) / rate
-        if self.part(now) < 1 or self._changes(now):
+        if self.warm_fraction(now) < 1 or self._changes(now):
             ahead = min(ahead, STEP)
         return now + ahead
 
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -308,7 +308,7 @@
         for line in list(self.lines):
             line.cut()
 
-    def told(
+    def record_listing(
         self,
         agent: int,
         version: int,
@@ -341,7 +341,7 @@
         if self.environment.paths.reaches(self.machine, self.machine_of(agent)):
             while waiting:
                 line, word = waiting.popleft()
-                if line.lasts:
+                if line.still_open:
                     self.environment.ledger.add_record(
                         record_kinds.TOLD, self.environment.now(), agent, *word
                     )
@@ -368,7 +368,7 @@
         self._host.lines[self] = None
 
     @property
-    def lasts(self) -> bool:
+    def still_open(self) -> bool:
         """If what is written to it gets to the agent: neither end has closed it."""
         return self in self._host.lines and not self._transport.get_extra_info("left", False)
 
@@ -411,7 +411,7 @@
     def _whole(self) -> bytes:
         registry = self._host.registry
         entries = registry.whole()
-        self._host.told(self._agent, registry.version, entries, True, self)
+        self._host.record_listing(self._agent, registry.version, entries, True, self)
         return self._text(True, entries)
 
     def _text(self, whole: bool, entries: list[Entry]) -> bytes:
@@ -429,7 +429,7 @@
             return
         entries = registry.since(self._version)
         self._version = registry.version
-        self._host.told(self._agent, registry.version, entries, False, self)
+        self._host.record_listing(self._agent, registry.version, entries, False, self)
         self._line(self._text(False, entries))
 
     def _line(self, text: bytes) -> None:
--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -58,7 +58,7 @@
         size = len(what) if isinstance(what, bytes | bytearray) else 0
         self._last = (
             max(self._last, loop.time() + paths.delay(self.machine, other.machine) / 1000)
-            + paths.passing(self.machine, other.machine, size) / 1000
+            + paths.transmission_ms(self.machine, other.machine, size) / 1000
         )
         loop.call_at(self._last, self._arrive, other, what, context=self.net.context)
 
@@ -461,7 +461,7 @@
 
     def tell(self, machine: Machine, source: Address, address: Address, data: bytes) -> None:
         for post in self._at(address, source):
-            for took in self.paths.datagram(machine, post.machine):
+            for took in self.paths.datagram_delays(machine, post.machine):
                 self.loop.call_later(took / 1000, self._hear, post, data, source, context=self.context)
 
     def _at(self, address: Address, source: Address) -> list[Post]:
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -227,7 +227,7 @@
         self.clients[n].incarnation = incarnation
         known = self.registry.whole()
         raw = self._told(n, self._raw(n, incarnation))
-        self.registry_host.told(n, self.registry.version, known, True)
+        self.registry_host.record_listing(n, self.registry.version, known, True)
         self.environment.ledger.add_record(
             record_kinds.AGENT, self.environment.now(), n, incarnation, "started"
         )
@@ -288,7 +288,12 @@
             b = host.backend
             if b.up:
                 self.environment.ledger.add_record(
-                    record_kinds.LOAD, now, b.number, len(b.running), len(b.queue), round(b.part(now), 3)
+                    record_kinds.LOAD,
+                    now,
+                    b.number,
+                    len(b.running),
+                    len(b.queue),
+                    round(b.warm_fraction(now), 3),
                 )
         pools = self.environment.pools()
         if pools:
--- a/lupinreach/bed/world/network.py
+++ b/lupinreach/bed/world/network.py
@@ -72,12 +72,12 @@
                 took += RESEND
         return took
 
-    def passing(self, a: Machine, b: Machine, size: int) -> float:
+    def transmission_ms(self, a: Machine, b: Machine, size: int) -> float:
         """Ms for which so many bytes hold up what comes after them on their connection."""
         narrow = min((m.narrow for m in (a, b) if m.narrow), default=inf) if a is not b else inf
         return size / narrow
 
-    def datagram(self, a: Machine, b: Machine) -> list[float]:
+    def datagram_delays(self, a: Machine, b: Machine) -> list[float]:
         """Ms after which each copy of one datagram comes; none where it is lost."""
         copies = []
         for _ in range(2 if self.duplicate_share and self.chance.random() < self.duplicate_share else 1):
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -125,7 +125,7 @@
             b = host.backend
             if b.up:
                 self.environment.ledger.add_record(
-                    record_kinds.LOAD, now, n, len(b.running), len(b.queue), round(b.part(now), 3)
+                    record_kinds.LOAD, now, n, len(b.running), len(b.queue), round(b.warm_fraction(now), 3)
                 )
         self.loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
 
--- a/lupinreach/trial/rig/relay.py
+++ b/lupinreach/trial/rig/relay.py
@@ -58,7 +58,7 @@
         took = plane.paths.delay(*self._ends) / 1000
         self._due = (
             max(self._due, plane.loop.time() + took)
-            + plane.paths.passing(*self._ends, len(piece or b"")) / 1000
+            + plane.paths.transmission_ms(*self._ends, len(piece or b"")) / 1000
         )
         plane.loop.call_at(self._due, self._deliver, piece)
 
@@ -322,5 +322,5 @@
         socket_of = self._from.get((other, agent))
         if socket_of is None:
             return
-        for took in plane.paths.datagram(self._machines(agent), self._machines(other)):
+        for took in plane.paths.datagram_delays(self._machines(agent), self._machines(other)):
             plane.loop.call_later(took / 1000, socket_of.sendto, data, self._peer(other))
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -160,7 +160,7 @@
     def release_held(self) -> None:
         """Told with the plane."""
 
-    def told(self, agent: int, version: int, entries: list[Entry], whole: bool) -> None:
+    def record_listing(self, agent: int, version: int, entries: list[Entry], whole: bool) -> None:
         environment = self._stage.environment
         environment.ledger.add_record(
             record_kinds.TOLD,
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -239,7 +239,7 @@
     b.boot(100.0, cold=True)
     b.come(100.0, Job("cold", 0, 20.0, None, None, 0.0, None), 0.9)
     done = b.advance(130.0)
-    assert b.part(100.0) == 0.5 and [j.name for j in done] == [
+    assert b.warm_fraction(100.0) == 0.5 and [j.name for j in done] == [
         "cold"
     ]  # 20 ms at half the speed of 2, a little more
     b.boot(200.0, cold=True)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -420,7 +420,7 @@
         await role.open()
         await role.do_plane(cut=[], refused=[], deaf=["agent 1"], dumb=[], parted=[])
         for agent in range(3):
-            role.host.told(agent, 5, [], True, SimpleNamespace(lasts=True))
+            role.host.record_listing(agent, 5, [], True, SimpleNamespace(still_open=True))
         assert [r[2] for r in role.environment.ledger.of("told")] == [0, 2]
         await role.do_plane(cut=[], refused=[], deaf=[], dumb=[], parted=[])
         # At once: found on a drawn loss, where an agent used a list 23 ms before it was booked as told.
