--- a/lupinreach/bed/world/__init__.py
+++ b/lupinreach/bed/world/__init__.py
@@ -1,1 +1,1 @@
-"""What a run is of: its file, chance, traffic, the network between machines, and the book of what happened."""
+"""The inputs and records of a run: world files, random streams, traffic, the network model and the ledger."""
--- a/lupinreach/bed/world/random_streams.py
+++ b/lupinreach/bed/world/random_streams.py
@@ -1,4 +1,4 @@
-"""The world's chance: a stream of its own for each part, all from one seed."""
+"""Random streams of a run: one per component, all derived from a single seed."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 def random_stream(seed: int, *name: object) -> RandomStream:
-    """The same numbers for the same seed and name, whatever other parts draw."""
-    text = ":".join(map(str, name)).encode()
-    return np.random.Generator(np.random.PCG64(np.random.SeedSequence((seed, crc32(text), len(text)))))
+    """A generator that depends on the seed and the name alone, not on what other components draw."""
+    key = ":".join(map(str, name)).encode()
+    return np.random.Generator(np.random.PCG64(np.random.SeedSequence((seed, crc32(key), len(key)))))
--- a/lupinreach/bed/world/spec.py
+++ b/lupinreach/bed/world/spec.py
@@ -1,4 +1,4 @@
-"""A world, and what is played on it, read from TOML: checked, defaulted, each complaint with the key's whole path."""
+"""World files: read from TOML, validated and given defaults; every error names the full path of its key."""
 
 from __future__ import annotations
 
@@ -12,278 +12,310 @@
 from lupinreach.config import BadConfig, Section
 from lupinreach.model import DedupScope, Idempotency
 
-KINDS = {k.value: k for k in Idempotency}
-GROUPS = {g.value: g for g in DedupScope}
-SHAPES = {s: s for s in ("poisson", "bursts", "day")}
-HINTS = {h: h for h in ("none", "rough", "good")}
+IDEMPOTENCY_KINDS = {k.value: k for k in Idempotency}
+DEDUP_SCOPES = {g.value: g for g in DedupScope}
+TRAFFIC_SHAPES = {s: s for s in ("poisson", "bursts", "day")}
+HINT_QUALITIES = {h: h for h in ("none", "rough", "good")}
 MODES = {m: m for m in ("virtual", "loopback")}
-MOST_CALLS = 2_000_000  # in one run: what the ledger holds in memory
-TARGETS = "backends", "agents", "zones", "none"
+MAX_CALLS = 2_000_000  # per run, since the ledger is kept in memory
+TARGET_KINDS = "backends", "agents", "zones", "none"
 
-# Kinds of trouble: what they strike, and what `strength` means (its default, and the range it may have).
+# Kinds of trouble: kind of target, then default, minimum and maximum of `strength`. The comments give the effect and
+# what `strength` measures.
 TROUBLES: dict[str, tuple[str, float, float, float]] = {
-    "slow": ("backends", 4.0, 1.0, 1000.0),  # times slower
-    "silent": ("backends", 1.0, 0.0, 1.0),  # takes work and answers none of this share
-    "fail": ("backends", 0.6, 0.0, 1.0),  # share answered 500 at once
-    "crash": ("backends", 0.0, 0.0, 0.0),  # dies, and comes back cold at the end
-    "drain": ("backends", 0.0, 0.0, 0.0),  # told by the registry; stops at the end, comes back cold
-    "replace": ("backends", 0.0, 0.0, 0.0),  # drains, and another takes its place under a new name
-    "vanish": ("backends", 0.0, 0.0, 0.0),  # the machine says nothing, connections stay open
-    "stall": ("backends", 0.3, 0.0, 1.0),  # share of answers that stop after half
-    "reset": ("backends", 0.1, 0.0, 1.0),  # share of requests after whose last byte the connection is reset
-    "break": ("backends", 0.1, 0.0, 1.0),  # share of requests before whose last byte it is
-    "latency": ("backends", 50.0, 0.0, 60_000.0),  # ms more each way
-    "narrow": ("backends", 2.0, 0.01, 1e6),  # bytes a ms that each connection to it passes, each way
-    "apart": ("backends", 0.5, 0.0, 1.0),  # this share of the agents, drawn, and they don't hear each other
-    "apart-one-way": ("backends", 0.5, 0.0, 1.0),  # what they answer doesn't get to this share of the agents
-    "thief": ("backends", 0.5, 0.0, 0.99),  # share of the cores that another program takes, on and off
-    "cut": ("zones", 0.0, 0.0, 0.0),  # the zone can't reach the others
+    "slow": ("backends", 4.0, 1.0, 1000.0),  # slowdown factor
+    "silent": ("backends", 1.0, 0.0, 1.0),  # share of requests that are accepted and never answered
+    "fail": ("backends", 0.6, 0.0, 1.0),  # share of requests that are answered with 500 at once
+    "crash": ("backends", 0.0, 0.0, 0.0),  # the process dies and restarts cold at the end
+    "drain": ("backends", 0.0, 0.0, 0.0),  # announced by the registry; stops at the end and restarts cold
+    "replace": ("backends", 0.0, 0.0, 0.0),  # drains, then another instance with a new uid takes its place
+    "vanish": ("backends", 0.0, 0.0, 0.0),  # the machine neither sends nor receives; connections stay open
+    "stall": ("backends", 0.3, 0.0, 1.0),  # share of answers that stop half-way
+    "reset": ("backends", 0.1, 0.0, 1.0),  # share of requests whose connection is reset after their last byte
+    "break": (
+        "backends",
+        0.1,
+        0.0,
+        1.0,
+    ),  # share of requests whose connection is reset before their last byte
+    "latency": ("backends", 50.0, 0.0, 60_000.0),  # added delay in ms, each way
+    "narrow": ("backends", 2.0, 0.01, 1e6),  # bandwidth of each connection in bytes per ms, each way
+    "apart": ("backends", 0.5, 0.0, 1.0),  # share of agents, drawn at random, that are cut off, both ways
+    "apart-one-way": ("backends", 0.5, 0.0, 1.0),  # share of agents that the backend's answers don't reach
+    "thief": ("backends", 0.5, 0.0, 0.99),  # share of the cores that another program takes intermittently
+    "cut": ("zones", 0.0, 0.0, 0.0),  # traffic between the zone and the others is dropped
     "cut-reset": (
         "zones",
         0.0,
         0.0,
         0.0,
-    ),  # nor does it stay silent: what was open to the others is reset, what is new refused
-    "loss": ("none", 0.05, 0.0, 1.0),  # share of segments
-    "datagrams-doubled": ("none", 0.3, 0.0, 1.0),  # this share of the datagrams comes twice
+    ),  # as `cut`, but open connections to other zones are reset and new ones refused
+    "loss": ("none", 0.05, 0.0, 1.0),  # share of segments and datagrams that are lost
+    "datagrams-doubled": ("none", 0.3, 0.0, 1.0),  # share of datagrams that are delivered twice
     "datagrams-late": (
         "none",
         2000.0,
         0.0,
         60_000.0,
-    ),  # ms by which the trouble's share of them is held back past later ones
-    "surge": ("none", 2.0, 0.0, 100.0),  # times the usual arrivals
-    "costly": ("none", 8.0, 1.0, 1000.0),  # times the work, for one API call in fifty
-    "late-reports": ("backends", 4.0, 1.0, 1000.0),  # times older
-    "restart-agents": ("agents", 0.0, 0.0, 0.0),  # stopped by signal, started at the end
-    "kill-agents": ("agents", 0.0, 0.0, 0.0),  # killed outright, started at the end
-    "sleep-agents": ("agents", 0.0, 0.0, 0.0),  # the process stands still, and wakes with what it believed
-    "deaf-agents": ("agents", 0.0, 0.0, 0.0),  # nothing gets to them, but from their own clients
-    "dumb-agents": ("agents", 0.0, 0.0, 0.0),  # nothing gets away from them, but to their own clients
+    ),  # ms by which the trouble's `share` of the datagrams is delayed, so that later ones overtake them
+    "surge": ("none", 2.0, 0.0, 100.0),  # factor on the arrival rate
+    "costly": ("none", 8.0, 1.0, 1000.0),  # factor on the work of one API call in fifty
+    "late-reports": ("backends", 4.0, 1.0, 1000.0),  # factor on the age of load reports
+    "restart-agents": ("agents", 0.0, 0.0, 0.0),  # stopped by a signal, restarted at the end
+    "kill-agents": ("agents", 0.0, 0.0, 0.0),  # killed, restarted at the end
+    "sleep-agents": ("agents", 0.0, 0.0, 0.0),  # the process is suspended and resumes with a stale state
+    "deaf-agents": ("agents", 0.0, 0.0, 0.0),  # they receive nothing, except from their own clients
+    "dumb-agents": ("agents", 0.0, 0.0, 0.0),  # nothing they send arrives, except at their own clients
     "twin-agents": (
         "agents",
         0.0,
         0.0,
         0.0,
-    ),  # a second process stands up with the first one's disk and configuration
+    ),  # a second process runs with the disk and configuration of the first
     "clock-agents": (
         "agents",
         86_400.0,
         -1e7,
         1e7,
-    ),  # s by which the clock of one that starts meanwhile is ahead
-    "disk-torn": ("agents", 0.5, 0.0, 1.0),  # of the carried file this share is left; 0: it is empty
-    "disk-lost": ("agents", 0.0, 0.0, 0.0),  # power is lost: what was not synced may be gone, or torn
-    "disk-older": ("agents", 5.0, 0.0, 1e5),  # the copy of so many s before is put back
-    "disk-other": ("agents", 0.0, 0.0, 0.0),  # the copy of the next agent's disk takes its place
-    "disk-hangs": ("agents", 0.0, 0.0, 0.0),  # what is written waits until the end
-    "disk-stuck": ("agents", 0.0, 0.0, 0.0),  # can't be written, as one that is full or read-only
+    ),  # s by which the clock of an agent that starts meanwhile is ahead
+    "disk-torn": ("agents", 0.5, 0.0, 1.0),  # share of the state file that is left; 0: it is empty
+    "disk-lost": ("agents", 0.0, 0.0, 0.0),  # power loss: data that was not synced may be missing or torn
+    "disk-older": ("agents", 5.0, 0.0, 1e5),  # the disk is rolled back by so many s
+    "disk-other": ("agents", 0.0, 0.0, 0.0),  # the disk is replaced by a copy of the next agent's
+    "disk-hangs": ("agents", 0.0, 0.0, 0.0),  # writes block until the end
+    "disk-stuck": ("agents", 0.0, 0.0, 0.0),  # writes fail, as on a full or read-only disk
     "drift-agents": (
         "agents",
         0.01,
         -0.2,
         0.2,
-    ),  # what the clock of one that starts meanwhile gains of each second
-    "busy-agents": ("agents", 50.0, 0.0, 10_000.0),  # ms for which the event loop is held up, once a second
-    "registry-down": ("none", 0.0, 0.0, 0.0),  # refuses and resets
-    "registry-back": ("none", 0.0, 0.0, 0.0),  # restarts at a lower version at the end
-    "registry-older": ("none", 10.0, 0.0, 86_400.0),  # is down, and back with the list of so many s before
+    ),  # seconds that the clock of an agent that starts meanwhile gains per second
+    "busy-agents": ("agents", 50.0, 0.0, 10_000.0),  # ms for which the event loop is blocked, once a second
+    "registry-down": ("none", 0.0, 0.0, 0.0),  # the registry refuses and resets connections
+    "registry-back": ("none", 0.0, 0.0, 0.0),  # it is down, and restarts at a lower version at the end
+    "registry-older": ("none", 10.0, 0.0, 86_400.0),  # it is down, and restarts with a list so many s old
 }
 
 
 class StrictSection(Section):
-    """A section whose unknown keys are refused."""
+    """A section that rejects unknown keys."""
 
     def __init__(self, raw: Any, path: str = "") -> None:
         super().__init__(raw, path)
-        self._asked: set[str] = set()
+        self._known_keys: set[str] = set()
 
     def _get(self, key: str, default: Any) -> Any:
-        self._asked.add(key)
+        self._known_keys.add(key)
         return super()._get(key, default)
 
     def section(self, key: str) -> StrictSection:
+        """The table under a key, empty if it is missing."""
         return StrictSection(self.mapping(key), self.at(key))
 
     def sections(self, key: str, default: Any = ()) -> list[StrictSection]:  # type: ignore[override]
+        """The array of tables under a key."""
         return [StrictSection(raw, f"{self.at(key)}[{i}]") for i, raw in enumerate(self.items(key, default))]
 
-    def span(self, key: str, default: tuple[float, float], low: float = 0.0, high: float = inf) -> Span:
-        """A number, or a range [least, most] that each draws from."""
+    def span(self, key: str, default: tuple[float, float], low: float = 0.0, high: float = inf) -> Range:
+        """A number, or a range [least, most] from which each instance draws its value."""
         value = self._get(key, None)
         if value is None:
-            return Span(*default)
+            return Range(*default)
         if not isinstance(value, list):
             number = self.number(key, low=low, high=high)
-            return Span(number, number)
+            return Range(number, number)
         if len(value) != 2:
             raise BadConfig(f"{self.at(key)}: must be a number or [least, most]")
         inner = Section({str(i): v for i, v in enumerate(value)}, self.at(key))
         least, most = inner.number("0", low=low, high=high), inner.number("1", low=low, high=high)
         if least > most:
             raise BadConfig(f"{self.at(key)}: {least!r} is above {most!r}")
-        return Span(least, most)
+        return Range(least, most)
 
-    def done(self) -> None:
-        """Refuse what nobody asked for."""
+    def reject_unknown_keys(self) -> None:
+        """Raises BadConfig for the first key that was never read."""
         for key in self._raw:
-            if key not in self._asked:
+            if key not in self._known_keys:
                 raise BadConfig(f"{self.at(key)}: unknown key")
 
 
 @dataclass(frozen=True)
-class Span:
+class Range:
+    """A closed range of numbers."""
+
     least: float
     most: float
 
     def at(self, share: float) -> float:
+        """The value at a share in [0, 1] of the way from `least` to `most`."""
         return self.least + (self.most - self.least) * share
 
 
 @dataclass(frozen=True)
 class BackendKind:
+    """A group of like backends."""
+
     name: str
     count: int
     cores: int
-    speed: Span  # of a core; 1 does a ms of work in a ms
-    zones: tuple[int, ...]  # empty: spread over all in turn
+    speed: Range  # of a core; at 1 it does 1 ms of work per ms
+    zones: tuple[int, ...]  # empty: round-robin over all zones
 
 
 @dataclass(frozen=True)
 class ProductSpec:
+    """A product: its retry semantics, latency SLO, value and work."""
+
     name: str
     kind: Idempotency
     group: DedupScope
-    slo: float
-    timeout: float
-    value: float
-    late_value: float
-    memory: float
-    share: float
-    work: float  # mean ms on a standard core
-    spread: float  # standard deviation / mean
+    slo: float  # ms
+    timeout: float  # ms that clients wait in all
+    value: float  # billed per ms of work, if answered within the SLO
+    late_value: float  # share of the value of a later answer
+    memory: float  # ms for which backends recognise duplicates
+    share: float  # weight among the calls
+    work: float  # mean, in ms on a standard core
+    spread: float  # standard deviation of the work / mean
 
 
 @dataclass(frozen=True)
 class CustomerSpec:
+    """A customer and its share of the calls."""
+
     name: str
     share: float
 
 
 @dataclass(frozen=True)
 class Traffic:
+    """The arrivals of API calls."""
+
     calls_per_s: float
     shape: str
-    swing: float  # share by which a day's curve or a burst strays from the mean
+    swing: float  # share by which a daily curve or a burst deviates from the mean
     period: float  # ms of one wave, or between bursts
-    keys: int
-    key_zipf: float
-    hints: str
-    agent_zipf: float  # the traffic of the n-th agent falls with n to this power
+    keys: int  # number of distinct cache keys; 0: no keys
+    key_zipf: float  # Zipf exponent of the keys' popularity
+    hints: str  # quality of the clients' estimates of the work
+    agent_zipf: float  # Zipf exponent of the traffic per agent
 
 
 @dataclass(frozen=True)
 class ClientSpec:
+    """How clients wait and retry."""
+
     retries: int
     wait: float  # ms before a retry
-    try_share: float  # of the client timeout: when a try is given up
-    honours: bool  # waits as long as Retry-After says
-    marks: bool  # marks retries
-    connections: int  # kept to its agent
-    replays: bool  # sends what lost its connection once more, by the same id, as some libraries do
+    try_share: float  # timeout of one request, as a share of the product's timeout
+    honours: bool  # waits for as long as Retry-After says
+    marks: bool  # sends Req-Retry with retries
+    connections: int  # largest number of idle connections to its agent
+    replays: bool  # resends a request whose connection broke, under the same id, as some client libraries do
 
 
 @dataclass(frozen=True)
 class BackendSpec:
-    queue: int  # for each core; beyond it API calls are turned away
-    choke_at: float  # x cores waiting, for
-    choke_after: float  # ms: then
-    choke_slower: float  # times slower, until idle for
-    choke_idle: float  # ms
+    """The behaviour that all backends share."""
+
+    queue: int  # places per core; further requests are rejected
+    choke_at: float  # queue length per core that chokes a backend if it lasts
+    choke_after: float  # ms for which the queue must be that long
+    choke_slower: float  # slowdown factor of a choked backend; 1: never chokes
+    choke_idle: float  # ms at half load or less after which a choked backend recovers
     connection_cost: float  # ms of work for a new connection
-    connections: int
-    idle: Span  # ms after which a connection that stands idle is closed
-    report_every: Span  # ms
-    cancel_stops: bool  # work of an API call that was called off stops
-    quick: float  # ms of work for an error of its own
-    warm_saves: float  # share of the work that a key met lately saves,
-    warm_for: float  # ms
-    cell_size: int  # backends that share the memory of marks and keys
+    connections: int  # beyond this number, requests on new connections are rejected
+    idle: Range  # ms after which an idle connection is closed
+    report_every: Range  # ms between load reports
+    cancel_stops: bool  # cancelling a running request stops its work
+    quick: float  # ms of work for a duplicate that is dropped
+    warm_saves: float  # share of the work that a recently used key saves
+    warm_for: float  # ms for which a key counts as recently used
+    cell_size: int  # backends that share the memory of duplicates and keys
 
 
 @dataclass(frozen=True)
 class RegistrySpec:
-    lag: Span  # ms from what happens to the registry's knowing, where it is told
-    silent_lag: Span  # ms where a backend just dies
-    ask: bool  # the agent must ask; else it follows by itself
-    restart_version: int  # that it comes back with after `registry-back`
-    call_cost: (
-        float  # ms of its time that a call with something to tell takes; it works through calls in turn
-    )
-    call_wait: float  # ms after which a call that waits is turned away; it is worked through all the same
+    """The delays and capacity of the registry."""
+
+    lag: Range  # ms until the registry learns of a change that is announced to it
+    silent_lag: Range  # ms until it learns of a backend that died
+    ask: bool  # agents discover backends on request; otherwise changes are pushed
+    restart_version: int  # list version after the trouble `registry-back`
+    call_cost: float  # ms that the registry takes to handle a request; it handles them one at a time
+    call_wait: float  # ms of queueing after which a request is rejected; it still takes its time in the queue
 
 
 @dataclass(frozen=True)
 class NetworkSpec:
-    same: float
-    cross: float
-    jitter: float
-    loss: float
+    """Delays and loss of the network."""
+
+    same: float  # one-way ms within a zone
+    cross: float  # one-way ms between zones
+    jitter: float  # largest added share of a delay
+    loss: float  # share of segments and datagrams
 
 
 @dataclass(frozen=True)
 class RuleSpec:
-    drain_grace: float
-    fall_multiple: float
-    fall: float
-    start_capacity: float
-    cold: float
-    ask_within: float
-    answer_slack: float
+    """The invariants that agents must keep; see `check`."""
+
+    drain_grace: float  # ms in which a backend that was reported as not ready may still be sent requests
+    fall_multiple: float  # load, as a multiple of the present capacity, that crashes a cold backend
+    fall: float  # ms over which that load is measured
+    start_capacity: float  # share of the warm capacity right after a cold start
+    cold: float  # ms until a backend is warm
+    ask_within: float  # longest ms between two requests of an agent for the backend list
+    answer_slack: float  # ms that an agent needs between its deadline and the client's timeout
 
 
 @dataclass(frozen=True)
 class LimitSpec:
-    shots: int
-    copies: bool
-    cancel: bool
+    """What agents are allowed to do."""
+
+    shots: int  # attempts per request
+    copies: bool  # hedged attempts
+    cancel: bool  # cancelling attempts
     probes: bool
-    peers: bool
+    peers: bool  # datagrams between agents
     retry_after: bool
-    max_retry_after: float
-    connect_timeout: float
-    reports: tuple[str, ...]
+    max_retry_after: float  # ms
+    connect_timeout: float  # ms
+    reports: tuple[str, ...]  # fields of the backends' load reports that agents read
 
 
 @dataclass(frozen=True)
 class Trouble:
+    """A fault that is injected into a run for some time."""
+
     kind: str
     at: float  # ms
     length: float  # ms
-    share: float  # of what it strikes, unless named
+    share: float  # of the possible targets, where none are named
     targets: tuple[int, ...]
     strength: float
 
     @property
     def target_kind(self) -> str:
+        """One of TARGET_KINDS."""
         return TROUBLES[self.kind][0]
 
 
 @dataclass(frozen=True)
 class World:
-    """Everything that is played, but for the seed of the chance in it."""
+    """Everything that determines a run, except for its random seed."""
 
     name: str
     length: float  # ms of arrivals
     seeds: tuple[int, ...]
     mode: str
     policy: str
-    fault: str  # a planted one, empty for none
-    carry: float  # s that an agent's carried file may be old; 0: agents carry nothing by it
-    store: bool  # agents have a store
-    ran: bool  # and sync in it the ids of what may run once only
-    in_touch: bool  # and know of each other
-    share: float  # ms between two words of what they share; 0: nothing is
+    fault: str  # a bug planted in the agent; empty for none
+    carry: float  # s for which an agent's carried state stays usable after a restart; 0: no state is carried
+    store: bool  # agents have a store on disk
+    ran: bool  # they sync the ids of non-idempotent requests to it before sending them
+    in_touch: bool  # agents know of each other
+    share: float  # ms between two messages about shared state; 0: nothing is shared
     agents: int
     zones: tuple[str, ...]
     sockets: int
@@ -302,11 +334,12 @@
 
     @property
     def backend_count(self) -> int:
+        """Number of backends of all kinds."""
         return sum(kind.count for kind in self.backends)
 
     def settings(self, agent: int) -> dict[str, Any]:
-        """What one agent is told, in the form that its configuration has."""
-        words = {
+        """The settings of one agent, in the form of its configuration file."""
+        semantics = {
             Idempotency.IDEMPOTENT: "repeatable",
             Idempotency.DEDUPLICATED: "by_key",
             Idempotency.NON_IDEMPOTENT: "once",
@@ -316,7 +349,7 @@
             "categories": [
                 {
                     "name": p.name,
-                    "semantics": words[p.kind],
+                    "semantics": semantics[p.kind],
                     "group": p.group.value,
                     "aim": p.slo,
                     "give_up": p.timeout,
@@ -362,42 +395,45 @@
 
 
 def read_file(path: str | Path) -> World:
-    """A world from a TOML file, or one of the bed's own by its name; BadConfig says what is wrong and where."""
+    """Reads a world from a TOML file, or one of the bundled worlds by name. Raises BadConfig with the key's path."""
     return read(load(Path(path)))
 
 
 def load(path: Path, folders: tuple[Path, ...] = (WORLDS_DIR,), depth: int = 0) -> dict[str, Any]:
-    """The tables of a TOML file and of those that it begins from; names without an ending are looked up in `folders`."""
+    """The tables of a TOML file, merged into those of its `base`. Names without a suffix are looked up in `folders`."""
     own = [folder / f"{path}.toml" for folder in folders if (folder / f"{path}.toml").is_file()]
     if not path.suffix and not path.exists() and own:
         path = own[0]
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
-    except OSError as bad:
-        raise BadConfig(f"{path}: {bad.strerror}") from None
+    except OSError as error:
+        raise BadConfig(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise BadConfig(f"{path}: not UTF-8") from None
-    except tomllib.TOMLDecodeError as bad:
-        raise BadConfig(f"{path}: no TOML: {bad}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise BadConfig(f"{path}: no TOML: {error}") from None
     base = raw.pop("base", None)
     if base is None:
         return raw
     if not isinstance(base, str) or depth > 3:
         raise BadConfig("base: must be the name of a world or a file, and not go in a circle")
-    below = path.parent / base
-    return _over(load(below if below.suffix and below.exists() else Path(base), folders, depth + 1), raw)
+    base_path = path.parent / base
+    return _merge(
+        load(base_path if base_path.suffix and base_path.exists() else Path(base), folders, depth + 1), raw
+    )
 
 
-def _over(below: dict[str, Any], above: dict[str, Any]) -> dict[str, Any]:
-    """Tables are merged key by key, everything else is replaced."""
-    merged = dict(below)
-    for key, value in above.items():
+def _merge(inherited: dict[str, Any], overriding: dict[str, Any]) -> dict[str, Any]:
+    """Merges tables key by key; any other value is replaced."""
+    merged = dict(inherited)
+    for key, value in overriding.items():
         old = merged.get(key)
-        merged[key] = _over(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
+        merged[key] = _merge(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
     return merged
 
 
 def read(raw: Mapping[str, Any]) -> World:
+    """Builds a world from its tables. Raises BadConfig with the path of the key."""
     from lupinreach.bed.ways.faults import FAULTS
     from lupinreach.bed.ways.policies import POLICIES
 
@@ -444,21 +480,23 @@
         troubles=tuple(_trouble(s, zones) for s in top.sections("troubles")),
         measure=measure,
     )
-    agents.done()
-    top.done()
+    agents.reject_unknown_keys()
+    top.reject_unknown_keys()
     if world.in_touch and not (world.store and world.limits.peers):
         raise BadConfig("agents.fleet: needs agents.store and limits.peers")
     if world.share and not world.in_touch:
         raise BadConfig("agents.share_ms: needs agents.fleet")
     if world.ran and not (world.store and any(p.kind is Idempotency.NON_IDEMPOTENT for p in products)):
         raise BadConfig("agents.ran: needs agents.store and a non-idempotent product")
-    if world.traffic.calls_per_s * world.length / 1000 > MOST_CALLS:
-        raise BadConfig(f"traffic.calls_per_s: more than {MOST_CALLS} API calls in all")
-    most = {"backends": world.backend_count, "agents": world.agents, "zones": len(zones), "none": 0}
+    if world.traffic.calls_per_s * world.length / 1000 > MAX_CALLS:
+        raise BadConfig(f"traffic.calls_per_s: more than {MAX_CALLS} API calls in all")
+    limits = {"backends": world.backend_count, "agents": world.agents, "zones": len(zones), "none": 0}
     for i, t in enumerate(world.troubles):
         for n in t.targets:
-            if n >= most[t.target_kind]:
-                raise BadConfig(f"troubles[{i}].targets: there is no {n} among {most[t.strikes]} {t.strikes}")
+            if n >= limits[t.target_kind]:
+                raise BadConfig(
+                    f"troubles[{i}].targets: there is no {n} among {limits[t.target_kind]} {t.target_kind}"
+                )
     return world
 
 
@@ -477,7 +515,7 @@
         s.span("speed", (1.0, 1.0), low=0.01),
         tuple(zones.index(n) for n in named),
     )
-    s.done()
+    s.reject_unknown_keys()
     return kind
 
 
@@ -485,8 +523,8 @@
     slo = s.number("slo", 500.0, low=1.0)
     product = ProductSpec(
         s.text("name"),
-        s.choice("kind", KINDS, "idempotent"),
-        s.choice("group", GROUPS, "all"),
+        s.choice("kind", IDEMPOTENCY_KINDS, "idempotent"),
+        s.choice("group", DEDUP_SCOPES, "all"),
         slo,
         s.number("timeout", 4 * slo, low=1.0),
         s.number("value", 1.0),
@@ -498,28 +536,28 @@
     )
     if product.timeout < slo:
         raise BadConfig(f"{s.at('timeout')}: {product.timeout!r} is under the SLO")
-    s.done()
+    s.reject_unknown_keys()
     return product
 
 
 def _customer(s: StrictSection) -> CustomerSpec:
     customer = CustomerSpec(s.text("name"), s.number("share", 1.0, high=1.0))
-    s.done()
+    s.reject_unknown_keys()
     return customer
 
 
 def _traffic(s: StrictSection, agents: StrictSection) -> Traffic:
     traffic = Traffic(
         s.number("calls_per_s", 50.0, low=0.01),
-        s.choice("shape", SHAPES, "poisson"),
+        s.choice("shape", TRAFFIC_SHAPES, "poisson"),
         s.number("swing", 0.3, high=1.0),
         s.number("period", 10.0, low=0.1) * 1000,
         s.whole("keys", 0),
         s.number("key_zipf", 0.8),
-        s.choice("hints", HINTS, "rough"),
+        s.choice("hints", HINT_QUALITIES, "rough"),
         agents.number("zipf", 0.0, high=4.0),
     )
-    s.done()
+    s.reject_unknown_keys()
     return traffic
 
 
@@ -533,7 +571,7 @@
         s.whole("connections", 64, low=1),
         s.flag("replays"),
     )
-    s.done()
+    s.reject_unknown_keys()
     return clients
 
 
@@ -554,7 +592,7 @@
         warm_for=s.number("warm_for", 5000.0),
         cell_size=s.whole("cell_size", 4, low=1),
     )
-    s.done()
+    s.reject_unknown_keys()
     return spec
 
 
@@ -567,7 +605,7 @@
         s.number("call_cost", 0.0),
         s.number("call_wait", 2000.0, low=1.0),
     )
-    s.done()
+    s.reject_unknown_keys()
     return spec
 
 
@@ -578,7 +616,7 @@
         s.number("jitter", 0.2, high=10.0),
         s.number("loss", 0.0, high=0.9),
     )
-    s.done()
+    s.reject_unknown_keys()
     return spec
 
 
@@ -592,7 +630,7 @@
         s.number("ask_within", 10_000.0),
         s.number("answer_slack", 20.0),
     )
-    s.done()
+    s.reject_unknown_keys()
     return spec
 
 
@@ -613,13 +651,13 @@
         s.number("connect_timeout", 250.0, low=1.0),
         reports,
     )
-    s.done()
+    s.reject_unknown_keys()
     return spec
 
 
 def _trouble(s: StrictSection, zones: tuple[str, ...]) -> Trouble:
     kind = s.choice("kind", {k: k for k in TROUBLES})
-    target_kind, usual, low, high = TROUBLES[kind]
+    target_kind, default_strength, low, high = TROUBLES[kind]
     names: list[int] = []
     for i, target in enumerate(s.items("targets")):
         where = f"{s.at('targets')}[{i}]"
@@ -635,23 +673,23 @@
         s.number("seconds", 5.0) * 1000,
         s.number("share", 0.25, high=1.0),
         tuple(names),
-        s.number("strength", usual, low=low, high=max(low, high)),
+        s.number("strength", default_strength, low=low, high=max(low, high)),
     )
-    s.done()
+    s.reject_unknown_keys()
     return trouble
 
 
 def world_to_dict(world: World) -> dict[str, Any]:
-    """The world as a TOML-shaped object that `read` takes back."""
+    """The world as nested tables, from which `read` builds an equal world."""
 
-    def span(s: Span) -> float | list[float]:
+    def range_to_toml(s: Range) -> float | list[float]:
         return s.least if s.least == s.most else [s.least, s.most]
 
-    def some(spec: Any, **changed: Any) -> dict[str, Any]:
+    def section_to_dict(spec: Any, **changed: Any) -> dict[str, Any]:
         found = {**vars(spec), **changed}
         return {
-            k: span(v)
-            if isinstance(v, Span)
+            k: range_to_toml(v)
+            if isinstance(v, Range)
             else list(v)
             if isinstance(v, tuple)
             else v.value
@@ -661,7 +699,7 @@
             if v is not None
         }
 
-    traffic = some(world.traffic, period=world.traffic.period / 1000, agent_zipf=None)
+    traffic = section_to_dict(world.traffic, period=world.traffic.period / 1000, agent_zipf=None)
     return {
         "name": world.name,
         "seconds": world.length / 1000,
@@ -682,24 +720,24 @@
             "zipf": world.traffic.agent_zipf,
         },
         "traffic": traffic,
-        "clients": some(world.clients),
-        "backend": some(world.backend),
-        "registry": some(world.registry),
-        "network": some(world.network),
-        "rules": some(world.rules),
-        "limits": some(world.limits),
+        "clients": section_to_dict(world.clients),
+        "backend": section_to_dict(world.backend),
+        "registry": section_to_dict(world.registry),
+        "network": section_to_dict(world.network),
+        "rules": section_to_dict(world.rules),
+        "limits": section_to_dict(world.limits),
         "backends": [
             {
                 "kind": b.name,
                 "count": b.count,
                 "cores": b.cores,
-                "speed": span(b.speed),
+                "speed": range_to_toml(b.speed),
                 "zones": [world.zones[z] for z in b.zones],
             }
             for b in world.backends
         ],
-        "products": [some(p) for p in world.products],
-        "customers": [some(c) for c in world.customers],
+        "products": [section_to_dict(p) for p in world.products],
+        "customers": [section_to_dict(c) for c in world.customers],
         "troubles": [
             {
                 "kind": t.kind,
@@ -715,7 +753,7 @@
 
 
 def to_toml(world: World) -> str:
-    """The text of a file that `read_file` takes back."""
+    """The world as TOML text, from which `read_file` builds an equal world."""
 
     def value(v: Any) -> str:
         if isinstance(v, bool):
@@ -746,4 +784,5 @@
 
 
 def with_seed(world: World, seed: int) -> World:
+    """The same world with a single seed."""
     return replace(world, seeds=(seed,))
--- a/lupinreach/trial/spec.py
+++ b/lupinreach/trial/spec.py
@@ -76,7 +76,7 @@
         begins = min((t.at + t.length for t in world.troubles), default=0.0)
     since = top.number("since", begins / 1000, high=world.length / 1000) * 1000
     expect = _expect(top.section("expect"))
-    top.done()
+    top.reject_unknown_keys()
     return Trial(replace(world, troubles=tuple(troubles)), since, expect)
 
 
@@ -86,7 +86,7 @@
         bound = s.number(name, -1.0, low=-1.0)
         if bound >= 0:
             found.append((name, bound))
-    s.done()
+    s.reject_unknown_keys()
     return tuple(found)
 
 
@@ -135,8 +135,8 @@
         raise BadConfig(
             f"{s.at('agents')}: nothing is struck; give agents, backends or registry a time to return"
         )
-    over.done()
-    s.done()
+    over.reject_unknown_keys()
+    s.reject_unknown_keys()
     return troubles, max(back, default=at)
 
 
