--- a/lupinreach/bed/judging/check.py
+++ b/lupinreach/bed/judging/check.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import Any
 
-from lupinreach.bed.peers.backend import SLACK
+from lupinreach.bed.peers.backend import COLD_LOAD_TOLERANCE
 from lupinreach.bed.world.ledger import Record
 from lupinreach.bed.world.spec import ProductSpec, World
 from lupinreach.model import DedupScope, Idempotency
@@ -266,7 +266,10 @@
         while came[0][0] <= at - rules.fall:
             self._sum[backend] -= came.popleft()[1]  # type: ignore[assignment]
         part = start + (1 - start) * (at - booted) / cold
-        if self._sum[backend] > SLACK * rules.fall_multiple * capacity * part * rules.fall + 1e-6:
+        if (
+            self._sum[backend]
+            > COLD_LOAD_TOLERANCE * rules.fall_multiple * capacity * part * rules.fall + 1e-6
+        ):
             if (backend, booted) not in self._tipped:
                 self._tipped.add((backend, booted))
                 self._breach(
--- a/lupinreach/bed/judging/service.py
+++ b/lupinreach/bed/judging/service.py
@@ -13,7 +13,7 @@
 from lupinreach.bed.world.spec import World
 
 WORST = 10_000.0  # ms
-STEP = 1000.0  # ms between two windows
+WINDOW_STEP_MS = 1000.0  # ms between two windows
 MOST_MS = 600_000
 SCALE = 100  # histogram steps in a ms
 
@@ -75,11 +75,11 @@
     worth: Counter[int] = Counter()
     earned: Counter[int] = Counter()
     for one in found:
-        worth[int(one.at // STEP)] += one.worth  # type: ignore[assignment]
-        earned[int(one.at // STEP)] += one.earned  # type: ignore[assignment]
-    span, last = int(WORST / STEP), max(worth, default=0)
+        worth[int(one.at // WINDOW_STEP_MS)] += one.worth  # type: ignore[assignment]
+        earned[int(one.at // WINDOW_STEP_MS)] += one.earned  # type: ignore[assignment]
+    span, last = int(WORST / WINDOW_STEP_MS), max(worth, default=0)
     shares = []
-    for begin in range(max(1, min(last + 1, int(length // STEP)) - span + 1)):
+    for begin in range(max(1, min(last + 1, int(length // WINDOW_STEP_MS)) - span + 1)):
         asked = sum(worth[i] for i in range(begin, begin + span))
         if asked:
             shares.append(sum(earned[i] for i in range(begin, begin + span)) / asked)
--- a/lupinreach/bed/peers/__init__.py
+++ b/lupinreach/bed/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Everybody that an agent meets: backends, the registry and clients, models below and protocols in front."""
+"""The peers of an agent: backends, the registry and clients, as models and as the protocols that serve them."""
--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -1,4 +1,4 @@
-"""The bed's clients as asyncio protocols: they ask, wait, try again, and book what they got."""
+"""The bed's clients as asyncio protocols: they send requests, time out, retry and record the outcomes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lupinreach.bed.peers.messages import Reader
+from lupinreach.bed.peers.messages import MessageReader
 from lupinreach.bed.peers.servers import BODY
 from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import Environment
@@ -18,28 +18,28 @@
 from lupinreach.net.ends import Ended
 from lupinreach.net.http import Head
 
-REFUSED = (429, 503)
-DIAL_AGAIN = 100.0  # ms until a client that sends once more dials an agent that isn't there again
+REJECTION_STATUSES = (429, 503)
+REDIAL_INTERVAL_MS = 100.0  # between the connection attempts of a client that resends a request
 
 
 @dataclass(eq=False, slots=True)
-class Try:
-    """One try of an API call."""
+class ClientRequest:
+    """One request of an API call, the first or a retry."""
 
     call: int
-    number: int
+    retry_number: int
     arrival: Arrival
-    began: float  # ms, of the first try
+    first_sent_at: float  # ms, the call's first request
     name: str
-    asked: float  # ms
-    waits: float  # ms
+    sent_at: float  # ms
+    timeout: float  # ms
     timer: asyncio.TimerHandle | None = None
-    again: bool = False  # on a new connection, since the first closed between two requests
-    over: bool = False
+    redialled: bool = False  # resent on a new connection, since its first one closed without an answer
+    ended: bool = False  # answered, failed or timed out
 
 
 class ClientHost:
-    """The application beside one agent."""
+    """The client application on the machine of one agent."""
 
     def __init__(
         self, environment: Environment, world: World, agent: int, machine: Machine, address: Address
@@ -50,154 +50,182 @@
         self.incarnation = 0
         self.machine = machine
         self.address = address
-        self.idle: list[ClientConnection] = []  # each leaves when it is used, or closes
-        self.names: dict[
+        self.idle_connections: list[ClientConnection] = []  # each is removed when it is used or closes
+        self.open_requests: dict[
             str, tuple[int, int, int]
-        ] = {}  # of the tries that are open: agent, its life, product
-        self.lines: dict[
+        ] = {}  # by request: agent, its incarnation, product
+        self.connections: dict[
             int, ClientConnection
-        ] = {}  # of open tries, by API call; each leaves with its answer
+        ] = {}  # of open requests, by API call; each is removed with its answer
 
-    def ask(self, call: int, arrival: Arrival, number: int = 0, began: float | None = None) -> None:
-        """Begin one try."""
+    def send_request(
+        self, call: int, arrival: Arrival, retry_number: int = 0, first_sent_at: float | None = None
+    ) -> None:
+        """Sends a request of a call, unless the call's timeout is over."""
         now, world = self.environment.now(), self.world
         product = world.products[arrival.product]
-        began = now if began is None else began
-        waits = min(product.timeout * world.clients.try_share, began + product.timeout - now)
-        if waits <= 1:
+        first_sent_at = now if first_sent_at is None else first_sent_at
+        timeout = min(product.timeout * world.clients.try_share, first_sent_at + product.timeout - now)
+        if timeout <= 1:
             return
-        one = Try(call, number, arrival, began, f"{call:x}.{number}", now, waits)
+        request = ClientRequest(
+            call, retry_number, arrival, first_sent_at, f"{call:x}.{retry_number}", now, timeout
+        )
         customer = world.customers[arrival.customer].name if arrival.customer >= 0 else ""
         self.environment.ledger.add_record(
             record_kinds.ASKED,
             now,
-            one.name,
+            request.name,
             call,
-            number,
+            retry_number,
             self.agent,
             product.name,
             customer,
             round(arrival.work, 3),
-            round(waits, 3),
+            round(timeout, 3),
         )
-        self.names[one.name] = self.agent, self.incarnation, arrival.product
-        one.timer = self.environment.loop.call_later(waits / 1000, self._left, one)
-        self._begin(one)
+        self.open_requests[request.name] = self.agent, self.incarnation, arrival.product
+        request.timer = self.environment.loop.call_later(timeout / 1000, self._timed_out, request)
+        self._send(request)
 
-    def _begin(self, one: Try) -> None:
-        while self.idle:
-            line = self.idle.pop()
-            if line.usable:
-                line.send(one, self.message(one))
+    def _send(self, request: ClientRequest) -> None:
+        while self.idle_connections:
+            connection = self.idle_connections.pop()
+            if connection.is_open:
+                connection.send(request, self.request_bytes(request))
                 return
-        self.dial(one)
+        self.open_connection(request)
 
-    def dial(self, one: Try) -> None:
-        """Ask it on a new connection."""
-        if not one.over:
-            line = ClientConnection(self)
-            line.wanted = one
-            self.environment.connect(self.machine, line, self.address)
+    def open_connection(self, request: ClientRequest) -> None:
+        """Sends a request on a new connection, unless it has ended."""
+        if not request.ended:
+            connection = ClientConnection(self)
+            connection.pending = request
+            self.environment.connect(self.machine, connection, self.address)
 
-    def message(self, one: Try) -> bytes:
-        arrival, world = one.arrival, self.world
+    def request_bytes(self, request: ClientRequest) -> bytes:
+        """The HTTP request as it is sent to the agent."""
+        arrival, world = request.arrival, self.world
         product = world.products[arrival.product]
-        lines = [b"Host: app.svc", b"Req-Id: " + one.name.encode(), b"Req-Kind: " + product.name.encode()]
-        left = one.waits if not one.again else max(1.0, one.waits - (self.environment.now() - one.asked))
-        lines.append(b"Req-Deadline: %.3f" % (left / 1000))
+        header_lines = [
+            b"Host: app.svc",
+            b"Req-Id: " + request.name.encode(),
+            b"Req-Kind: " + product.name.encode(),
+        ]
+        remaining = (
+            request.timeout
+            if not request.redialled
+            else max(1.0, request.timeout - (self.environment.now() - request.sent_at))
+        )
+        header_lines.append(b"Req-Deadline: %.3f" % (remaining / 1000))
         if arrival.hint:
-            lines.append(b"Req-Cost: %.1f" % (arrival.hint * 1000))
+            header_lines.append(b"Req-Cost: %.1f" % (arrival.hint * 1000))
         if arrival.customer >= 0:
-            lines.append(b"Req-Owner: " + world.customers[arrival.customer].name.encode())
-        if one.number and world.clients.marks:
-            lines.append(b"Req-Retry: 1")
+            header_lines.append(b"Req-Owner: " + world.customers[arrival.customer].name.encode())
+        if request.retry_number and world.clients.marks:
+            header_lines.append(b"Req-Retry: 1")
         path = b"/api" if arrival.key < 0 else b"/api/%x" % arrival.key
         work = b"%.3f" % arrival.work
         if product.kind is Idempotency.IDEMPOTENT:
-            return b"GET %s?work=%s HTTP/1.1\r\n%s\r\n\r\n" % (path, work, b"\r\n".join(lines))
-        lines.append(b"Content-Length: %d" % len(work))
-        return b"POST %s HTTP/1.1\r\n%s\r\n\r\n%s" % (path, b"\r\n".join(lines), work)
+            return b"GET %s?work=%s HTTP/1.1\r\n%s\r\n\r\n" % (path, work, b"\r\n".join(header_lines))
+        header_lines.append(b"Content-Length: %d" % len(work))
+        return b"POST %s HTTP/1.1\r\n%s\r\n\r\n%s" % (path, b"\r\n".join(header_lines), work)
 
-    # How a try ends.
+    # The end of a request.
 
-    def _over(self, one: Try) -> bool:
-        if one.over:
+    def _end(self, request: ClientRequest) -> bool:
+        """Marks a request as ended; False if it had ended already."""
+        if request.ended:
             return False
-        one.over = True
-        if one.timer is not None:
-            one.timer.cancel()
-        # Its name is known for a while: a shot may still be on its way.
-        self.environment.loop.call_later(5.0, self.names.pop, one.name, None)
+        request.ended = True
+        if request.timer is not None:
+            request.timer.cancel()
+        # Its id stays known for a while, since an attempt may still be on its way to a backend.
+        self.environment.loop.call_later(5.0, self.open_requests.pop, request.name, None)
         return True
 
-    def _left(self, one: Try) -> None:
-        if self._over(one):
-            self.environment.ledger.add_record(record_kinds.LEFT, self.environment.now(), one.name)
-            if one.call in self.lines:
-                self.lines.pop(one.call).drop()
-            self._again(one, harmless=False, wait=0.0)
+    def _timed_out(self, request: ClientRequest) -> None:
+        if self._end(request):
+            self.environment.ledger.add_record(record_kinds.LEFT, self.environment.now(), request.name)
+            if request.call in self.connections:
+                self.connections.pop(request.call).abort()
+            self._retry(request, safe_to_retry=False, wait=0.0)
 
-    def got(self, one: Try, head: Head, body: bytes) -> None:
-        self.lines.pop(one.call, None)
-        if not self._over(one):
+    def response_received(self, request: ClientRequest, head: Head, body: bytes) -> None:
+        """Records the answer to a request and retries if it was not successful."""
+        self.connections.pop(request.call, None)
+        if not self._end(request):
             return
         status = head.first[2]
         wait = float(head.headers.get(b"retry-after", b"0")) * 1000
-        carried = body[len(BODY) :].decode("latin-1") if status == 200 and body.startswith(BODY) else ""
+        body_request = body[len(BODY) :].decode("latin-1") if status == 200 and body.startswith(BODY) else ""
         self.environment.ledger.add_record(
-            record_kinds.GOT, self.environment.now(), one.name, status, round(wait, 1), carried
+            record_kinds.GOT, self.environment.now(), request.name, status, round(wait, 1), body_request
         )
         if status != 200:
-            self._again(one, harmless=status in REFUSED, wait=wait if self.world.clients.honours else 0.0)
+            self._retry(
+                request,
+                safe_to_retry=status in REJECTION_STATUSES,
+                wait=wait if self.world.clients.honours else 0.0,
+            )
 
-    def lost(self, one: Try, why: str) -> None:
-        self.lines.pop(one.call, None)
-        if self._over(one):
-            self.environment.ledger.add_record(record_kinds.LOST, self.environment.now(), one.name, why)
-            self._again(one, harmless=why == "refused", wait=0.0)
+    def connection_failed(self, request: ClientRequest, why: str) -> None:
+        """Records that the connection of a request ended without an answer, and retries."""
+        self.connections.pop(request.call, None)
+        if self._end(request):
+            self.environment.ledger.add_record(record_kinds.LOST, self.environment.now(), request.name, why)
+            self._retry(request, safe_to_retry=why == "refused", wait=0.0)
 
-    def _again(self, one: Try, harmless: bool, wait: float) -> None:
-        kind = self.world.products[one.arrival.product].kind
-        if one.number < self.world.clients.retries and (harmless or kind is Idempotency.IDEMPOTENT):
+    def _retry(self, request: ClientRequest, safe_to_retry: bool, wait: float) -> None:
+        kind = self.world.products[request.arrival.product].kind
+        if request.retry_number < self.world.clients.retries and (
+            safe_to_retry or kind is Idempotency.IDEMPOTENT
+        ):
             after = max(wait, self.world.clients.wait)
             self.environment.loop.call_later(
-                after / 1000, self.ask, one.call, one.arrival, one.number + 1, one.began
+                after / 1000,
+                self.send_request,
+                request.call,
+                request.arrival,
+                request.retry_number + 1,
+                request.first_sent_at,
             )
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client's to its agent."""
+    """A connection of a client to its agent."""
 
     def __init__(self, host: ClientHost) -> None:
         self._host = host
-        self._reader = Reader(answers=True)
+        self._reader = MessageReader(expects_responses=True)
         self._transport: Any = None
-        self.wanted: Try | None = None  # waits for the connection to come up
-        self.one: Try | None = None  # whose answer is to come
-        self._last = ""
+        self.pending: ClientRequest | None = None  # sent once the connection is established
+        self.request: ClientRequest | None = None  # whose answer is outstanding
+        self._last_request = ""
         self._used = False
 
     @property
-    def usable(self) -> bool:
+    def is_open(self) -> bool:
+        """Whether a request can be sent on it."""
         return self._transport is not None and not self._transport.is_closing()
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
-        one, self.wanted = self.wanted, None
-        if one is None or one.over:
+        request, self.pending = self.pending, None
+        if request is None or request.ended:
             transport.close()
         else:
-            self.send(one, self._host.message(one))
+            self.send(request, self._host.request_bytes(request))
 
-    def send(self, one: Try, message: bytes) -> None:
-        self.one, self._last = one, one.name
-        self._host.lines[one.call] = self
-        self._transport.write(message)
+    def send(self, request: ClientRequest, request_bytes: bytes) -> None:
+        self.request, self._last_request = request, request.name
+        self._host.connections[request.call] = self
+        self._transport.write(request_bytes)
 
     def data_received(self, data: bytes) -> None:
-        if self.one is None:
+        if self.request is None:
             self._host.environment.ledger.add_record(
-                record_kinds.EXTRA, self._host.environment.now(), self._last
+                record_kinds.EXTRA, self._host.environment.now(), self._last_request
             )
             self._transport.abort()
             return
@@ -209,23 +237,27 @@
         for head, body in messages:
             if head.first[2] < 200:
                 continue
-            one, self.one = self.one, None
-            if one is None:
+            request, self.request = self.request, None
+            if request is None:
                 self._host.environment.ledger.add_record(
-                    record_kinds.EXTRA, self._host.environment.now(), self._last
+                    record_kinds.EXTRA, self._host.environment.now(), self._last_request
                 )
                 self._transport.abort()
                 return
             self._used = True
-            self._host.got(one, head, body)
-            if head.keeps and len(self._host.idle) < self._host.world.clients.connections and self.usable:
-                self._host.idle.append(self)
+            self._host.response_received(request, head, body)
+            if (
+                head.keeps
+                and len(self._host.idle_connections) < self._host.world.clients.connections
+                and self.is_open
+            ):
+                self._host.idle_connections.append(self)
             else:
                 self._transport.close()
 
-    def drop(self) -> None:
-        """The client has gone."""
-        self.one = None
+    def abort(self) -> None:
+        """Resets the connection; the client has given up on its request."""
+        self.request = None
         if self._transport is not None:
             self._transport.abort()
 
@@ -234,23 +266,27 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         host = self._host
-        if self in host.idle:
-            host.idle.remove(self)
-        one, self.one = self.one or self.wanted, None
-        fresh, self.wanted = self.wanted is not None, None
-        if one is None or one.over:
+        if self in host.idle_connections:
+            host.idle_connections.remove(self)
+        request, self.request = self.request or self.pending, None
+        never_connected, self.pending = self.pending is not None, None
+        if request is None or request.ended:
             return
-        if fresh and one.again and host.world.clients.replays:
+        if never_connected and request.redialled and host.world.clients.replays:
             host.environment.loop.call_later(
-                DIAL_AGAIN / 1000, host.dial, one
-            )  # until it has waited long enough
-        elif fresh:
-            host.lost(one, "refused")
-        elif (self._used or host.world.clients.replays) and not self._reader.begun and not one.again:
-            # Closed between two requests, and this one crossed with that: once more on a new connection. Some do so
-            # whenever a connection breaks with no answer.
-            one.again = True
-            host.lines.pop(one.call, None)
-            host.dial(one)
+                REDIAL_INTERVAL_MS / 1000, host.open_connection, request
+            )  # repeated until the request times out
+        elif never_connected:
+            host.connection_failed(request, "refused")
+        elif (
+            (self._used or host.world.clients.replays)
+            and not self._reader.has_partial_message
+            and not request.redialled
+        ):
+            # An idle connection was closed while this request was on its way: resend it on a new connection. Clients
+            # that replay requests do so whenever a connection breaks without an answer.
+            request.redialled = True
+            host.connections.pop(request.call, None)
+            host.open_connection(request)
         else:
-            host.lost(one, "reset" if exc else "closed")
+            host.connection_failed(request, "reset" if exc else "closed")
--- a/lupinreach/bed/peers/registry.py
+++ b/lupinreach/bed/peers/registry.py
@@ -1,4 +1,4 @@
-"""The registry as a model: what is listed, its versions, and what changed since one. Free of I/O."""
+"""A model of the registry: the listed backends, list versions and the changes since a version. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 
 @dataclass(frozen=True)
 class Entry:
+    """One listed backend process."""
+
     uid: str
     backend: int
     address: str
@@ -16,9 +18,10 @@
     cell: int
     size: float
     state: str = "Ready"
-    boot: int = 0  # Unix ms; 0 = long ago
+    boot: int = 0  # start of the process, Unix time in ms; 0: long ago
 
     def wire(self) -> dict[str, Any]:
+        """The entry as it is sent to agents."""
         return {
             "uid": self.uid,
             "endpoint": self.address,
@@ -32,7 +35,7 @@
 
 
 class Registry:
-    """Keeps every entry's last state, and at which version it changed. `Gone` entries stay for the watches."""
+    """The last state of every entry and the version at which it changed. `Gone` entries are kept for watches."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -40,45 +43,47 @@
         self.up = True
         self._entries: dict[
             str, tuple[int, Entry]
-        ] = {}  # by uid: version of the last change; as many as the world
+        ] = {}  # by uid: version of the last change, and the entry; bounded by the world's backends and replacements
 
     def set(self, entry: Entry, **changed: Any) -> int:
-        """List an entry, or change it; the version from which on it is known."""
+        """Adds an entry or changes it; returns the list version that first contains the change."""
         self.version += 1
         self._entries[entry.uid] = self.version, replace(entry, **changed)
         return self.version
 
     def entry(self, uid: str) -> Entry | None:
-        found = self._entries.get(uid)
-        return found[1] if found else None
+        """The entry with this uid, also if it is `Gone`."""
+        versioned = self._entries.get(uid)
+        return versioned[1] if versioned else None
 
-    def whole(self) -> list[Entry]:
+    def listed_entries(self) -> list[Entry]:
+        """All entries that are not `Gone`."""
         return [e for _, e in self._entries.values() if e.state != "Gone"]
 
-    def since(self, version: int) -> list[Entry]:
-        """What changed after that version, oldest first."""
-        found = sorted(((v, e) for v, e in self._entries.values() if v > version), key=lambda pair: pair[0])
-        return [e for _, e in found]
+    def changes_since(self, version: int) -> list[Entry]:
+        """The entries that changed after a version, oldest change first."""
+        changed = sorted(((v, e) for v, e in self._entries.values() if v > version), key=lambda pair: pair[0])
+        return [e for _, e in changed]
 
     def succeeded(self, entry: Entry) -> bool:
-        """If another process of that backend's, one that started no earlier, is ready."""
+        """Whether another process of the same backend is ready that started at the same time or later."""
         return any(
             e.backend == entry.backend and e.uid != entry.uid and e.state == "Ready" and e.boot >= entry.boot
             for _, e in self._entries.values()
         )
 
-    def copy(self) -> dict[str, tuple[int, Entry]]:
-        """What it holds now, as a disk would keep it."""
+    def snapshot(self) -> dict[str, tuple[int, Entry]]:
+        """A copy of the current entries, to be restored later."""
         return dict(self._entries)
 
-    def restore(self, held: dict[str, tuple[int, Entry]]) -> None:
-        """It comes back with what it held then, and counts on from there."""
+    def restore(self, snapshot: dict[str, tuple[int, Entry]]) -> None:
+        """Restarts with the entries of a snapshot; versions continue from the snapshot's highest."""
         self.incarnation += 1
-        self._entries = dict(held)
-        self.version = max((version for version, _ in held.values()), default=1)
+        self._entries = dict(snapshot)
+        self.version = max((version for version, _ in snapshot.values()), default=1)
 
     def restart(self, version: int) -> None:
-        """It comes back with its entries and another count of versions, which may be lower."""
+        """Restarts with its present entries at another list version, which may be lower."""
         self.incarnation += 1
         self.version = version
         self._entries = {uid: (version, e) for uid, (_, e) in self._entries.items() if e.state != "Gone"}
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from lupinreach.bed.peers.backend import Backend, Job, Way
-from lupinreach.bed.peers.messages import Reader, answer
+from lupinreach.bed.peers.backend import Backend, Job, Outcome
+from lupinreach.bed.peers.messages import MessageReader, response
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import Environment
@@ -26,7 +26,7 @@
 Asked = Callable[[str], tuple[int, int, int] | None]  # by the name of a try: agent, its life, product
 
 BODY = b"ran:"
-DECLINED = answer(503, b"", b"Srv-Declined: 1")
+DECLINED = response(503, b"", b"Srv-Declined: 1")
 TOLD_EVERY = 0.05  # s between two looks whether an agent can be told again
 LOAD_SAMPLE_INTERVAL_MS = 1000.0  # ms between two records of a backend's load
 
@@ -77,12 +77,12 @@
         self.step()
 
     def _done(self, now: float, job: Job) -> None:
-        if job.token is None:
+        if job.owner is None:
             return
         self.environment.ledger.add_record(
-            record_kinds.RAN, now, self.backend.number, job.name, not job.repeat
+            record_kinds.RAN, now, self.backend.number, job.name, not job.duplicate
         )
-        job.token.done(now, job)
+        job.owner.done(now, job)
 
     def come(self, line: BackendConnection, name: str, work: float, product: int, key: str | None) -> None:
         """One request is whole."""
@@ -94,19 +94,19 @@
         self.environment.ledger.add_record(
             record_kinds.CAME, now, backend.number, backend.incarnation, name, round(work, 3)
         )
-        way = backend.come(now, job, float(self.chance.random()))
-        if backend.fallen and backend.up:
+        way = backend.receive(now, job, float(self.chance.random()))
+        if backend.crashed and backend.up:
             self.environment.ledger.add_record(record_kinds.FELL, now, backend.number)
             self._fell(self)
             return
-        if way is Way.TAKEN:
+        if way is Outcome.ACCEPTED:
             line.job = job
-        elif way is Way.TURNED_AWAY:
+        elif way is Outcome.REJECTED:
             self.environment.ledger.add_record(record_kinds.AWAY, now, backend.number, name)
             line.say(DECLINED)
-        elif way is Way.FAILED:
+        elif way is Outcome.FAILED:
             self.environment.ledger.add_record(record_kinds.FAILED, now, backend.number, name)
-            line.say(answer(500, b"", *self.load(now)))
+            line.say(response(500, b"", *self.load(now)))
         self.step()
 
     def load(self, now: float) -> list[bytes]:
@@ -114,7 +114,7 @@
 
     def called_off(self, job: Job) -> None:
         self.step()
-        self.backend.call_off(job)
+        self.backend.cancel(job)
         self.step()
 
     def boot(self, cold: bool) -> None:
@@ -155,7 +155,7 @@
 
     def __init__(self, host: BackendHost) -> None:
         self._host = host
-        self._reader = Reader(answers=False)
+        self._reader = MessageReader(expects_responses=False)
         self._transport: Any = None
         self.job: Job | None = None
         self._busy = False
@@ -205,11 +205,11 @@
             load = (
                 host.backend.report(host.environment.now()).encode() if target == protocol.STATS_PATH else b""
             )
-            self.say(answer(200, load))
+            self.say(response(200, load))
             return
         found = host.asked(name)
         if found is None:
-            self.say(answer(400))
+            self.say(response(400))
             return
         agent, incarnation, product = found
         if not host.environment.sees_agent_traffic:
@@ -237,7 +237,7 @@
             return
         self.job = None
         host = self._host
-        text = answer(200, BODY + job.name.encode(), *host.load(now))
+        text = response(200, BODY + job.name.encode(), *host.load(now))
         if host.backend.stalls and host.chance.random() < host.backend.stalls:
             self._transport.write(text[: len(text) // 2])
             return
@@ -356,7 +356,7 @@
     def __init__(self, host: RegistryHost, agent: int) -> None:
         self._host = host
         self._agent = agent
-        self._reader = Reader(answers=False)
+        self._reader = MessageReader(expects_responses=False)
         self._transport: Any = None
         self._version: int | None = None  # told last on a watch; None: no watch
 
@@ -390,9 +390,9 @@
         if self not in self._host.lines:
             return  # gone meanwhile
         if not heard:
-            self._transport.write(answer(503))
+            self._transport.write(response(503))
         elif target == protocol.LIST_PATH:
-            self._transport.write(answer(200, self._whole()))
+            self._transport.write(response(200, self._whole()))
         elif target.startswith(protocol.WATCH_PATH):
             after = int(target.rpartition(b"after=")[2] or b"0")
             self._transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -406,11 +406,11 @@
                 self._version = self._host.registry.version
             self._beat()
         else:
-            self._transport.write(answer(404))
+            self._transport.write(response(404))
 
     def _whole(self) -> bytes:
         registry = self._host.registry
-        entries = registry.whole()
+        entries = registry.listed_entries()
         self._host.record_listing(self._agent, registry.version, entries, True, self)
         return self._text(True, entries)
 
@@ -427,7 +427,7 @@
         registry = self._host.registry
         if self._version is None or self._version >= registry.version:
             return
-        entries = registry.since(self._version)
+        entries = registry.changes_since(self._version)
         self._version = registry.version
         self._host.record_listing(self._agent, registry.version, entries, False, self)
         self._line(self._text(False, entries))
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -165,8 +165,8 @@
         # Of as many as other agents use: connections are scarce, and backends turn away what comes over too many.
         for b in self._ready[: self._subset_size()]:
             if call.may_use(b) and (model := self.truth.backend(b.index)) is not None:
-                takes = model.takes(now, work)
-                if takes < first and model.spare(now) >= MARGIN * work:
+                takes = model.time_to_finish(now, work)
+                if takes < first and model.cold_headroom(now) >= MARGIN * work:
                     best, first = b, takes
         return best
 
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -178,7 +178,7 @@
             agent = self._agent_of[int(call, 16)]
         except (ValueError, IndexError):
             return None
-        return self.clients[agent].names.get(name)
+        return self.clients[agent].open_requests.get(name)
 
     # From start to end.
 
@@ -209,7 +209,7 @@
             wait = begin + arrival.at - environment.now()
             if wait > 0:
                 await asyncio.sleep(wait / 1000)
-            self.clients[arrival.agent].ask(number, arrival)
+            self.clients[arrival.agent].send_request(number, arrival)
             if self._progress and number % 64 == 0:
                 self._progress(arrival.at)
         longest = max(p.timeout for p in world.products)
@@ -225,7 +225,7 @@
         self.agents[n] += 1
         incarnation = self.agents[n]
         self.clients[n].incarnation = incarnation
-        known = self.registry.whole()
+        known = self.registry.listed_entries()
         raw = self._told(n, self._raw(n, incarnation))
         self.registry_host.record_listing(n, self.registry.version, known, True)
         self.environment.ledger.add_record(
@@ -240,7 +240,7 @@
 
     def _raw(self, n: int, incarnation: int) -> dict[str, Any]:
         """What an agent is told at its start."""
-        known, at = self.registry.whole(), self.environment.addresses
+        known, at = self.registry.listed_entries(), self.environment.addresses
         raw = {
             "name": f"agent-{n}",
             "listen": text(at.agent(n)),
@@ -529,7 +529,7 @@
                 self._later(
                     self.world.registry.silent_lag, self._unlist_lost, n, self.hosts[n].backend.incarnation
                 )
-            elif not on and not self.hosts[n].backend.fallen:
+            elif not on and not self.hosts[n].backend.crashed:
                 self._return(n)
 
     def _drain(self, t: Trouble, targets: list[int], on: bool) -> None:
@@ -582,7 +582,7 @@
             self.registry.restart(self.world.registry.restart_version)
 
     def _keep_list(self, number: int) -> None:
-        self._lists[number] = self.registry.copy()
+        self._lists[number] = self.registry.snapshot()
 
     def _registry_older(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._registry_down(t, targets, on)
--- a/lupinreach/bed/world/spec.py
+++ b/lupinreach/bed/world/spec.py
@@ -490,12 +490,12 @@
         raise BadConfig("agents.ran: needs agents.store and a non-idempotent product")
     if world.traffic.calls_per_s * world.length / 1000 > MAX_CALLS:
         raise BadConfig(f"traffic.calls_per_s: more than {MAX_CALLS} API calls in all")
-    limits = {"backends": world.backend_count, "agents": world.agents, "zones": len(zones), "none": 0}
+    target_counts = {"backends": world.backend_count, "agents": world.agents, "zones": len(zones), "none": 0}
     for i, t in enumerate(world.troubles):
         for n in t.targets:
-            if n >= limits[t.target_kind]:
+            if n >= target_counts[t.target_kind]:
                 raise BadConfig(
-                    f"troubles[{i}].targets: there is no {n} among {limits[t.target_kind]} {t.target_kind}"
+                    f"troubles[{i}].targets: there is no {n} among {target_counts[t.target_kind]} {t.target_kind}"
                 )
     return world
 
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -224,7 +224,7 @@
         mine = [(i, a) for i, a in enumerate(self.calls) if a.agent in self.hosts]
         for number, arrival in mine:
             await self._until(at + arrival.at)
-            self.hosts[arrival.agent].ask(number, arrival)
+            self.hosts[arrival.agent].send_request(number, arrival)
 
     async def _until(self, at: float) -> None:
         wait = at - self.environment.now()
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -148,7 +148,7 @@
 
     def changed(self) -> None:
         registry = self._stage.registry
-        held = [[version, vars(entry)] for version, entry in registry.copy().values()]
+        held = [[version, vars(entry)] for version, entry in registry.snapshot().values()]
         self._stage.environment.tell_registry(
             {"do": "hold", "version": registry.version, "up": registry.up, "entries": held}
         )
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -224,36 +224,36 @@
 
 
 def test_a_backend_does_its_work_in_the_time_that_its_cores_and_age_allow():
-    from lupinreach.bed.peers.backend import Backend, GroupMemory, Job, Way
+    from lupinreach.bed.peers.backend import Backend, GroupMemory, Job, Outcome
 
     one = world(rules={"cold": 1000.0, "start_capacity": 0.5})
     b = Backend(0, 0, 2, 2.0, one.backend, one.rules, 1e9, 100.0, GroupMemory())
     b.boot(0.0, cold=False)
     jobs = [Job(str(i), 0, 10.0, None, None, 0.0, None) for i in range(5)]
-    assert all(b.come(0.0, j, 0.9) is Way.TAKEN for j in jobs) and b.holds == 5
+    assert all(b.receive(0.0, j, 0.9) is Outcome.ACCEPTED for j in jobs) and b.request_count == 5
     ends, now = [], 0.0
-    while b.holds:
+    while b.request_count:
         now = b.due(now)
         ends += [(round(now, 3), j.name) for j in b.advance(now)]
     assert ends == [(5.0, "0"), (5.0, "1"), (10.0, "2"), (10.0, "3"), (15.0, "4")]
     b.boot(100.0, cold=True)
-    b.come(100.0, Job("cold", 0, 20.0, None, None, 0.0, None), 0.9)
+    b.receive(100.0, Job("cold", 0, 20.0, None, None, 0.0, None), 0.9)
     done = b.advance(130.0)
     assert b.warm_fraction(100.0) == 0.5 and [j.name for j in done] == [
         "cold"
     ]  # 20 ms at half the speed of 2, a little more
     b.boot(200.0, cold=True)
     allowed = 2.5 * 4.0 * 0.5 * one.rules.fall
-    b.come(200.0, Job("flood", 0, 1.2 * allowed, None, None, 0.0, None), 0.9)
-    assert b.fallen
+    b.receive(200.0, Job("flood", 0, 1.2 * allowed, None, None, 0.0, None), 0.9)
+    assert b.crashed
 
 
 def test_a_mark_is_remembered_for_its_time_and_by_its_group_only():
     from lupinreach.bed.peers.backend import GroupMemory
 
     here, there = GroupMemory(), GroupMemory()
-    assert not here.repeat(0.0, "m", 100.0) and here.repeat(99.0, "m", 100.0)
-    assert not there.repeat(50.0, "m", 100.0) and not here.repeat(101.0, "m", 100.0)
+    assert not here.check_duplicate(0.0, "m", 100.0) and here.check_duplicate(99.0, "m", 100.0)
+    assert not there.check_duplicate(50.0, "m", 100.0) and not here.check_duplicate(101.0, "m", 100.0)
 
 
 def test_a_registry_tells_each_change_once_and_starts_anew_after_a_restart():
@@ -264,10 +264,10 @@
     first = [r.set(e) for e in entries][-1]
     r.set(entries[2], state="Terminating")
     r.set(entries[1], state="Gone")
-    assert [(e.uid, e.state) for e in r.since(first)] == [("u2", "Terminating"), ("u1", "Gone")]
-    assert {e.uid for e in r.whole()} == {"u0", "u2", "u3"} and r.since(r.version) == []
+    assert [(e.uid, e.state) for e in r.changes_since(first)] == [("u2", "Terminating"), ("u1", "Gone")]
+    assert {e.uid for e in r.listed_entries()} == {"u0", "u2", "u3"} and r.changes_since(r.version) == []
     r.restart(3)
-    assert r.version == 3 and len(r.since(2)) == 3 and r.since(3) == []
+    assert r.version == 3 and len(r.changes_since(2)) == 3 and r.changes_since(3) == []
 
 
 def test_arrivals_come_at_the_rate_and_in_the_shares_asked_for():
