--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lupinreach.bed.peers.messages import MessageReader
-from lupinreach.bed.peers.servers import BODY
+from lupinreach.bed.peers.servers import BODY_PREFIX
 from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
@@ -158,7 +158,11 @@
             return
         status = head.first[2]
         wait = float(head.headers.get(b"retry-after", b"0")) * 1000
-        body_request = body[len(BODY) :].decode("latin-1") if status == 200 and body.startswith(BODY) else ""
+        body_request = (
+            body[len(BODY_PREFIX) :].decode("latin-1")
+            if status == 200 and body.startswith(BODY_PREFIX)
+            else ""
+        )
         self.environment.ledger.add_record(
             record_kinds.GOT, self.environment.now(), request.name, status, round(wait, 1), body_request
         )
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -1,4 +1,4 @@
-"""The bed's backends and its registry as asyncio protocols, in front of their models."""
+"""The bed's backends and registry as asyncio protocols that serve their models."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from lupinreach.net.ends import Ended
 from lupinreach.net.http import Head
 
-Asked = Callable[[str], tuple[int, int, int] | None]  # by the name of a try: agent, its life, product
+RequestLookup = Callable[[str], tuple[int, int, int] | None]  # request id -> agent, its incarnation, product
 
-BODY = b"ran:"
+BODY_PREFIX = b"ran:"
 DECLINED = response(503, b"", b"Srv-Declined: 1")
-TOLD_EVERY = 0.05  # s between two looks whether an agent can be told again
-LOAD_SAMPLE_INTERVAL_MS = 1000.0  # ms between two records of a backend's load
+DELIVERY_CHECK_INTERVAL_S = 0.05  # between checks whether an unreachable agent can be reached again
+LOAD_SAMPLE_INTERVAL_MS = 1000.0  # between two LOAD records of a backend
 
 
 class BackendHost:
-    """One backend's machine: its connections, and the timer of its model."""
+    """The machine of one backend: its connections and the timer that drives its model."""
 
     def __init__(
         self,
@@ -40,24 +40,24 @@
         world: World,
         backend: Backend,
         machine: Machine,
-        chance: RandomStream,
-        asked: Asked,
-        fell: Callable[[BackendHost], None],
+        rng: RandomStream,
+        lookup_request: RequestLookup,
+        on_crash: Callable[[BackendHost], None],
     ) -> None:
         self.environment = environment
         self.world = world
         self.backend = backend
         self.machine = machine
-        self.chance = chance
-        self.asked = asked
-        self._fell = fell
-        self.lines: dict[BackendConnection, None] = {}  # each leaves when it closes
+        self.rng = rng
+        self.lookup_request = lookup_request
+        self._on_crash = on_crash
+        self.open_connections: dict[BackendConnection, None] = {}  # each is removed when it closes
         self._timer: asyncio.TimerHandle | None = None
         self._due = inf
         self.reports = bool(world.limits.reports)
 
     def step(self) -> None:
-        """Bring the model up to now, answer what got done, and set the timer."""
+        """Advances the model to the present, answers finished requests and sets the timer."""
         now = self.environment.now()
         for job in self.backend.advance(now):
             self._done(now, job)
@@ -82,43 +82,47 @@
         self.environment.ledger.add_record(
             record_kinds.RAN, now, self.backend.number, job.name, not job.duplicate
         )
-        job.owner.done(now, job)
+        job.owner.job_done(now, job)
 
-    def come(self, line: BackendConnection, name: str, work: float, product: int, key: str | None) -> None:
-        """One request is whole."""
+    def handle_request(
+        self, connection: BackendConnection, name: str, work: float, product: int, key: str | None
+    ) -> None:
+        """Passes a complete request to the model and answers it if the model rejects or fails it."""
         now, backend = self.environment.now(), self.backend
         self.step()
         spec = self.world.products[product]
-        mark = name if spec.kind is Idempotency.DEDUPLICATED else None
-        job = Job(name, product, work, key, mark, spec.memory, line)
+        dedup_key = name if spec.kind is Idempotency.DEDUPLICATED else None
+        job = Job(name, product, work, key, dedup_key, spec.memory, connection)
         self.environment.ledger.add_record(
             record_kinds.CAME, now, backend.number, backend.incarnation, name, round(work, 3)
         )
-        way = backend.receive(now, job, float(self.chance.random()))
+        outcome = backend.receive(now, job, float(self.rng.random()))
         if backend.crashed and backend.up:
             self.environment.ledger.add_record(record_kinds.FELL, now, backend.number)
-            self._fell(self)
+            self._on_crash(self)
             return
-        if way is Outcome.ACCEPTED:
-            line.job = job
-        elif way is Outcome.REJECTED:
+        if outcome is Outcome.ACCEPTED:
+            connection.job = job
+        elif outcome is Outcome.REJECTED:
             self.environment.ledger.add_record(record_kinds.AWAY, now, backend.number, name)
-            line.say(DECLINED)
-        elif way is Outcome.FAILED:
+            connection.respond(DECLINED)
+        elif outcome is Outcome.FAILED:
             self.environment.ledger.add_record(record_kinds.FAILED, now, backend.number, name)
-            line.say(response(500, b"", *self.load(now)))
+            connection.respond(response(500, b"", *self.load_headers(now)))
         self.step()
 
-    def load(self, now: float) -> list[bytes]:
+    def load_headers(self, now: float) -> list[bytes]:
+        """The header line with the load report, if backends report their load."""
         return [b"Srv-Load: " + self.backend.report(now).encode()] if self.reports else []
 
-    def called_off(self, job: Job) -> None:
+    def cancel(self, job: Job) -> None:
+        """Cancels a job whose connection has closed."""
         self.step()
         self.backend.cancel(job)
         self.step()
 
     def boot(self, cold: bool) -> None:
-        """A process begins."""
+        """Starts a new process of the backend."""
         b, rules, now = self.backend, self.world.rules, self.environment.now()
         b.boot(now, cold)
         self.environment.set_refusing(self.machine, False)
@@ -137,7 +141,7 @@
         self.step()
 
     def die(self) -> None:
-        """The process ends: its connections are reset, new ones refused."""
+        """Ends the process: resets its connections and refuses new ones."""
         self.step()
         self.backend.die(self.environment.now())
         self.environment.set_refusing(self.machine, True)
@@ -145,13 +149,14 @@
         self.step()
 
     def reset(self) -> None:
-        for line in list(self.lines):
-            line.job = None
-            line.cut()
+        """Resets all connections."""
+        for connection in list(self.open_connections):
+            connection.job = None
+            connection.abort()
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection to a backend."""
+    """A connection of an agent to a backend."""
 
     def __init__(self, host: BackendHost) -> None:
         self._host = host
@@ -159,9 +164,9 @@
         self._transport: Any = None
         self.job: Job | None = None
         self._busy = False
-        self._since = 0.0
-        self._refuses = False
-        self._doomed = ""
+        self._idle_since = 0.0
+        self._over_limit = False
+        self._fault = ""
 
     def connection_made(self, transport: Any) -> None:
         host = self._host
@@ -170,19 +175,21 @@
             transport.abort()
             return
         host.step()
-        self._refuses = len(host.lines) >= host.world.backend.connections
-        host.lines[self] = None
+        self._over_limit = len(host.open_connections) >= host.world.backend.connections
+        host.open_connections[self] = None
         host.backend.charge(host.environment.now(), host.world.backend.connection_cost)
         host.step()
-        self._rest()
+        self._become_idle()
 
-    def _rest(self) -> None:
+    def _become_idle(self) -> None:
         self._busy = False
-        self._since = self._host.environment.loop.time()
-        self._host.environment.loop.call_later(self._host.backend.idle / 1000, self._idle, self._since)
+        self._idle_since = self._host.environment.loop.time()
+        self._host.environment.loop.call_later(
+            self._host.backend.idle / 1000, self._close_if_idle, self._idle_since
+        )
 
-    def _idle(self, since: float) -> None:
-        if not self._busy and since == self._since and self._transport is not None:
+    def _close_if_idle(self, idle_since: float) -> None:
+        if not self._busy and idle_since == self._idle_since and self._transport is not None:
             self._transport.close()
 
     def data_received(self, data: bytes) -> None:
@@ -205,49 +212,50 @@
             load = (
                 host.backend.report(host.environment.now()).encode() if target == protocol.STATS_PATH else b""
             )
-            self.say(response(200, load))
+            self.respond(response(200, load))
             return
-        found = host.asked(name)
-        if found is None:
-            self.say(response(400))
+        origin = host.lookup_request(name)
+        if origin is None:
+            self.respond(response(400))
             return
-        agent, incarnation, product = found
+        agent, incarnation, product = origin
         if not host.environment.sees_agent_traffic:
             host.environment.ledger.add_record(
                 record_kinds.SENT, host.environment.now(), agent, incarnation, host.backend.number, name
             )
-        if self._refuses:
+        if self._over_limit:
             host.environment.ledger.add_record(
                 record_kinds.AWAY, host.environment.now(), host.backend.number, name
             )
-            self.say(DECLINED)
+            self.respond(DECLINED)
             self._transport.close()
             return
-        if host.machine.resets and host.chance.random() < host.machine.resets:
-            self._doomed = "reset"
+        if host.machine.resets and host.rng.random() < host.machine.resets:
+            self._fault = "reset"
         key = target.rpartition(b"/")[2].decode() if target.count(b"/") > 1 else None
         work = float(body or target.rpartition(b"=")[2] or b"1")
-        host.come(self, name, work, product, key.partition("?")[0] if key else None)
-        if self._doomed == "reset":
-            self.cut()
+        host.handle_request(self, name, work, product, key.partition("?")[0] if key else None)
+        if self._fault == "reset":
+            self.abort()
 
-    def done(self, now: float, job: Job) -> None:
-        """The work is done; whoever waits for it gets the answer."""
+    def job_done(self, now: float, job: Job) -> None:
+        """Answers a finished request, unless it was cancelled. A stalled answer stops half-way."""
         if self.job is not job:
             return
         self.job = None
         host = self._host
-        text = response(200, BODY + job.name.encode(), *host.load(now))
-        if host.backend.stalls and host.chance.random() < host.backend.stalls:
+        text = response(200, BODY_PREFIX + job.name.encode(), *host.load_headers(now))
+        if host.backend.stalls and host.rng.random() < host.backend.stalls:
             self._transport.write(text[: len(text) // 2])
             return
-        self.say(text)
+        self.respond(text)
 
-    def say(self, text: bytes) -> None:
+    def respond(self, text: bytes) -> None:
+        """Sends a response, after which the connection is idle."""
         self._transport.write(text)
-        self._rest()
+        self._become_idle()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self._transport.abort()
 
     def eof_received(self) -> bool:
@@ -255,14 +263,14 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._busy = True
-        self._host.lines.pop(self, None)
+        self._host.open_connections.pop(self, None)
         if self.job is not None:
             job, self.job = self.job, None
-            self._host.called_off(job)
+            self._host.cancel(job)
 
 
 class RegistryHost:
-    """The registry's service: lists and watches, and what is told to whom."""
+    """The registry's service: serves lists and watches, and records which lists each agent received."""
 
     def __init__(
         self,
@@ -276,37 +284,38 @@
         self.environment = environment
         self.registry = registry
         self._spec = spec
-        self._free_at = 0.0  # when it is through with the calls that have come so far
+        self._free_at = 0.0  # when all requests that have arrived so far will be handled
         self.machine = machine
         self.incarnation_of = incarnation_of
         self.machine_of = machine_of
-        # By agent, in order; emptied once it is reached.
-        self._untold: defaultdict[int, deque[Any]] = defaultdict(deque)
-        self.lines: dict[RegistryConnection, None] = {}
+        # By agent, in order: lists that were sent and not recorded yet; emptied once the agent is reachable.
+        self._undelivered: defaultdict[int, deque[Any]] = defaultdict(deque)
+        self.connections: dict[RegistryConnection, None] = {}
 
-    def turn(self) -> tuple[float, bool]:
-        """Ms until a call that comes now gets its answer, and if that is what it asked for.
+    def reserve_slot(self) -> tuple[float, bool]:
+        """Queues a request that arrives now; returns the ms until its answer and whether it is accepted.
 
-        One that waits too long is turned away, and worked through all the same.
+        A request that would wait too long is rejected, but still takes its time in the queue.
         """
         now = self.environment.now()
         self._free_at = max(self._free_at, now) + self._spec.call_cost
-        waits = self._free_at - now
-        return min(waits, self._spec.call_wait), waits <= self._spec.call_wait
+        wait_ms = self._free_at - now
+        return min(wait_ms, self._spec.call_wait), wait_ms <= self._spec.call_wait
 
     def wire(self, agent: int, entry: Entry) -> dict[str, Any]:
-        """An entry as this agent is told it."""
+        """An entry as it is sent to this agent."""
         return entry.wire()
 
     def changed(self) -> None:
-        """Tell all watches what they have not been told."""
-        for line in list(self.lines):
-            line.follow()
+        """Sends pending changes to all watches."""
+        for connection in list(self.connections):
+            connection.send_changes()
 
     def down(self) -> None:
+        """Stops the registry and resets its connections."""
         self.registry.up = False
-        for line in list(self.lines):
-            line.cut()
+        for connection in list(self.connections):
+            connection.abort()
 
     def record_listing(
         self,
@@ -314,63 +323,65 @@
         version: int,
         entries: list[Entry],
         whole: bool,
-        line: RegistryConnection | None = None,
+        connection: RegistryConnection | None = None,
     ) -> None:
-        """Book what an agent is told: once it can get there, and if the connection it goes by lasts until then.
+        """Records a list sent to an agent, once it can be delivered and if its connection is still open then.
 
-        With no line it is the list that it starts with, which it has on its own machine.
+        Without a connection it is the initial list that the agent has on its own machine, recorded at once.
         """
-        # Of a backend that was replaced, what is told of the process before says nothing of the one that is there now.
-        told = [[e.backend, e.state] for e in entries if e.state == "Ready" or not self.registry.succeeded(e)]
-        word = self.incarnation_of(agent), version, told, whole
-        if line is None:
-            self.environment.ledger.add_record(record_kinds.TOLD, self.environment.now(), agent, *word)
+        # An entry of a process that was replaced says nothing about the process that took its place.
+        states = [
+            [e.backend, e.state] for e in entries if e.state == "Ready" or not self.registry.succeeded(e)
+        ]
+        listing = self.incarnation_of(agent), version, states, whole
+        if connection is None:
+            self.environment.ledger.add_record(record_kinds.TOLD, self.environment.now(), agent, *listing)
             return
-        self._untold[agent].append((line, word))
-        if len(self._untold[agent]) == 1:
-            self._tell(agent)
+        self._undelivered[agent].append((connection, listing))
+        if len(self._undelivered[agent]) == 1:
+            self._record_delivered(agent)
 
     def release_held(self) -> None:
-        """Who can be reached again is told now. Guards against an agent that acts on a list before it is booked."""
-        for agent, waiting in self._untold.items():
-            if waiting and self.environment.paths.reaches(self.machine, self.machine_of(agent)):
-                self._tell(agent)
+        """Records the lists of agents that can be reached again, before such an agent acts on an unrecorded list."""
+        for agent, undelivered in self._undelivered.items():
+            if undelivered and self.environment.paths.reaches(self.machine, self.machine_of(agent)):
+                self._record_delivered(agent)
 
-    def _tell(self, agent: int) -> None:
-        waiting = self._untold[agent]
+    def _record_delivered(self, agent: int) -> None:
+        undelivered = self._undelivered[agent]
         if self.environment.paths.reaches(self.machine, self.machine_of(agent)):
-            while waiting:
-                line, word = waiting.popleft()
-                if line.still_open:
+            while undelivered:
+                connection, listing = undelivered.popleft()
+                if connection.still_open:
                     self.environment.ledger.add_record(
-                        record_kinds.TOLD, self.environment.now(), agent, *word
+                        record_kinds.TOLD, self.environment.now(), agent, *listing
                     )
         else:
-            # Guards against a word that hangs before a cut zone and would pass for heard.
-            self.environment.loop.call_later(TOLD_EVERY, self._tell, agent)
+            # A list that is held up by a network fault must not count as received.
+            self.environment.loop.call_later(DELIVERY_CHECK_INTERVAL_S, self._record_delivered, agent)
 
 
 class RegistryConnection(asyncio.Protocol):
-    """One connection of an agent's to the registry."""
+    """A connection of an agent to the registry."""
 
     def __init__(self, host: RegistryHost, agent: int) -> None:
         self._host = host
         self._agent = agent
         self._reader = MessageReader(expects_responses=False)
         self._transport: Any = None
-        self._version: int | None = None  # told last on a watch; None: no watch
+        self._version: int | None = None  # last version sent on a watch; None: no watch
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
         if not self._host.registry.up:
             transport.abort()
             return
-        self._host.lines[self] = None
+        self._host.connections[self] = None
 
     @property
     def still_open(self) -> bool:
-        """If what is written to it gets to the agent: neither end has closed it."""
-        return self in self._host.lines and not self._transport.get_extra_info("left", False)
+        """Whether neither end has closed the connection, so that data written to it can reach the agent."""
+        return self in self._host.connections and not self._transport.get_extra_info("left", False)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -380,41 +391,41 @@
             return
         for head, _ in messages:
             target = head.first[1]
-            waits, heard = self._host.turn()
-            if waits:
-                self._host.environment.loop.call_later(waits / 1000, self._answer, target, heard)
+            wait_ms, accepted = self._host.reserve_slot()
+            if wait_ms:
+                self._host.environment.loop.call_later(wait_ms / 1000, self._answer, target, accepted)
             else:
-                self._answer(target, heard)
+                self._answer(target, accepted)
 
-    def _answer(self, target: bytes, heard: bool) -> None:
-        if self not in self._host.lines:
-            return  # gone meanwhile
-        if not heard:
+    def _answer(self, target: bytes, accepted: bool) -> None:
+        if self not in self._host.connections:
+            return  # closed meanwhile
+        if not accepted:
             self._transport.write(response(503))
         elif target == protocol.LIST_PATH:
-            self._transport.write(response(200, self._whole()))
+            self._transport.write(response(200, self._full_list()))
         elif target.startswith(protocol.WATCH_PATH):
             after = int(target.rpartition(b"after=")[2] or b"0")
             self._transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             if after > self._host.registry.version:
-                # It comes back with a lower version: what was known then belongs to another count.
-                self._line(self._whole())
+                # The agent's version is from before a restart at a lower version, so it needs the whole list.
+                self._write_chunk(self._full_list())
             self._version = min(after, self._host.registry.version)
             if after <= self._host.registry.version:
-                self.follow()
+                self.send_changes()
             else:
                 self._version = self._host.registry.version
-            self._beat()
+            self._send_heartbeat()
         else:
             self._transport.write(response(404))
 
-    def _whole(self) -> bytes:
+    def _full_list(self) -> bytes:
         registry = self._host.registry
         entries = registry.listed_entries()
         self._host.record_listing(self._agent, registry.version, entries, True, self)
-        return self._text(True, entries)
+        return self._encode_list(True, entries)
 
-    def _text(self, whole: bool, entries: list[Entry]) -> bytes:
+    def _encode_list(self, whole: bool, entries: list[Entry]) -> bytes:
         return orjson.dumps(
             {
                 "rev": self._host.registry.version,
@@ -423,28 +434,29 @@
             }
         )
 
-    def follow(self) -> None:
+    def send_changes(self) -> None:
+        """Sends the changes since the last version on a watch, if there are any."""
         registry = self._host.registry
         if self._version is None or self._version >= registry.version:
             return
         entries = registry.changes_since(self._version)
         self._version = registry.version
         self._host.record_listing(self._agent, registry.version, entries, False, self)
-        self._line(self._text(False, entries))
+        self._write_chunk(self._encode_list(False, entries))
 
-    def _line(self, text: bytes) -> None:
+    def _write_chunk(self, text: bytes) -> None:
         self._transport.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
 
-    def _beat(self) -> None:
-        if self in self._host.lines:
-            self._line(b"")
-            self._host.environment.loop.call_later(protocol.BEAT / 1000, self._beat)
+    def _send_heartbeat(self) -> None:
+        if self in self._host.connections:
+            self._write_chunk(b"")
+            self._host.environment.loop.call_later(protocol.BEAT / 1000, self._send_heartbeat)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self._transport.abort()
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._host.lines.pop(self, None)
+        self._host.connections.pop(self, None)
