--- a/lupinreach/bed/commands/experiment.py
+++ b/lupinreach/bed/commands/experiment.py
@@ -48,7 +48,7 @@
         check.verdict(violations),
         service.count(world, ledger.records),
         ledger.digest(),
-        len(checker.unheard),
+        len(checker.undelivered),
     )
 
 
--- a/lupinreach/bed/commands/report.py
+++ b/lupinreach/bed/commands/report.py
@@ -129,14 +129,14 @@
     return figure, axes
 
 
-def _by_second(calls: list[service.Asked]) -> dict[int, list[service.Asked]]:
-    found: dict[int, list[service.Asked]] = defaultdict(list)
+def _by_second(calls: list[service.CallOutcome]) -> dict[int, list[service.CallOutcome]]:
+    found: dict[int, list[service.CallOutcome]] = defaultdict(list)
     for one in calls:
         found[int(one.at // SECOND)].append(one)
     return dict(sorted(found.items()))
 
 
-def _service(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
+def _service(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
     seconds = _by_second(calls)
     figure, axes = frame(troubles, "share")
     axes.step(
@@ -146,8 +146,8 @@
     return svg(figure)
 
 
-def _latency(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
-    seconds = {s: [c.answered for c in some if c.answered >= 0] for s, some in _by_second(calls).items()}
+def _latency(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
+    seconds = {s: [c.latency_ms for c in some if c.latency_ms >= 0] for s, some in _by_second(calls).items()}
     seconds = {s: some for s, some in seconds.items() if some}
     if not seconds:
         return ""
@@ -164,12 +164,12 @@
     return svg(figure)
 
 
-def _answers(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
+def _answers(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
     seconds = _by_second(calls)
     figure, axes = frame(troubles, "API calls a second")
     below = np.zeros(len(seconds))
     for ending, colour in COLOURS.items():
-        some = np.array([sum(c.ending == ending for c in asked) for asked in seconds.values()], dtype=float)
+        some = np.array([sum(c.outcome == ending for c in asked) for asked in seconds.values()], dtype=float)
         if some.any():
             axes.bar(list(seconds), some, bottom=below, width=1.0, align="edge", label=ending, color=colour)
             below += some
--- a/lupinreach/bed/judging/__init__.py
+++ b/lupinreach/bed/judging/__init__.py
@@ -1,1 +1,1 @@
-"""A run's book held against the rules, and what was served."""
+"""Checks of a run's ledger against the rules, and the service that was delivered."""
--- a/lupinreach/bed/judging/service.py
+++ b/lupinreach/bed/judging/service.py
@@ -1,4 +1,4 @@
-"""Counts service from a ledger: billed value answered within the SLO over that asked for. Pure."""
+"""Computes the service of a run from its ledger: the billed value that was earned over the value of all calls. Free of I/O."""
 
 from __future__ import annotations
 
@@ -12,102 +12,114 @@
 from lupinreach.bed.world.ledger import Record
 from lupinreach.bed.world.spec import World
 
-WORST = 10_000.0  # ms
-WINDOW_STEP_MS = 1000.0  # ms between two windows
-MOST_MS = 600_000
-SCALE = 100  # histogram steps in a ms
+WINDOW_MS = 10_000.0  # of the worst window
+WINDOW_STEP_MS = 1000.0  # between the starts of two windows
+MAX_LATENCY_MS = 600_000  # longer latencies are counted as this
+STEPS_PER_MS = 100  # resolution of the histogram
 
 
 @dataclass
-class Asked:
-    at: float
+class CallOutcome:
+    """What became of one API call, over all its requests."""
+
+    at: float  # ms
     product: str
     customer: str
-    worth: float
-    earned: float = 0.0
-    answered: float = -1.0  # ms from the first try, fulfilled
-    ending: str = "none"
+    total_value: float  # billed, if answered within the SLO
+    earned_value: float = 0.0
+    latency_ms: float = -1.0  # from the first request to the successful answer; negative if there was none
+    outcome: str = "none"  # of the last request
 
 
 def histogram() -> HdrHistogram:
-    return HdrHistogram(1, MOST_MS * SCALE, 3)
+    """An empty histogram of latencies, in 1 / STEPS_PER_MS ms."""
+    return HdrHistogram(1, MAX_LATENCY_MS * STEPS_PER_MS, 3)
 
 
-def calls(world: World, records: Iterable[Record]) -> dict[int, Asked]:
-    """Every API call, its tries together."""
+def calls(world: World, records: Iterable[Record]) -> dict[int, CallOutcome]:
+    """The outcome of every API call, by its number."""
     products = {p.name: p for p in world.products}
-    found: dict[int, Asked] = {}
-    names: dict[str, int] = {}
+    outcomes: dict[int, CallOutcome] = {}
+    call_of: dict[str, int] = {}
     for record in records:
         kind, at = record[0], record[1] / 1000
         if kind == "asked":
-            name, call, number, _, product, customer, work = record[2:9]
-            names[name] = call
+            name, call_number, number, _, product, customer, work = record[2:9]
+            call_of[name] = call_number
             if number == 0:
-                found[call] = Asked(at, product, customer, products[product].value * work)
+                outcomes[call_number] = CallOutcome(at, product, customer, products[product].value * work)
         elif kind == "got":
             name, status = record[2], record[3]
-            one = found[names[name]]
-            if status == 200 and one.answered < 0:
-                one.answered, one.ending = at - one.at, "fulfilled"
-                p = products[one.product]
-                one.earned = one.worth * (
-                    1.0 if one.answered <= p.slo else p.late_value if one.answered <= p.timeout else 0.0
+            call = outcomes[call_of[name]]
+            if status == 200 and call.latency_ms < 0:
+                call.latency_ms, call.outcome = at - call.at, "fulfilled"
+                product_spec = products[call.product]
+                call.earned_value = call.total_value * (
+                    1.0
+                    if call.latency_ms <= product_spec.slo
+                    else product_spec.late_value
+                    if call.latency_ms <= product_spec.timeout
+                    else 0.0
                 )
-            elif one.answered < 0:
-                one.ending = "rate-limited" if status in (429, 503) else "errored"
+            elif call.latency_ms < 0:
+                call.outcome = "rate-limited" if status in (429, 503) else "errored"
         elif kind in ("left", "lost"):
-            one = found[names[record[2]]]
-            if one.answered < 0:
-                one.ending = "left" if kind == "left" else "lost"
-    return found
-
-
-def share(asked: Iterable[Asked]) -> float:
-    earned = worth = 0.0
-    for one in asked:
-        earned, worth = earned + one.earned, worth + one.worth
-    return earned / worth if worth else 1.0
-
-
-def worst_window(found: Iterable[Asked], length: float) -> float:
-    """The lowest share of any 10 s, by the time of asking; of the whole run where that is shorter."""
-    worth: Counter[int] = Counter()
-    earned: Counter[int] = Counter()
-    for one in found:
-        worth[int(one.at // WINDOW_STEP_MS)] += one.worth  # type: ignore[assignment]
-        earned[int(one.at // WINDOW_STEP_MS)] += one.earned  # type: ignore[assignment]
-    span, last = int(WORST / WINDOW_STEP_MS), max(worth, default=0)
+            call = outcomes[call_of[record[2]]]
+            if call.latency_ms < 0:
+                call.outcome = "left" if kind == "left" else "lost"
+    return outcomes
+
+
+def share(outcomes: Iterable[CallOutcome]) -> float:
+    """Share of the value of the calls that was earned; 1 if there was none."""
+    earned_value = value = 0.0
+    for call in outcomes:
+        earned_value, value = earned_value + call.earned_value, value + call.total_value
+    return earned_value / value if value else 1.0
+
+
+def worst_window(outcomes: Iterable[CallOutcome], length: float) -> float:
+    """The lowest share earned in any 10 s, by the time of the calls; of the whole run if that is shorter."""
+    value: Counter[int] = Counter()
+    earned_value: Counter[int] = Counter()
+    for call in outcomes:
+        value[int(call.at // WINDOW_STEP_MS)] += call.total_value  # type: ignore[assignment]
+        earned_value[int(call.at // WINDOW_STEP_MS)] += call.earned_value  # type: ignore[assignment]
+    window_steps, last = int(WINDOW_MS / WINDOW_STEP_MS), max(value, default=0)
     shares = []
-    for begin in range(max(1, min(last + 1, int(length // WINDOW_STEP_MS)) - span + 1)):
-        asked = sum(worth[i] for i in range(begin, begin + span))
-        if asked:
-            shares.append(sum(earned[i] for i in range(begin, begin + span)) / asked)
+    for start in range(max(1, min(last + 1, int(length // WINDOW_STEP_MS)) - window_steps + 1)):
+        window_value = sum(value[i] for i in range(start, start + window_steps))
+        if window_value:
+            shares.append(sum(earned_value[i] for i in range(start, start + window_steps)) / window_value)
     return min(shares, default=1.0)
 
 
 def count(world: World, records: list[Record]) -> dict[str, Any]:
-    """The figures of a run."""
-    found = calls(world, records)
-    took = histogram()
-    by_product: dict[str, list[Asked]] = defaultdict(list)
-    by_customer: dict[str, list[Asked]] = defaultdict(list)
-    for one in found.values():
-        by_product[one.product].append(one)
-        if one.customer:
-            by_customer[one.customer].append(one)
-        if one.answered >= 0:
-            took.record_value(max(1, min(MOST_MS * SCALE, round(one.answered * SCALE))))
-    shots = Counter(r[0] for r in records)
-    percentiles = {f"p{p}": round(took.get_value_at_percentile(p) / SCALE, 2) for p in (50, 90, 99, 99.9)}
+    """The metrics of a run."""
+    outcomes = calls(world, records)
+    latencies = histogram()
+    by_product: dict[str, list[CallOutcome]] = defaultdict(list)
+    by_customer: dict[str, list[CallOutcome]] = defaultdict(list)
+    for call in outcomes.values():
+        by_product[call.product].append(call)
+        if call.customer:
+            by_customer[call.customer].append(call)
+        if call.latency_ms >= 0:
+            latencies.record_value(
+                max(1, min(MAX_LATENCY_MS * STEPS_PER_MS, round(call.latency_ms * STEPS_PER_MS)))
+            )
+    record_counts = Counter(r[0] for r in records)
+    percentiles = {
+        f"p{p}": round(latencies.get_value_at_percentile(p) / STEPS_PER_MS, 2) for p in (50, 90, 99, 99.9)
+    }
     return {
-        "service": round(share(found.values()), 4),
-        "service_worst_10s": round(worst_window(found.values(), world.length), 4),
+        "service": round(share(outcomes.values()), 4),
+        "service_worst_10s": round(worst_window(outcomes.values(), world.length), 4),
         "by_product": {name: round(share(some), 4) for name, some in sorted(by_product.items())},
         "by_customer": {name: round(share(some), 4) for name, some in sorted(by_customer.items())},
-        "answers": dict(sorted(Counter(one.ending for one in found.values()).items())),
+        "answers": dict(sorted(Counter(call.outcome for call in outcomes.values()).items())),
         "latency_ms": percentiles,
-        "shots": shots["sent"],
-        "tries": shots["asked"],
-        "calls": len(found),
+        "shots": record_counts["sent"],
+        "tries": record_counts["asked"],
+        "calls": len(outcomes),
     }
--- a/lupinreach/bed/world/random_streams.py
+++ b/lupinreach/bed/world/random_streams.py
@@ -11,5 +11,5 @@
 
 def random_stream(seed: int, *name: object) -> RandomStream:
     """A generator that depends on the seed and the name alone, not on what other components draw."""
-    key = ":".join(map(str, name)).encode()
-    return np.random.Generator(np.random.PCG64(np.random.SeedSequence((seed, crc32(key), len(key)))))
+    text = ":".join(map(str, name)).encode()
+    return np.random.Generator(np.random.PCG64(np.random.SeedSequence((seed, crc32(text), len(text)))))
--- a/lupinreach/trial/figures.py
+++ b/lupinreach/trial/figures.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from lupinreach.bed.judging import service
-from lupinreach.bed.judging.check import LATE
+from lupinreach.bed.judging.check import MESSAGE_SLACK_MS
 from lupinreach.bed.world.ledger import Record
 from lupinreach.bed.world.spec import World
 
@@ -100,9 +100,9 @@
             second.able += work * share
     for one in service.calls(world, records).values():
         second = found[min(len(found) - 1, int(one.at // SECOND))]
-        second.served += one.earned
-        if one.answered >= 0:
-            second.done += one.worth / products[one.product].value
+        second.served += one.earned_value
+        if one.latency_ms >= 0:
+            second.done += one.total_value / products[one.product].value
     carried = {r[5] for r in records if r[0] == "got" and r[3] == 200}
     for r in records:
         if r[0] == "sent":
@@ -221,7 +221,7 @@
 
 def to_draining(world: World, records: Iterable[Record], begin: float) -> int:
     """Shots from then on (ms) to a draining backend by an agent whose fleet was told long ago: by an older list, or none."""
-    late = world.rules.drain_grace + world.registry.lag.most + LATE
+    late = world.rules.drain_grace + world.registry.lag.most + MESSAGE_SLACK_MS
     since: dict[int, float] = {}
     found = 0
     for r in records:
--- a/lupinreach/trial/play.py
+++ b/lupinreach/trial/play.py
@@ -18,7 +18,7 @@
 from lupinreach.trial.spec import Trial
 
 KEPT, BROKEN, UNSURE = "kept", "broken", "unsure"
-TOO_LATE = check.LATE / 2  # ms at p99.9 from which a run with processes says nothing
+TOO_LATE = check.MESSAGE_SLACK_MS / 2  # ms at p99.9 from which a run with processes says nothing
 
 
 @dataclass
@@ -64,7 +64,7 @@
     peers = {name: each for name, each in late.items() if name != "coordinator"}
     played.late = max(each["p999"] for each in peers.values())
     most, where = max((each["most"], name) for name, each in peers.items())
-    if played.late > TOO_LATE or most > check.LATE:
+    if played.late > TOO_LATE or most > check.MESSAGE_SLACK_MS:
         # Guards against a verdict on agents where it is the rig that was late.
         played.unsure = f"the rig was late: {played.late:.1f} ms at p99.9, {most:.1f} at most ({where})"
     return played
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -196,7 +196,7 @@
         return one, violations, records
 
     one, _, records = play(500.0)
-    exact = statistics.mode(round(c.answered, 3) for c in service.calls(one, records).values())
+    exact = statistics.mode(round(c.latency_ms, 3) for c in service.calls(one, records).values())
     kinds = set()
     for waits in (exact - 0.001, exact, exact + 0.001, exact + 0.1):
         _, violations, records = play(waits)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -311,7 +311,7 @@
     checker = Checker(world)
     violations = checker.read([*rows, ("left", 1_000_000, "a.0")])
     assert [b.name for b in violations] == (["no answer"] if whose == "agent" else [])
-    assert checker.unheard == (["a.0"] if whose == "rig" else [])
+    assert checker.undelivered == (["a.0"] if whose == "rig" else [])
 
 
 class Heard(asyncio.DatagramProtocol):
