--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -1,4 +1,4 @@
-"""The bed in virtual time: the same run every time, planted faults caught by name, hard cases, and the search."""
+"""The test bed: reproducible runs, detection of planted faults, injected faults, the models, world files and search."""
 
 import os
 import statistics
@@ -13,9 +13,9 @@
 from lupinreach.bed.world import spec
 from lupinreach.config import BadConfig
 
-LOOK = {"name": "look", "share": 3}
-MARK = {"name": "mark", "kind": "deduplicated", "memory": 50.0, "value": 3}
-PAY = {"name": "pay", "kind": "non-idempotent", "value": 5}
+LOOK_PRODUCT = {"name": "look", "share": 3}
+MARK_PRODUCT = {"name": "mark", "kind": "deduplicated", "memory": 50.0, "value": 3}
+PAY_PRODUCT = {"name": "pay", "kind": "non-idempotent", "value": 5}
 
 
 def world(**more):
@@ -26,20 +26,20 @@
             "zones": ["a", "b"],
             "agents": {"count": 3},
             "backends": [{"count": 6, "cores": 2}],
-            "products": [LOOK, MARK, PAY],
+            "products": [LOOK_PRODUCT, MARK_PRODUCT, PAY_PRODUCT],
             "traffic": {"calls_per_s": 120},
         }
         | more
     )
 
 
-def judged(one, seed=1):
+def play_and_check(one, seed=1):
     records = virtual.play(one, seed).records
     return check.Checker(one).read(records), records
 
 
-# What makes each planted fault show.
-SHOWS = {
+# The world in which each planted fault shows.
+FAULT_WORLDS = {
     "answers-twice": {},
     "drops-answer": {},
     "mixes-up-answers": {},
@@ -65,14 +65,14 @@
 }
 
 
-@pytest.mark.parametrize("fault", SHOWS)
-def test_a_planted_fault_is_caught_by_its_name_and_its_twin_without_it_is_clean(fault):
-    violations, _ = judged(world(fault=fault, **SHOWS[fault]))
+@pytest.mark.parametrize("fault", FAULT_WORLDS)
+def test_a_planted_fault_is_reported_by_name_and_the_same_world_without_it_has_no_violations(fault):
+    violations, _ = play_and_check(world(fault=fault, **FAULT_WORLDS[fault]))
     assert FAULTS[fault].caught_as in {b.name for b in violations}
-    assert judged(world(**SHOWS[fault]))[0] == []
+    assert play_and_check(world(**FAULT_WORLDS[fault]))[0] == []
 
 
-def test_a_fault_inside_an_agent_is_told_as_one(monkeypatch):
+def test_an_exception_inside_an_agent_is_reported_as_a_fault(monkeypatch):
     from lupinreach.balance import Balancer
 
     kept = Balancer.dispatch
@@ -81,12 +81,12 @@
         "dispatch",
         lambda self, now, call: kept(self, now, call) if call.token._id != b"9.0" else 1 / 0,
     )
-    violations, records = judged(world(seconds=1))
+    violations, records = play_and_check(world(seconds=1))
     assert [(b.rule, b.what) for b in violations] == [("faults", "fault: api call x1")]
     assert [r[3] for r in records if r[0] == "got" and r[2] == "9.0"] == [500]
 
 
-def test_the_same_seed_gives_the_same_bytes_in_two_processes():
+def test_the_same_seed_gives_the_same_ledger_in_two_processes():
     program = (
         "from lupinreach.bed.world import spec\nfrom lupinreach.bed.ways import virtual\n"
         "print(virtual.play(spec.read_file('calm'), 5).digest())"
@@ -109,15 +109,15 @@
     )
 
 
-# Hard cases: each is seen to have happened, and the rules are kept.
+# Injected faults: each takes effect, and no rule is violated.
 
 
 def trouble(kind, at=1, seconds=3, **more):
     return {"kind": kind, "at": at, "seconds": seconds} | more
 
 
-def test_a_zone_cut_in_mid_answer_holds_bytes_back_and_breaks_no_rule():
-    violations, records = judged(
+def test_cutting_off_a_zone_loses_answers_and_breaks_no_rule():
+    violations, records = play_and_check(
         world(
             troubles=[trouble("cut", targets=["b"]), trouble("cut", at=5, seconds=0.1)],
             network={"cross": 20.0, "jitter": 2.0},
@@ -126,14 +126,14 @@
     assert violations == []
     answered = {r[2] for r in records if r[0] == "got" and r[3] == 200}
     ran = {r[3] for r in records if r[0] == "ran"}
-    assert ran - answered  # work that was done, and whose answer was cut off
+    assert ran - answered  # work was done whose answers were lost
 
 
-def test_a_restart_with_many_api_calls_out_answers_all_that_was_taken():
-    violations, records = judged(
+def test_a_restarting_agent_answers_all_requests_in_flight():
+    violations, records = play_and_check(
         world(
             agents={"count": 1},
-            products=[LOOK | {"work": 400, "slo": 2000}, PAY | {"work": 400, "slo": 2000}],
+            products=[LOOK_PRODUCT | {"work": 400, "slo": 2000}, PAY_PRODUCT | {"work": 400, "slo": 2000}],
             backends=[{"count": 40, "cores": 4}],
             traffic={"calls_per_s": 400},
             troubles=[trouble("restart-agents", at=3, seconds=2)],
@@ -148,8 +148,8 @@
     assert len(ended) == 1 and out <= {r[2] for r in records if r[0] == "got" and r[1] <= ended[0][1]}
 
 
-def test_an_agent_killed_outright_loses_only_what_it_held_and_comes_back():
-    violations, records = judged(
+def test_a_killed_agent_loses_only_its_requests_in_flight_and_restarts():
+    violations, records = play_and_check(
         world(agents={"count": 1}, troubles=[trouble("kill-agents", at=2, seconds=1)])
     )
     assert violations == []
@@ -160,20 +160,22 @@
     assert all(r[3] != 1 for r in records if r[0] == "sent" and r[1] > killed)
 
 
-def test_an_event_loop_held_up_for_50_ms_delays_answers_and_loses_none():
-    _, calm = judged(world(agents={"count": 1}))
-    violations, records = judged(world(agents={"count": 1}, troubles=[trouble("busy-agents", seconds=4)]))
+def test_an_event_loop_blocked_for_50_ms_delays_answers_and_loses_none():
+    _, calm = play_and_check(world(agents={"count": 1}))
+    violations, records = play_and_check(
+        world(agents={"count": 1}, troubles=[trouble("busy-agents", seconds=4)])
+    )
     p99 = [service.count(world(), some)["latency_ms"]["p99"] for some in (calm, records)]
     assert violations == [] and p99[1] > p99[0] + 20
 
 
-def test_a_registry_that_comes_back_with_a_lower_version_is_followed_again():
+def test_agents_follow_a_registry_that_restarts_at_a_lower_version():
     one = world(
         seconds=14,
         registry={"restart_version": 1},
         troubles=[trouble("registry-back", at=1, seconds=2), trouble("drain", at=9, seconds=4, targets=[1])],
     )
-    violations, records = judged(one)
+    violations, records = play_and_check(one)
     assert violations == []
     versions = [r[4] for r in records if r[0] == "told" and r[2] == 0]
     assert any(b < a for a, b in zip(versions, versions[1:], strict=False))
@@ -181,18 +183,18 @@
     assert not any(r[4] == 1 and told + 1.5e6 < r[1] < 13e6 for r in records if r[0] == "sent" and r[2] == 0)
 
 
-def test_an_answer_and_a_clients_close_in_one_instant_break_no_rule():
-    # The client waits just as long as an answer takes when nothing is in its way, a microsecond more or less.
+def test_an_answer_that_coincides_with_the_clients_timeout_breaks_no_rule():
+    # The client's timeout is the usual time of an answer, give or take a microsecond.
     def play(timeout):
         one = world(
-            products=[LOOK | {"work": 20, "spread": 0.0, "slo": 20, "timeout": timeout}],
+            products=[LOOK_PRODUCT | {"work": 20, "spread": 0.0, "slo": 20, "timeout": timeout}],
             clients={"try_share": 1.0},
             backends=[{"count": 6, "cores": 4}],
             rules={"answer_slack": 0.0},
             network={"same": 0.5, "cross": 0.5, "jitter": 0.0},
             traffic={"calls_per_s": 60},
         )
-        violations, records = judged(one)
+        violations, records = play_and_check(one)
         return one, violations, records
 
     one, _, records = play(500.0)
@@ -201,12 +203,12 @@
     for waits in (exact - 0.001, exact, exact + 0.001, exact + 0.1):
         _, violations, records = play(waits)
         kinds |= {r[0] for r in records}
-        # Nothing but what was too late: no second answer, nothing sent after it, no other call's.
+        # Late answers only: no second answer, no attempt after the answer, no answer of another call.
         assert {b.name for b in violations} <= {"no answer"}
     assert {"left", "got"} <= kinds
 
 
-def test_timers_due_at_one_time_run_in_the_order_in_which_they_were_set():
+def test_timers_due_at_the_same_time_run_in_the_order_in_which_they_were_set():
     from lupinreach.bed.ways.loop import VirtualLoop
 
     loop, ran = VirtualLoop(), []
@@ -220,10 +222,10 @@
     assert ran == [i for i in range(200) if i % 3] and loop.time() == at
 
 
-# The models, against plain reckoning.
+# The models, compared with values calculated by hand.
 
 
-def test_a_backend_does_its_work_in_the_time_that_its_cores_and_age_allow():
+def test_a_backend_works_at_the_rate_that_its_cores_and_age_allow():
     from lupinreach.bed.peers.backend import Backend, GroupMemory, Job, Outcome
 
     one = world(rules={"cold": 1000.0, "start_capacity": 0.5})
@@ -241,14 +243,14 @@
     done = b.advance(130.0)
     assert b.warm_fraction(100.0) == 0.5 and [j.name for j in done] == [
         "cold"
-    ]  # 20 ms at half the speed of 2, a little more
+    ]  # 20 ms of work at half of speed 2, rising slightly
     b.boot(200.0, cold=True)
     allowed = 2.5 * 4.0 * 0.5 * one.rules.fall
     b.receive(200.0, Job("flood", 0, 1.2 * allowed, None, None, 0.0, None), 0.9)
     assert b.crashed
 
 
-def test_a_mark_is_remembered_for_its_time_and_by_its_group_only():
+def test_a_dedup_key_is_remembered_for_its_time_and_by_its_group_only():
     from lupinreach.bed.peers.backend import GroupMemory
 
     here, there = GroupMemory(), GroupMemory()
@@ -256,7 +258,7 @@
     assert not there.check_duplicate(50.0, "m", 100.0) and not here.check_duplicate(101.0, "m", 100.0)
 
 
-def test_a_registry_tells_each_change_once_and_starts_anew_after_a_restart():
+def test_a_registry_reports_each_change_once_and_all_entries_after_a_restart():
     from lupinreach.bed.peers.registry import Entry, Registry
 
     r = Registry()
@@ -270,13 +272,13 @@
     assert r.version == 3 and len(r.changes_since(2)) == 3 and r.changes_since(3) == []
 
 
-def test_arrivals_come_at_the_rate_and_in_the_shares_asked_for():
+def test_arrivals_have_the_specified_rate_and_shares():
     from lupinreach.bed.world.traffic import arrivals
 
     one = spec.read(
         {
             "seconds": 100,
-            "products": [LOOK, PAY],
+            "products": [LOOK_PRODUCT, PAY_PRODUCT],
             "agents": {"count": 3, "zipf": 1.0},
             "traffic": {"calls_per_s": 100, "shape": "bursts", "swing": 0.5, "period": 5},
             "troubles": [{"kind": "surge", "at": 90, "seconds": 10, "strength": 3}],
@@ -291,7 +293,7 @@
     assert [c.at for c in calls] == sorted(c.at for c in calls)
 
 
-# Files.
+# World files and commands.
 
 
 @pytest.mark.parametrize(
@@ -320,20 +322,20 @@
         ({"agents": {"count": 1, "colour": 2}}, "agents.colour: unknown key"),
     ],
 )
-def test_a_bad_world_is_refused_with_the_whole_path_of_the_key(raw, complaint):
+def test_an_invalid_world_is_rejected_with_the_full_path_of_the_key(raw, complaint):
     with pytest.raises(BadConfig) as refused:
         spec.read(raw)
     assert str(refused.value).startswith(complaint)
 
 
 @pytest.mark.parametrize("name", sorted(p.stem for p in spec.WORLDS_DIR.glob("*.toml")))
-def test_a_world_written_down_is_read_back_the_same(name, tmp_path):
+def test_a_world_is_unchanged_by_writing_and_reading_it(name, tmp_path):
     one = spec.read_file(name)
     (tmp_path / "w.toml").write_text(spec.to_toml(one))
     assert spec.read_file(tmp_path / "w.toml") == one
 
 
-def lupinreach(*words, **more):
+def run_command(*words, **more):
     return subprocess.run(
         [sys.executable, "-m", "lupinreach.cli", *words],
         capture_output=True,
@@ -344,10 +346,10 @@
     )
 
 
-def test_the_command_line_judges_a_run_by_its_exit_code(tmp_path):
+def test_the_exit_code_reports_the_verdict_of_a_run(tmp_path):
     import json
 
-    good = lupinreach("bed", "run", "calm", "--json", str(tmp_path / "o.json"), "--report", str(tmp_path))
+    good = run_command("bed", "run", "calm", "--json", str(tmp_path / "o.json"), "--report", str(tmp_path))
     told = json.loads(good.stdout)
     assert (
         good.returncode == 0 and told["verdict"] == "kept" and told["calls"] > 500 and told["service"] > 0.9
@@ -356,18 +358,18 @@
     page = (tmp_path / "calm-lupinreach-1.html").read_text()
     assert page.count("<svg") == 5 and "http-equiv" not in page and "<script" not in page
     (tmp_path / "bad.toml").write_text('base = "calm"\nseconds = 4\nfault = "answers-twice"\n')
-    broken = lupinreach("bed", "run", str(tmp_path / "bad.toml"))
+    broken = run_command("bed", "run", str(tmp_path / "bad.toml"))
     assert broken.returncode == 1 and json.loads(broken.stdout)["verdict"] == "broken"
     assert "answered twice" in broken.stderr
     (tmp_path / "worse.toml").write_text("[agents]\ncount = 'x'\n")
-    refused = lupinreach("bed", "run", str(tmp_path / "worse.toml"))
+    refused = run_command("bed", "run", str(tmp_path / "worse.toml"))
     assert (refused.returncode, refused.stdout) == (2, "")
     assert refused.stderr == "lupinreach: agents.count: 'x' is no number\n"
-    assert lupinreach("check-config", str(tmp_path / "worse.toml")).returncode == 2
-    assert lupinreach("check-config", "rough").returncode == 0
+    assert run_command("check-config", str(tmp_path / "worse.toml")).returncode == 2
+    assert run_command("check-config", "rough").returncode == 0
 
 
-def test_the_agents_own_command_loads_nothing_of_the_bed():
+def test_the_agent_command_does_not_import_the_bed():
     program = (
         "import sys\nsys.argv = ['lupinreach', 'agent']\nimport lupinreach.cli as c\n"
         "try:\n    c.main()\nexcept SystemExit as e:\n    print(e.code)\n"
@@ -383,7 +385,7 @@
     assert done.stdout == "2\n[]\n" and "PROXY_CONFIG: missing" in done.stderr
 
 
-def test_two_policies_on_the_same_seeds_meet_the_same_world():
+def test_two_policies_on_the_same_seeds_run_in_the_same_world():
     from lupinreach.bed.commands import experiment
 
     one = world(seconds=3, seeds=[3, 4])
@@ -394,7 +396,9 @@
     assert [r.digest for r in ours] != [r.digest for r in theirs]
 
 
-def test_the_search_finds_a_planted_fault_and_shrinks_it_to_a_file_that_replays_it(tmp_path, monkeypatch):
+def test_the_search_finds_a_planted_fault_and_shrinks_it_to_a_world_file_that_reproduces_it(
+    tmp_path, monkeypatch
+):
     from lupinreach.bed.commands import search as searching
     from lupinreach.bed.commands.search import search
 
@@ -405,11 +409,11 @@
     (tmp_path / "small.toml").write_text(spec.to_toml(broken.world))
     again = spec.read_file(tmp_path / "small.toml")
     assert again.agents < one.agents and len(again.troubles) == 1
-    violations, records = judged(again, again.seeds[0])
+    violations, records = play_and_check(again, again.seeds[0])
     assert "effect twice" in {b.name for b in violations}
 
 
-def test_a_calm_day_on_loopback_serves_as_in_virtual_time():
+def test_the_calm_world_is_served_alike_on_loopback_and_in_virtual_time():
     from dataclasses import replace
 
     from lupinreach.bed.commands import experiment
@@ -420,22 +424,22 @@
     assert abs(virtually.figures["service"] - really.figures["service"]) <= 0.03
 
 
-def test_backends_that_close_idle_connections_early_cost_connections_and_run_no_payment_twice():
-    # The agent reckons with twice the time after which some close, so that closes cross its requests.
+def test_backends_that_close_idle_connections_early_run_no_payment_twice():
+    # Connections close after so short an idle time that, with these delays, a close can cross a request.
     one = world(
         backend={"idle": [40.0, 41.0]},
-        products=[PAY],
+        products=[PAY_PRODUCT],
         agents={"count": 6},
         traffic={"calls_per_s": 60},
         network={"same": 10.0, "cross": 25.0},
     )
-    violations, records = judged(one)
+    violations, records = play_and_check(one)
     assert violations == []
     shots, came = ({r[i] for r in records if r[0] == kind} for kind, i in (("sent", 5), ("came", 4)))
-    assert shots - came  # written to a connection whose close was on its way
+    assert shots - came  # sent on a connection that was being closed
 
 
-def test_a_registry_works_through_calls_in_turn_and_turns_away_those_that_wait_too_long():
+def test_a_registry_handles_requests_one_at_a_time_and_rejects_those_that_wait_too_long():
     one = world(
         seconds=4,
         agents={"count": 8},
@@ -445,7 +449,7 @@
             {"kind": "kill-agents", "at": 1, "seconds": 1, "share": 1.0},
         ],
     )
-    violations, records = judged(one)
+    violations, records = play_and_check(one)
     assert violations == []
     told = {(r[2], r[3]) for r in records if r[0] == "told"}
     assert len({agent for agent, _ in told}) == 8
