--- a/lupinreach/bed/world/ledger.py
+++ b/lupinreach/bed/world/ledger.py
@@ -17,9 +17,7 @@
 
 # Record kinds; the comments list the fields that follow kind and time. "Request" is the id of a client request.
 WORLD = "world"  # the world that was played and its seed, as an object
-ASKED = (
-    "asked"  # request, API call, number of the retry, agent, product, customer, work ms, client timeout ms
-)
+ASKED = "asked"  # request, API call, retry number, agent, product, customer, work ms, client timeout ms
 GOT = "got"  # request, status, Retry-After ms, request id in the body
 LOST = "lost"  # request, reason: the connection ended without a whole answer
 LEFT = "left"  # request: the client timed out and closed its connection
@@ -33,13 +31,13 @@
 RAN = "ran"  # backend, request, effect: True, or False for a duplicate that was dropped
 FELL = "fell"  # backend: overloaded while cold, and crashed
 TOLD = "told"  # agent, incarnation, list version, [[backend, state], ...], True for a whole list
-STATE = "state"  # backend, incarnation, state, capacity (ms of work per ms when warm), cold ms, starting share, zone, cell
+STATE = "state"  # backend, incarnation, state, warm capacity (ms of work per ms), cold ms, starting share, zone, cell
 AGENT = "agent"  # agent, incarnation, one of started, ready, stopping, ended, killed
 TROUBLE = "trouble"  # number, kind, begins or ends, targets
 SAID = "said"  # agent, event, its fields: log events of an agent about its store and its fleet
 FAULT = "fault"  # text: an unexpected exception in the agent or the bed, or an agent with a bad exit status
 LOAD = "load"  # backend, requests running, requests queued, current share of the warm capacity
-POOLS = "pools"  # backend, number of agents that pool it: sampled from the agents, used by no check
+POOLS = "pools"  # [[backend, number of agents that pool it], ...]: sampled, used by no check
 
 
 # Log events of an agent that are recorded as SAID.
--- a/lupinreach/bed/world/network.py
+++ b/lupinreach/bed/world/network.py
@@ -35,21 +35,13 @@
     loss: float  # share of segments and datagrams that are lost
     rng: RandomStream
     cut_zones: set[int] = field(default_factory=set)  # zones whose traffic with other zones is dropped
-    reset_zones: set[int] = field(
-        default_factory=set
-    )  # zones whose traffic with other zones is dropped and whose connections to them are reset
+    reset_zones: set[int] = field(default_factory=set)  # as `cut_zones`, and connections are reset
     duplicate_share: float = 0.0  # share of datagrams that are delivered twice
     delayed_share: float = 0.0  # share of datagrams that are delayed
     delay_ms: float = 0.0  # added delay of those datagrams
-    not_receiving: set[Machine] = field(
-        default_factory=set
-    )  # machines that receive nothing from other machines
-    not_sending: set[Machine] = field(
-        default_factory=set
-    )  # machines whose traffic to other machines is dropped
-    blocked_pairs: set[tuple[str, str]] = field(
-        default_factory=set
-    )  # (sender, receiver) by name: traffic from one to the other is dropped
+    not_receiving: set[Machine] = field(default_factory=set)  # machines that receive nothing from others
+    not_sending: set[Machine] = field(default_factory=set)  # machines that reach no others
+    blocked_pairs: set[tuple[str, str]] = field(default_factory=set)  # (sender, receiver), by name
 
     def reaches(self, a: Machine, b: Machine) -> bool:
         """Whether traffic from `a` reaches `b`. The reverse direction is a separate question."""
--- a/lupinreach/bed/world/spec.py
+++ b/lupinreach/bed/world/spec.py
@@ -32,32 +32,17 @@
     "vanish": ("backends", 0.0, 0.0, 0.0),  # the machine neither sends nor receives; connections stay open
     "stall": ("backends", 0.3, 0.0, 1.0),  # share of answers that stop half-way
     "reset": ("backends", 0.1, 0.0, 1.0),  # share of requests whose connection is reset after their last byte
-    "break": (
-        "backends",
-        0.1,
-        0.0,
-        1.0,
-    ),  # share of requests whose connection is reset before their last byte
+    "break": ("backends", 0.1, 0.0, 1.0),  # share of requests whose connection is reset before their end
     "latency": ("backends", 50.0, 0.0, 60_000.0),  # added delay in ms, each way
     "narrow": ("backends", 2.0, 0.01, 1e6),  # bandwidth of each connection in bytes per ms, each way
     "apart": ("backends", 0.5, 0.0, 1.0),  # share of agents, drawn at random, that are cut off, both ways
     "apart-one-way": ("backends", 0.5, 0.0, 1.0),  # share of agents that the backend's answers don't reach
     "thief": ("backends", 0.5, 0.0, 0.99),  # share of the cores that another program takes intermittently
     "cut": ("zones", 0.0, 0.0, 0.0),  # traffic between the zone and the others is dropped
-    "cut-reset": (
-        "zones",
-        0.0,
-        0.0,
-        0.0,
-    ),  # as `cut`, but open connections to other zones are reset and new ones refused
+    "cut-reset": ("zones", 0.0, 0.0, 0.0),  # as `cut`, but connections between zones are reset or refused
     "loss": ("none", 0.05, 0.0, 1.0),  # share of segments and datagrams that are lost
     "datagrams-doubled": ("none", 0.3, 0.0, 1.0),  # share of datagrams that are delivered twice
-    "datagrams-late": (
-        "none",
-        2000.0,
-        0.0,
-        60_000.0,
-    ),  # ms by which the trouble's `share` of the datagrams is delayed, so that later ones overtake them
+    "datagrams-late": ("none", 2000.0, 0.0, 60_000.0),  # ms of delay for the `share` of datagrams
     "surge": ("none", 2.0, 0.0, 100.0),  # factor on the arrival rate
     "costly": ("none", 8.0, 1.0, 1000.0),  # factor on the work of one API call in fifty
     "late-reports": ("backends", 4.0, 1.0, 1000.0),  # factor on the age of load reports
@@ -66,30 +51,20 @@
     "sleep-agents": ("agents", 0.0, 0.0, 0.0),  # the process is suspended and resumes with a stale state
     "deaf-agents": ("agents", 0.0, 0.0, 0.0),  # they receive nothing, except from their own clients
     "dumb-agents": ("agents", 0.0, 0.0, 0.0),  # nothing they send arrives, except at their own clients
-    "twin-agents": (
-        "agents",
-        0.0,
-        0.0,
-        0.0,
-    ),  # a second process runs with the disk and configuration of the first
+    "twin-agents": ("agents", 0.0, 0.0, 0.0),  # a second process runs with its disk and configuration
     "clock-agents": (
         "agents",
         86_400.0,
         -1e7,
         1e7,
-    ),  # s by which the clock of an agent that starts meanwhile is ahead
+    ),  # s by which clocks of agents started meanwhile are ahead
     "disk-torn": ("agents", 0.5, 0.0, 1.0),  # share of the state file that is left; 0: it is empty
     "disk-lost": ("agents", 0.0, 0.0, 0.0),  # power loss: data that was not synced may be missing or torn
     "disk-older": ("agents", 5.0, 0.0, 1e5),  # the disk is rolled back by so many s
     "disk-other": ("agents", 0.0, 0.0, 0.0),  # the disk is replaced by a copy of the next agent's
     "disk-hangs": ("agents", 0.0, 0.0, 0.0),  # writes block until the end
     "disk-stuck": ("agents", 0.0, 0.0, 0.0),  # writes fail, as on a full or read-only disk
-    "drift-agents": (
-        "agents",
-        0.01,
-        -0.2,
-        0.2,
-    ),  # seconds that the clock of an agent that starts meanwhile gains per second
+    "drift-agents": ("agents", 0.01, -0.2, 0.2),  # s per s that clocks of agents started meanwhile gain
     "busy-agents": ("agents", 50.0, 0.0, 10_000.0),  # ms for which the event loop is blocked, once a second
     "registry-down": ("none", 0.0, 0.0, 0.0),  # the registry refuses and resets connections
     "registry-back": ("none", 0.0, 0.0, 0.0),  # it is down, and restarts at a lower version at the end
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -350,11 +350,14 @@
     import json
 
     good = run_command("bed", "run", "calm", "--json", str(tmp_path / "o.json"), "--report", str(tmp_path))
-    told = json.loads(good.stdout)
+    summary = json.loads(good.stdout)
     assert (
-        good.returncode == 0 and told["verdict"] == "kept" and told["calls"] > 500 and told["service"] > 0.9
+        good.returncode == 0
+        and summary["verdict"] == "kept"
+        and summary["calls"] > 500
+        and summary["service"] > 0.9
     )
-    assert json.loads((tmp_path / "o.json").read_text())["runs"][0]["digest"] == told["digest"]
+    assert json.loads((tmp_path / "o.json").read_text())["runs"][0]["digest"] == summary["digest"]
     page = (tmp_path / "calm-lupinreach-1.html").read_text()
     assert page.count("<svg") == 5 and "http-equiv" not in page and "<script" not in page
     (tmp_path / "bad.toml").write_text('base = "calm"\nseconds = 4\nfault = "answers-twice"\n')
@@ -435,8 +438,8 @@
     )
     violations, records = play_and_check(one)
     assert violations == []
-    shots, came = ({r[i] for r in records if r[0] == kind} for kind, i in (("sent", 5), ("came", 4)))
-    assert shots - came  # sent on a connection that was being closed
+    sent, arrived = ({r[i] for r in records if r[0] == kind} for kind, i in (("sent", 5), ("came", 4)))
+    assert sent - arrived  # sent on a connection that was being closed
 
 
 def test_a_registry_handles_requests_one_at_a_time_and_rejects_those_that_wait_too_long():
