--- a/lupinreach/bed/world/spec.py
+++ b/lupinreach/bed/world/spec.py
@@ -52,19 +52,14 @@
     "deaf-agents": ("agents", 0.0, 0.0, 0.0),  # they receive nothing, except from their own clients
     "dumb-agents": ("agents", 0.0, 0.0, 0.0),  # nothing they send arrives, except at their own clients
     "twin-agents": ("agents", 0.0, 0.0, 0.0),  # a second process runs with its disk and configuration
-    "clock-agents": (
-        "agents",
-        86_400.0,
-        -1e7,
-        1e7,
-    ),  # s by which clocks of agents started meanwhile are ahead
+    "clock-agents": ("agents", 86_400.0, -1e7, 1e7),  # s by which clocks of agents started then are ahead
     "disk-torn": ("agents", 0.5, 0.0, 1.0),  # share of the state file that is left; 0: it is empty
     "disk-lost": ("agents", 0.0, 0.0, 0.0),  # power loss: data that was not synced may be missing or torn
     "disk-older": ("agents", 5.0, 0.0, 1e5),  # the disk is rolled back by so many s
     "disk-other": ("agents", 0.0, 0.0, 0.0),  # the disk is replaced by a copy of the next agent's
     "disk-hangs": ("agents", 0.0, 0.0, 0.0),  # writes block until the end
     "disk-stuck": ("agents", 0.0, 0.0, 0.0),  # writes fail, as on a full or read-only disk
-    "drift-agents": ("agents", 0.01, -0.2, 0.2),  # s per s that clocks of agents started meanwhile gain
+    "drift-agents": ("agents", 0.01, -0.2, 0.2),  # s per s that clocks of agents started then gain
     "busy-agents": ("agents", 50.0, 0.0, 10_000.0),  # ms for which the event loop is blocked, once a second
     "registry-down": ("none", 0.0, 0.0, 0.0),  # the registry refuses and resets connections
     "registry-back": ("none", 0.0, 0.0, 0.0),  # it is down, and restarts at a lower version at the end
