--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -338,7 +338,7 @@
     # Found by the campaign (seed 31, history 32): a registry that went down behind a cut told, as that healed, what it had said before.
     came, there = [], [False]
     loop = VirtualLoop()
-    paths = SimpleNamespace(reaches=lambda *_: there[0], delay=lambda *_: 0.0, passing=lambda *_: 0.0)
+    paths = SimpleNamespace(reaches=lambda *_: there[0], delay=lambda *_: 0.0, transmission_ms=lambda *_: 0.0)
     net = SimpleNamespace(paths=paths, loop=loop, waiting={}, context=None)
 
     class End(Side):
