--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -156,7 +156,7 @@
         self.connections.pop(request.call, None)
         if not self._end(request):
             return
-        status = head.first[2]
+        status = head.start_line[2]
         wait = float(head.headers.get(b"retry-after", b"0")) * 1000
         body_request = (
             body[len(BODY_PREFIX) :].decode("latin-1")
@@ -239,7 +239,7 @@
             self._transport.abort()
             return
         for head, body in messages:
-            if head.first[2] < 200:
+            if head.start_line[2] < 200:
                 continue
             request, self.request = self.request, None
             if request is None:
@@ -251,7 +251,7 @@
             self._used = True
             self._host.response_received(request, head, body)
             if (
-                head.keeps
+                head.keep_alive
                 and len(self._host.idle_connections) < self._host.world.clients.connections
                 and self.is_open
             ):
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -206,7 +206,7 @@
             self._request(head, body)
 
     def _request(self, head: Head, body: bytes) -> None:
-        host, (_, target, _) = self._host, head.first
+        host, (_, target, _) = self._host, head.start_line
         name = head.headers.get(protocol.ID, b"").decode()
         if target in (protocol.LIVE_PATH, protocol.STATS_PATH):
             load = (
@@ -390,7 +390,7 @@
             self._transport.abort()
             return
         for head, _ in messages:
-            target = head.first[1]
+            target = head.start_line[1]
             wait_ms, accepted = self._host.reserve_slot()
             if wait_ms:
                 self._host.environment.loop.call_later(wait_ms / 1000, self._answer, target, accepted)
--- a/lupinreach/mesh/model/command.py
+++ b/lupinreach/mesh/model/command.py
@@ -1,4 +1,7 @@
-"""`lupinreach mesh model`: drawn histories and exhaustive search of the store, with mistakes planted on demand."""
+"""`lupinreach mesh model`: model checks of the store by random histories or exhaustive search.
+
+A deliberate mistake can be applied to show that a check detects it.
+"""
 
 from __future__ import annotations
 
@@ -7,88 +10,96 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from lupinreach.mesh.model.histories import Plan, play_history, tell_history
+from lupinreach.mesh.model.histories import SimulationParameters, run_history, trace_history
+from lupinreach.mesh.model.history_format import HistoryFormatError, format_history, parse_budget
 from lupinreach.mesh.model.mistakes import MISTAKES
-from lupinreach.mesh.model.search import Found, search
-from lupinreach.mesh.model.written import BadHistory, read_budget, write_history
+from lupinreach.mesh.model.search import SearchResult, search
 
-EXIT_BROKEN = 1
+EXIT_VIOLATION = 1
 EXIT_INVALID = 2
-PROGRESS_EVERY = 100  # histories
+PROGRESS_INTERVAL_HISTORIES = 100  # histories
 
 
 class Model(Command):
+    """Runs random histories or an exhaustive search of the store, optionally with a deliberate mistake."""
+
     name = "model"
     description = (
-        "Play the store's own functions through drawn histories, or through all states of a small group."
+        "Check the store's own functions on random histories, or on all states of a small group of stores."
     )
     options = [
-        option("histories", None, "how many histories to draw", flag=False, default="200"),
-        option("seed", None, "the first seed", flag=False, default="0"),
+        option("histories", None, "number of random histories", flag=False, default="200"),
+        option("seed", None, "seed of the first history; each next one adds 1", flag=False, default="0"),
         option(
             "lost",
             None,
-            "stores that may be lost at once: 1, 2 or 4 (3, 5 or 9 stores)",
+            "number of stores that may be lost at once: 1, 2 or 4 (of 3, 5 or 9 stores)",
             flag=False,
             default="1",
         ),
         option(
-            "late", None, "by how many seconds messages are late or doubled, at most", flag=False, default="5"
+            "late", None, "longest delay of delayed or duplicated messages, seconds", flag=False, default="5"
+        ),
+        option(
+            "share", None, "fraction of messages that are delayed or duplicated", flag=False, default="0.1"
+        ),
+        option(
+            "search", None, "search all states within a budget, such as `orders=1 timeouts=2`", flag=False
         ),
-        option("share", None, "of messages that are", flag=False, default="0.1"),
-        option("search", None, "search all states within a budget, as `orders=1 timeouts=2`", flag=False),
-        option("most", None, "states that a search keeps, at most", flag=False, default="200000"),
-        option("mistake", None, "plant a mistake by name; `list` names them", flag=False),
+        option("most", None, "maximum number of states that a search keeps", flag=False, default="200000"),
+        option("mistake", None, "apply a deliberate mistake by name; `list` prints all names", flag=False),
     ]
 
     def handle(self) -> int:
-        """Exit code 1 where an invariant broke, 2 where an option can't be read."""
-        wanted = self.option("mistake")
-        if wanted == "list":
+        """Exit code 1 if an invariant is violated, 2 if an option is invalid."""
+        mistake_name = self.option("mistake")
+        if mistake_name == "list":
             for mistake in MISTAKES:
-                self.line(f"{mistake.name:24} {mistake.told}")
+                self.line(f"{mistake.name:24} {mistake.description}")
             return 0
-        planted: AbstractContextManager[None] = nullcontext()
-        if wanted:
-            found = next((mistake for mistake in MISTAKES if mistake.name == wanted), None)
+        applied: AbstractContextManager[None] = nullcontext()
+        if mistake_name:
+            found = next((mistake for mistake in MISTAKES if mistake.name == mistake_name), None)
             if found is None:
-                self.line_error(f"mistake: {wanted!r} is unknown; `--mistake list` names all")
+                self.line_error(f"mistake: {mistake_name!r} is unknown; `--mistake list` names all")
                 return EXIT_INVALID
-            planted = found.planted()
+            applied = found.applied()
         try:
-            with planted:
-                return self._search() if self.option("search") else self._draw()
-        except BadHistory as wrong:
-            self.line_error(f"search: {wrong}")
+            with applied:
+                return self._search() if self.option("search") else self._run_random_histories()
+        except HistoryFormatError as error:
+            self.line_error(f"search: {error}")
             return EXIT_INVALID
 
     def _search(self) -> int:
-        budget = read_budget(self.option("search"))
-        found = search(budget, int(self.option("most")), self._progress)
-        self._progress(found)
-        if not found.broken:
+        budget = parse_budget(self.option("search"))
+        found = search(budget, int(self.option("most")), self._print_progress)
+        self._print_progress(found)
+        if not found.violated:
             self.line("nothing broken" + ("" if found.complete else ", but not all states were seen"))
             return 0
-        for line in found.story:
+        for line in found.trace:
             self.line(line)
-        self.line(write_history("found by the search", budget, found.steps))
-        return EXIT_BROKEN
+        self.line(format_history("found by the search", budget, found.steps))
+        return EXIT_VIOLATION
 
-    def _progress(self, found: Found) -> None:
+    def _print_progress(self, found: SearchResult) -> None:
         self.line(f"{found.states} states, {found.moves} moves, {found.seconds:.1f} s")
 
-    def _draw(self) -> int:
-        plan = Plan(int(self.option("lost")), float(self.option("late")), float(self.option("share")))
+    def _run_random_histories(self) -> int:
+        parameters = SimulationParameters(
+            int(self.option("lost")), float(self.option("late")), float(self.option("share"))
+        )
         first, count = int(self.option("seed")), int(self.option("histories"))
         confirmed = 0
         for seed in range(first, first + count):
-            highest, broken = play_history(seed, plan)
+            highest, violation = run_history(seed, parameters)
             confirmed += highest
-            if broken is not None:
-                for line in tell_history(seed, plan):
+            if violation is not None:
+                for line in trace_history(seed, parameters):
                     self.line(line)
-                return EXIT_BROKEN
-            if (seed - first + 1) % PROGRESS_EVERY == 0:
+                return EXIT_VIOLATION
+            if (seed - first + 1) % PROGRESS_INTERVAL_HISTORIES == 0:
                 self.line(f"{seed - first + 1} histories, {confirmed} orders confirmed")
         self.line(f"{count} histories, {confirmed} orders confirmed, nothing broken")
         return 0
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -46,7 +46,7 @@
     def __init__(self, serving: Serving, listener: Listener, sock: socket.socket) -> None:
         self._serving = serving
         self._listener = listener
-        self.channel = Channel(sock, http.MOST_HEAD + http.IN_PLACE)
+        self.channel = Channel(sock, http.MAX_HEAD_BYTES + http.IN_PLACE)
         self.since = serving.clock.now()  # accepted, or free for the next request
         self.fresh = True  # nothing has come yet
         self._keeps = True  # as the last request said
@@ -89,7 +89,7 @@
             head = await http.read_head(channel, answer=False)
             if b"expect" in head.headers and channel.start == channel.end:  # its body may wait for a word
                 channel.write(http.CONTINUE)
-            self._old = head.old
+            self._old = head.is_http10
             self._body_since = self._serving.clock.now()
             request = http.message(head, b"")
             upload = await self._read_body(head, request)
@@ -108,7 +108,7 @@
             self._let_go(upload)
             # Guards against requests by the hundred on one connection: the protocol has one at a time.
             raise BadRequest("more has come than one request")
-        self._keeps = request.keeps
+        self._keeps = request.keep_alive
         arrived = self._serving.clock.now() - channel.quiet  # of its last byte
         if request.target == protocol.READY_PATH:
             self._let_go(upload)
@@ -163,7 +163,7 @@
         self, status: int, lines: Sequence[http.Slice | bytes] = (), body: http.Slice | bytes = b""
     ) -> None:
         """Write an answer as one piece."""
-        self._writing = self.channel.write(http.answer(status, lines, body, self._stays()))
+        self._writing = self.channel.write(http.response(status, lines, body, self._stays()))
 
     def begin(self, status: int, lines: Sequence[http.Slice | bytes], length: int | None) -> Reply:
         """An answer that will be written as it comes."""
@@ -251,7 +251,9 @@
                 await self.channel.drain(MOST_DROPPED, LINGER)
 
     def turn_away(self, status: int, why: str) -> None:
-        self.channel.write(http.answer(status, [b"Content-Type: text/plain\r\n"], why.encode(), keeps=False))
+        self.channel.write(
+            http.response(status, [b"Content-Type: text/plain\r\n"], why.encode(), keep_alive=False)
+        )
 
 
 class Listener:
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -47,7 +47,7 @@
         lines = [b"Content-Type: " + kind + b"\r\n"]
         if self.allow:
             lines.append(b"Allow: " + self.allow + b"\r\n")
-        return http.answer(self.status, lines, body, keeps=False)
+        return http.response(self.status, lines, body, keep_alive=False)
 
 
 class Door:
@@ -98,7 +98,7 @@
         for _ in range(MOST_HELD):  # guards against callers by the hundred that would hold up API calls
             try:
                 sock, _ = self._socket.accept()
-                channel = Channel(sock, http.MOST_HEAD + MOST_CALL)
+                channel = Channel(sock, http.MAX_HEAD_BYTES + MOST_CALL)
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failed:
@@ -149,7 +149,7 @@
             if ended.end is End.TOO_LARGE:
                 return Said(413, "the call is too large")
             return Said(400, "the call can't be read") if ended.end is End.MALFORMED else None
-        method, target, _ = head.first
+        method, target, _ = head.start_line
         path = target.partition(b"?")[0]
         if path not in self._calls:
             return Said(404, f"no such path; there are {b', '.join(self._calls).decode()}")
