--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from lupinreach.bed.commands.experiment import Result, run_many
-from lupinreach.bed.world.chance import Stream, stream
+from lupinreach.bed.world.random_streams import RandomStream, random_stream
 from lupinreach.bed.world.spec import TROUBLES, BackendKind, Trouble, World
 from lupinreach.model import Idempotency
 
@@ -31,12 +31,12 @@
 RISKY = 4.0  # x the usual share of what must not run twice
 
 
-def draw(world: World, number: int, chance: Stream) -> World:
+def draw(world: World, number: int, chance: RandomStream) -> World:
     """One world round the given one; each second one under stress, where rules are looked for and not service."""
     return _stressed(world, number, chance) if number % 2 else _likely(world, number, chance)
 
 
-def _stressed(world: World, number: int, chance: Stream) -> World:
+def _stressed(world: World, number: int, chance: RandomStream) -> World:
     """Endings that are rare elsewhere are common here.
 
     Guards against a fault that needs two rare things at once: drawn apart they would hardly ever meet.
@@ -68,7 +68,7 @@
     )
 
 
-def _likely(world: World, number: int, chance: Stream) -> World:
+def _likely(world: World, number: int, chance: RandomStream) -> World:
     kinds = [k for k in TROUBLES if k not in NOT_DRAWN]
     drawn = []
     for _ in range(int(chance.integers(1, MOST_TROUBLES + 1))):
@@ -106,7 +106,7 @@
     told: Callable[[str], None] = lambda _: None,
 ) -> tuple[Found | None, list[Found]]:
     """`budget` runs: the broken rule, shrunk, if one was met; and the worlds with the least service, worst first."""
-    chance = stream(seed, "search")
+    chance = random_stream(seed, "search")
     worst: list[Found] = []
     batch = 4 * (workers or 8)
     for begin in range(0, budget, batch):
@@ -118,14 +118,14 @@
         told(f"{begin + len(worlds)} worlds, least service {worst[0].result.figures['service']:.3f}")
         broken = [f for f in found if not f.result.kept]
         if broken:
-            told(f"{broken[0].world.name} breaks {broken[0].result.breaches[0].name!r}; shrinking")
+            told(f"{broken[0].world.name} breaks {broken[0].result.violations[0].name!r}; shrinking")
             return shrink(broken[0], workers, told), worst
     return None, worst
 
 
 def shrink(found: Found, workers: int | None = None, told: Callable[[str], None] = lambda _: None) -> Found:
     """The smallest world met that breaks the same rule in the same way."""
-    name = found.result.breaches[0].name
+    name = found.result.violations[0].name
     for _ in range(ROUNDS):
         better = None
         for world in smaller(found.world):
@@ -141,7 +141,7 @@
 
 def size(world: World) -> str:
     return (
-        f"{len(world.troubles)} troubles, {world.agents} agents, {world.fleet} backends, "
+        f"{len(world.troubles)} troubles, {world.agents} agents, {world.backend_count} backends, "
         f"{world.length / 1000:.1f} s, {world.traffic.calls_per_s:.0f} API calls a second"
     )
 
@@ -150,7 +150,7 @@
     """This world on a seed on which it breaks the rule in this way; the seed it has goes first."""
     seeds = [world.seeds[0], *(world.seeds[0] + i for i in range(1, TRIES))]
     for result in run_many([(world, s) for s in seeds], workers):
-        if any(b.name == name for b in result.breaches):
+        if any(b.name == name for b in result.violations):
             return Found(replace(world, seeds=(result.seed,)), result)
     return None
 
@@ -167,9 +167,9 @@
             length=world.length / 2,
             troubles=tuple(replace(t, at=t.at / 2, length=t.length / 2) for t in world.troubles),
         )
-    if world.fleet > 2 and not any(t.names for t in world.troubles):
+    if world.backend_count > 2 and not any(t.targets for t in world.troubles):
         halves = tuple(_half(kind) for kind in world.backends)
-        if sum(k.count for k in halves) < world.fleet:
+        if sum(k.count for k in halves) < world.backend_count:
             yield replace(world, backends=halves)
     if world.traffic.calls_per_s > 2:
         yield replace(
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -25,11 +25,11 @@
 from lupinreach.bed.ways.disk import Folder
 from lupinreach.bed.ways.stage import Stage
 from lupinreach.bed.ways.stopping import until_stopped
-from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import Addresses
+from lupinreach.bed.world import ledger as record_kinds
+from lupinreach.bed.world.environment import Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import World
 from lupinreach.config import Address
 
@@ -57,8 +57,8 @@
     To the protocol it is the transport.
     """
 
-    def __init__(self, ground: LoopbackGround, machine: Machine, inner: asyncio.Protocol) -> None:
-        self._ground = ground
+    def __init__(self, environment: LoopbackGround, machine: Machine, inner: asyncio.Protocol) -> None:
+        self._environment = environment
         self._machine = machine
         self._inner = inner
         self._transport: Any = None
@@ -73,19 +73,19 @@
     def data_received(self, data: bytes) -> None:
         at = data.find(NAME)
         if at >= 0:
-            self._from = self._ground.whose(data[at + len(NAME) : data.find(b"\r", at)]) or self._from
+            self._from = self._environment.whose(data[at + len(NAME) : data.find(b"\r", at)]) or self._from
         self._pass(0, lambda: self._inner.data_received(data))
 
     def _pass(self, way: int, what: Callable[[], None]) -> None:
-        ground = self._ground
+        environment = self._environment
         ends = (self._machine, self._from) if way else (self._from, self._machine)
-        if self._held[way] or not ground.paths.reaches(*ends):
+        if self._held[way] or not environment.paths.reaches(*ends):
             self._held[way].append(what)
-            ground.waiting[self] = None
+            environment.waiting[self] = None
             return
-        took = ground.paths.delay(self._from, self._machine) / 1000
-        self._due[way] = max(self._due[way], ground.loop.time() + took)
-        ground.loop.call_at(self._due[way], what)
+        took = environment.paths.delay(self._from, self._machine) / 1000
+        self._due[way] = max(self._due[way], environment.loop.time() + took)
+        environment.loop.call_at(self._due[way], what)
 
     def again(self) -> None:
         for way in (0, 1):
@@ -123,14 +123,16 @@
 
 
 class LoopbackGround:
-    exact = False
+    sees_agent_traffic = False
 
     def __init__(self, world: World, seed: int, folder: Path, tree: Path | None = None) -> None:
         self._tree = tree  # of another version of the agent; None: this one
         self.costs: dict[int, tuple[float, float]] = {}  # by agent at its end: s of CPU, MB at most
         self.loop = asyncio.get_running_loop()
         network = world.network
-        self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
+        self.paths = Paths(
+            network.same, network.cross, network.jitter, network.loss, random_stream(seed, "paths")
+        )
         self.addresses = Addresses(free_port())
         self.ledger = Ledger(self.now())
         self._runs = world.fault or world.policy
@@ -172,7 +174,7 @@
         else:
             self._servers.setdefault(machine, []).append(server)
 
-    def shut(self, machine: Machine, on: bool) -> None:
+    def set_refusing(self, machine: Machine, on: bool) -> None:
         if on and machine not in self._shut:
             self._shut.add(machine)
             for server in self._servers.pop(machine, ()):
@@ -191,12 +193,12 @@
         except OSError as failed:
             protocol.connection_lost(failed)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         held, self.waiting = list(self.waiting), {}
         for line in held:
             line.again()
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         """Cut off in either way, connections here stay open and silent; the relay of a trial resets them."""
 
     # Agents.
@@ -204,7 +206,7 @@
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
@@ -260,8 +262,8 @@
             event = json.loads(line)
             if event["event"] == "started":
                 up.set()
-            elif event["event"] in books.BOOKED:
-                self.ledger.note(books.SAID, self.now(), number, event.pop("event"), event)
+            elif event["event"] in record_kinds.RECORDED_LOG_EVENTS:
+                self.ledger.add_record(record_kinds.SAID, self.now(), number, event.pop("event"), event)
             elif event["event"] == "fault":
                 self.ended_badly.append(f"agent {number}: {event.get('why')}")
         code = await agent.wait()
@@ -282,7 +284,7 @@
     def kill_agent(self, number: int) -> None:
         self._signal(number, signal.SIGKILL)
 
-    def hold_agent(self, number: int, ms: float) -> None:
+    def pause_agent(self, number: int, ms: float) -> None:
         self._signal(number, signal.SIGSTOP)
         self.loop.call_later(ms / 1000, self._signal, number, signal.SIGCONT)
 
@@ -337,22 +339,22 @@
     `tree` is the checkout of another version, whose agents are run in place of this one's.
     """
     with tempfile.TemporaryDirectory(prefix="lupinreach-bed-") as folder:
-        ground = LoopbackGround(world, seed, Path(folder), tree)
-        stage = Stage(world, seed, ground, progress)
-        ground.whose = stage.whose
+        environment = LoopbackGround(world, seed, Path(folder), tree)
+        stage = Stage(world, seed, environment, progress)
+        environment.whose = stage.whose
         if watch is not None:
             watch(stage)
         try:
             if await until_stopped(stage.play()):
-                ground.ledger.stop()
+                environment.ledger.stop()
         finally:
-            await ground.close()
-            for what in ground.ended_badly:
-                ground.ledger.note(books.FAULT, ground.now(), what)
-            ground.ledger.seal()
+            await environment.close()
+            for what in environment.ended_badly:
+                environment.ledger.add_record(record_kinds.FAULT, environment.now(), what)
+            environment.ledger.seal()
             if costs is not None:
-                costs.update(ground.costs)
-    return ground.ledger
+                costs.update(environment.costs)
+    return environment.ledger
 
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -58,7 +58,7 @@
         size = len(what) if isinstance(what, bytes | bytearray) else 0
         self._last = (
             max(self._last, loop.time() + paths.delay(self.machine, other.machine) / 1000)
-            + paths.passing(self.machine, other.machine, size) / 1000
+            + paths.transmission_ms(self.machine, other.machine, size) / 1000
         )
         loop.call_at(self._last, self._arrive, other, what, context=self.net.context)
 
@@ -409,7 +409,7 @@
         machine, protocol = self.servers[address]
         if not self.paths.reaches(sock.machine, machine) or not self.paths.reaches(machine, sock.machine):
             self.dials.append((sock, address))  # nothing came, or no answer to it
-        elif machine.shut:
+        elif machine.refusing:
             self.loop.call_later(back, sock.fail, errno.ECONNREFUSED, context=self.context)
         else:
             line = Line(self, machine, protocol())
@@ -427,7 +427,7 @@
         else:
             self.loop.call_soon(line.up, context=self.context)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Something can be reached again: what was held goes on."""
         held, self.waiting = list(self.waiting), {}
         for side in held:
@@ -461,7 +461,7 @@
 
     def tell(self, machine: Machine, source: Address, address: Address, data: bytes) -> None:
         for post in self._at(address, source):
-            for took in self.paths.datagram(machine, post.machine):
+            for took in self.paths.datagram_delays(machine, post.machine):
                 self.loop.call_later(took / 1000, self._hear, post, data, source, context=self.context)
 
     def _at(self, address: Address, source: Address) -> list[Post]:
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -18,11 +18,11 @@
 from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySocket, MemorySockets
 from lupinreach.bed.ways.policies import POLICIES, TrueState
 from lupinreach.bed.ways.stage import Stage
-from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import EPOCH, Addresses
+from lupinreach.bed.world import ledger as record_kinds
+from lupinreach.bed.world.environment import VIRTUAL_EPOCH_MS, Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import World
 from lupinreach.config import Address, AgentConfig, FleetConfig, Section, read_settings
 from lupinreach.net.agent import Agent
@@ -39,7 +39,7 @@
     def __init__(self, loop: VirtualLoop, ahead: float = 0.0, drift: float = 0.0) -> None:
         self._loop = loop
         self._rate = 1 + drift
-        self._anchor = EPOCH + ahead - loop.time() * 1000 * drift
+        self._anchor = VIRTUAL_EPOCH_MS + ahead - loop.time() * 1000 * drift
 
     def now(self) -> float:
         return self._anchor + self._loop.time() * 1000 * self._rate
@@ -54,7 +54,7 @@
         self._say = say
 
     def event(self, event: str, **fields: object) -> None:
-        if event in books.BOOKED:
+        if event in record_kinds.RECORDED_LOG_EVENTS:
             self._say(event, fields)
 
 
@@ -70,13 +70,13 @@
 class Seen:
     """The true state, as far as one agent could act on it."""
 
-    def __init__(self, ground: VirtualGround, machine: Machine, agent: Agent) -> None:
-        self._ground, self._machine, self._agent = ground, machine, agent
+    def __init__(self, environment: VirtualGround, machine: Machine, agent: Agent) -> None:
+        self._environment, self._machine, self._agent = environment, machine, agent
 
     def backend(self, index: int) -> Backend | None:
-        ground, place = self._ground, self._agent.directory.place(index)
-        host = ground.hosts[ground.backend_at[place.address]]
-        there = ground.paths.reaches(self._machine, host.machine) and ground.paths.reaches(
+        environment, place = self._environment, self._agent.directory.place(index)
+        host = environment.hosts[environment.backend_at[place.address]]
+        there = environment.paths.reaches(self._machine, host.machine) and environment.paths.reaches(
             host.machine, self._machine
         )
         if not there or not host.backend.up:
@@ -85,11 +85,11 @@
         return host.backend
 
     def work(self, product: int) -> float:
-        return self._ground.works[product]
+        return self._environment.works[product]
 
 
 class VirtualGround:
-    exact = True
+    sees_agent_traffic = True
     addresses = Addresses(7000)
 
     def __init__(self, world: World, seed: int) -> None:
@@ -97,12 +97,14 @@
         self._seed = seed
         self._disks: dict[int, MemoryDisk] = {}  # one an agent, over all its lives
         network = world.network
-        self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
+        self.paths = Paths(
+            network.same, network.cross, network.jitter, network.loss, random_stream(seed, "paths")
+        )
         self.net = MemoryNet(self.loop, self.paths)
         self.net.sends = self._sends
         self.net.everybody = self.addresses.everybody()
         self.clock = VirtualClock(self.loop)
-        self.ledger = Ledger(EPOCH + START * 1000)
+        self.ledger = Ledger(VIRTUAL_EPOCH_MS + START * 1000)
         self._fault = FAULTS.get(world.fault)
         self._tamper = self._fault.tamper() if self._fault and self._fault.tamper else None
         self._decide = self._fault.decide if self._fault and self._fault.decide else POLICIES[world.policy]
@@ -110,7 +112,7 @@
         self._lives: dict[int, Life] = {}
         self._twins: dict[int, Life] = {}  # second processes; each leaves as it ends
         self._owners: dict[int, tuple[int, int]] = {}  # owner: agent, life; as many as there were lives
-        self._chance = stream(seed, "breaks")
+        self._chance = random_stream(seed, "breaks")
         self.works = [p.work for p in world.products]
         self._tasks: set[asyncio.Task[None]] = set()
         self._ends: dict[int, Callable[[], None]] = {}  # of the agents that run
@@ -127,14 +129,14 @@
     def connect(self, machine: Machine, protocol: asyncio.Protocol, address: Address) -> None:
         self.net.connect(machine, protocol, address)
 
-    def mended(self) -> None:
-        self.net.mended()
+    def release_held(self) -> None:
+        self.net.release_held()
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         self.net.refuse()
 
-    def shut(self, machine: Machine, on: bool) -> None:
-        machine.shut = on
+    def set_refusing(self, machine: Machine, on: bool) -> None:
+        machine.refusing = on
 
     def _sends(self, sock: MemorySocket, piece: bytes) -> tuple[bytes, int]:
         """What an agent writes: booked, tampered with, or broken off."""
@@ -145,7 +147,7 @@
                 agent, life = self._owners[sock.owner]
                 backend = self.backend_at.get(sock.address)
                 if backend is not None:
-                    self.ledger.note(books.SENT, self.now(), agent, life, backend, name)
+                    self.ledger.add_record(record_kinds.SENT, self.now(), agent, life, backend, name)
                 other = sock.other
                 if (
                     other is not None
@@ -167,13 +169,13 @@
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
         drift: float = 0.0,
     ) -> None:
-        self._lives[number] = await self._begin(number, life, raw, ahead, drift)
+        self._lives[number] = await self._begin(number, incarnation, raw, ahead, drift)
         self._ends[number] = ended
 
     async def start_twin(self, number: int, raw: dict[str, Any]) -> None:
@@ -188,7 +190,7 @@
         owner = len(self._owners) + 1
         self._owners[owner] = number, life
         log = VirtualLog(
-            lambda event, fields: self.ledger.note(books.SAID, self.now(), number, event, fields)
+            lambda event, fields: self.ledger.add_record(record_kinds.SAID, self.now(), number, event, fields)
         )
         with self.loop.owned_by(owner):
             sockets = MemorySockets(self.net, self._machines(number), raw["limits"]["sockets"])
@@ -203,7 +205,7 @@
         return begun
 
     def disk(self, number: int) -> MemoryDisk:
-        return self._disks.setdefault(number, MemoryDisk(stream(self._seed, "disk", number)))
+        return self._disks.setdefault(number, MemoryDisk(random_stream(self._seed, "disk", number)))
 
     def carried(self, number: int) -> str:
         return CARRIED
@@ -235,7 +237,7 @@
             if what.startswith("fault"):
                 self.agent_faults[what] += times
 
-    def hold_agent(self, number: int, ms: float) -> None:
+    def pause_agent(self, number: int, ms: float) -> None:
         self.loop.hold(self._lives[number].owner, ms)
 
     def pools(self) -> dict[int, int]:
@@ -284,30 +286,32 @@
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
     """One run; its ledger, in which a fault stands where anything raised that nobody caught."""
-    ground = VirtualGround(world, seed)
-    loop = ground.loop
+    environment = VirtualGround(world, seed)
+    loop = environment.loop
     asyncio.set_event_loop(loop)
     frozen = gc.isenabled()
     gc.disable()  # guards against a collector whose turns cost a third of the run
     try:
         IOLoop.current()  # makes Tornado's own for this loop, outside of all owners
-        stage = Stage(world, seed, ground, progress)
-        ground.bind(stage, {ground.addresses.backend(n): n for n in range(world.fleet)})
+        stage = Stage(world, seed, environment, progress)
+        environment.bind(stage, {environment.addresses.backend(n): n for n in range(world.backend_count)})
         loop.run_until_complete(stage.play())
-        ground.close()
-        for what, times in sorted(ground.agent_faults.items()):
-            ground.ledger.note(books.FAULT, ground.now(), f"{what} x{times}")
+        environment.close()
+        for what, times in sorted(environment.agent_faults.items()):
+            environment.ledger.add_record(record_kinds.FAULT, environment.now(), f"{what} x{times}")
         for context in loop.faults:
             raised = context.get("exception")
-            ground.ledger.note(
-                books.FAULT, ground.now(), f"{context['message']}: {type(raised).__name__}: {raised}"
+            environment.ledger.add_record(
+                record_kinds.FAULT,
+                environment.now(),
+                f"{context['message']}: {type(raised).__name__}: {raised}",
             )
     finally:
-        ledger = ground.ledger
+        ledger = environment.ledger
         ledger.seal()
         loop.end()
         # What killed agents left half-way ends while there still is a loop that it can call.
-        stage = ground = None  # type: ignore[assignment]
+        stage = environment = None  # type: ignore[assignment]
         IOLoop._ioloop_for_asyncio.pop(loop, None)  # holds their streams
         gc.collect()
         if frozen:
--- a/lupinreach/trial/campaign/hunt.py
+++ b/lupinreach/trial/campaign/hunt.py
@@ -15,7 +15,7 @@
 
 from lupinreach.bed.commands.search import smaller
 from lupinreach.bed.ways import virtual
-from lupinreach.bed.world.chance import Stream, stream
+from lupinreach.bed.world.random_streams import RandomStream, random_stream
 from lupinreach.bed.world.spec import to_toml
 from lupinreach.config import BadConfig
 from lupinreach.trial import bounds, play, spec
@@ -67,7 +67,7 @@
         raw,
         played.verdict,
         played.unsure,
-        tuple(sorted({b.name for b in played.result.breaches})),
+        tuple(sorted({b.name for b in played.result.violations})),
         tuple(passed),
         played.recovery.plain(),
         reached,
@@ -88,7 +88,7 @@
             self._by.setdefault(word, []).append((h.number, h.raw))
             del self._by[word][:-RARE]
 
-    def parent(self, chance: Stream) -> tuple[int, draw.Raw] | None:
+    def parent(self, chance: RandomStream) -> tuple[int, draw.Raw] | None:
         """One that reached a word that few did; each such word alike."""
         rare = sorted(word for word, times in self.times.items() if times <= RARE)
         return draw.pick(chance, self._by[draw.pick(chance, rare)]) if rare else None
@@ -110,7 +110,7 @@
 
     def draw(self, number: int) -> tuple[int, int | None, draw.Raw, int]:
         """The history of a number: plain, or near to one that reached something rare by now."""
-        chance = stream(self._seed, "guide", number)
+        chance = random_stream(self._seed, "guide", number)
         if chance.random() < self._guided and (found := self.guide.parent(chance)) is not None:
             parent, raw = found
             return number, parent, draw.near(raw, self._seed, number), number
@@ -190,7 +190,7 @@
 
 def size(trial: Trial) -> str:
     kinds = ", ".join(sorted({t.kind for t in trial.world.troubles}))
-    return f"{trial.world.agents} agents, {trial.world.fleet} backends, {len(trial.world.troubles)} faults ({kinds})"
+    return f"{trial.world.agents} agents, {trial.world.backend_count} backends, {len(trial.world.troubles)} faults ({kinds})"
 
 
 def smallest(h: History) -> tuple[Trial, int]:
@@ -201,7 +201,7 @@
         with suppress(BadConfig, ValueError), bounds.watched(some.world.agents) as watch:
             played = play.judge(some, seed, virtual.play(some.world, seed))
             if h.broken:
-                return any(b.name in h.broken for b in played.result.breaches)
+                return any(b.name in h.broken for b in played.result.violations)
             if h.passed:
                 return any(name in h.passed for name in watch.passed)
             return played.recovery.whole <= h.figures["whole"] * 1.05 + 0.02 and played.recovery.whole < 1
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -11,7 +11,7 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.bed.ways.disk import CARRIED, Folder, MemoryDisk
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.model import BackendSnapshot, PolicySnapshot
 from lupinreach.ops.snapshot import SnapshotStore, parse_snapshot
 from lupinreach.store import records
@@ -64,7 +64,7 @@
     found = set()
     for steps in range(4):
         for seed in range(40):
-            disk = Stops(stream(seed, "disk"), 9)
+            disk = Stops(random_stream(seed, "disk"), 9)
             assert replace(CARRIED, b"old text", sync, disk)
             disk.sync(".")
             disk._names[CARRIED].safe = len(b"old text")
@@ -140,7 +140,7 @@
     }
 )
 def test_processes_with_torn_and_foreign_disks_keep_the_rules(played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
 
 
 class Hangs(Disk):
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -14,7 +14,7 @@
 from benchmarks.drawn_losses import drawn
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.disk import MemoryDisk
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.config import BadConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
@@ -39,19 +39,19 @@
     for p in played:
         assert 0 < p.result.figures["answers"]["errored"] < 10 and p.recovery.first_10s > 0.95
     without_journal = play.run(spec.read(SMALL | REPEATED | {"agents": {"count": 4, "store": True}}), 3)
-    assert {b.name for b in without_journal.result.breaches} == {"effect twice"}
+    assert {b.name for b in without_journal.result.violations} == {"effect twice"}
 
 
 @pytest.mark.rig(RIG | REPEATED | {"seconds": 9} | AGENTS)
 def test_payment_repeated_after_a_power_loss_runs_once_with_processes(played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
 
 
 def test_hanging_disk_rate_limits_payments_at_once_and_the_rest_is_served():
     hangs = {"kind": "disk-hangs", "at": 4, "seconds": 3, "share": 1.0}
     ledger = virtual.play((trial := spec.read(SMALL | AGENTS | {"troubles": [hangs]})).world, 3)
     played = play.judge(trial, 3, ledger)
-    assert played.verdict == play.KEPT, played.result.breaches[:3]
+    assert played.verdict == play.KEPT, played.result.violations[:3]
     began = next(r[1] for r in ledger.records if r[0] == "asked")
     asked = {r[2]: (r[1], r[6]) for r in ledger.records if r[0] == "asked"}
     late = [
@@ -71,7 +71,7 @@
     trial = spec.read(drawn(5027, True, False))
     assert play.run(trial, 5027).verdict == play.KEPT
     monkeypatch.setattr(fleet_agent, "WITNESSES", 0)
-    assert {b.name for b in play.run(trial, 5027).result.breaches} == {"effect twice"}
+    assert {b.name for b in play.run(trial, 5027).result.violations} == {"effect twice"}
 
 
 def test_copy_two_heartbeats_old_is_detected_by_the_extra_heartbeats_after_payments(monkeypatch):
@@ -79,7 +79,7 @@
     trial = spec.read(drawn(20075, True, False))
     assert play.run(trial, 20075).verdict == play.KEPT
     monkeypatch.setattr(fleet_agent.FleetAgent, "record_synced", lambda _: None)
-    assert {b.name for b in play.run(trial, 20075).result.breaches} == {"effect twice"}
+    assert {b.name for b in play.run(trial, 20075).result.violations} == {"effect twice"}
 
 
 def test_extra_heartbeat_is_synced_before_it_is_sent_and_exceeds_any_older_disk():
@@ -108,7 +108,7 @@
             config=SimpleNamespace(settings=SimpleNamespace(agents=4)),
         )
         one = object.__new__(RecordingAgent)
-        store = Store("/a/carried", "agent-0", Disk(stream(1, "disk")))
+        store = Store("/a/carried", "agent-0", Disk(random_stream(1, "disk")))
         store.put("beat", [1, 1])
         await store.flush()
         one.__dict__.update(
@@ -184,7 +184,7 @@
 
 def test_id_is_durable_before_its_call_runs_and_removed_after_two_periods():
     async def work():
-        disk = MemoryDisk(stream(1, "disk"))
+        disk = MemoryDisk(random_stream(1, "disk"))
         _, journal = journal_of(Store("/a/carried", "a", disk))
         assert (
             await asyncio.gather(*(journal.record(b"id-%d" % n) for n in range(50))) == [Remembered.KEPT] * 50
@@ -206,7 +206,7 @@
 
 def test_unwritable_disk_serves_calls_and_full_store_rejects_them():
     async def work():
-        disk = MemoryDisk(stream(1, "disk"))
+        disk = MemoryDisk(random_stream(1, "disk"))
         agent, journal = journal_of(store := Store("/a/carried", "a", disk))
         disk.stuck = True
         assert (
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -16,7 +16,7 @@
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.disk import MemoryDisk
 from lupinreach.bed.ways.virtual import VirtualLog
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.config import BadConfig, FleetConfig
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
@@ -84,7 +84,7 @@
     trial = spec.read(SMALL | FLEET | CASES[case])
     ledger = virtual.play(trial.world, 3)
     played = play.judge(trial, 3, ledger)
-    assert played.verdict == play.KEPT, played.result.breaches[:3]
+    assert played.verdict == play.KEPT, played.result.violations[:3]
     asked = logged(ledger, "asked")
     assert len(asked) >= 12 and len({(agent, *fields["life"]) for agent, fields in asked}) == len(asked)
     if "deaf" not in case:  # an isolated agent behaves like one without a fleet
@@ -132,7 +132,7 @@
     ),
 )
 def test_fleet_of_processes_keeps_the_rules_and_sends_nothing_to_draining_backends(case, played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
     assert played.recovery.to_draining == 0
 
 
@@ -145,7 +145,7 @@
     assert play.run(trial, 3).verdict == play.KEPT
     restore_state = persistence.restore_state
     monkeypatch.setattr(virtual, "restore_state", lambda agent, disk, token: restore_state(agent, disk, 7))
-    found = play.run(trial, 3).result.breaches
+    found = play.run(trial, 3).result.violations
     assert {b.name for b in found} == {"life twice"} and len(found) >= 5
 
 
@@ -212,7 +212,7 @@
         update_backends=lambda now, news, entries: agent.listed.append((news, entries))
     )
     agent.peers = SimpleNamespace(send=lambda to, data: agent.sent.append((to, wire.decode(data))))
-    store = Store("carried", "a", MemoryDisk(stream(1, "disk")))
+    store = Store("carried", "a", MemoryDisk(random_stream(1, "disk")))
     return agent, FleetAgent(agent, store, FileContents(dict(state or {})), config, 77)
 
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.fleet import counts as counting
 from lupinreach.fleet import grants, wire
 from lupinreach.fleet import uptimes as uptimes_module
@@ -202,7 +202,7 @@
 
 
 def table(me=0, zone=0):
-    return Observations(me, zone, 500.0, lambda draws=stream(me, "evidence"): float(draws.random()))
+    return Observations(me, zone, 500.0, lambda draws=random_stream(me, "evidence"): float(draws.random()))
 
 
 rows = st.lists(
@@ -340,7 +340,7 @@
 
 
 def counts(me=0, customers=3, window=1000.0):
-    return Counts(me, customers, window, lambda draws=stream(me, "counts"): float(draws.random()))
+    return Counts(me, customers, window, lambda draws=random_stream(me, "counts"): float(draws.random()))
 
 
 class Sums(Counts):
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -28,7 +28,7 @@
 )
 def test_no_bound_is_exceeded_at_any_agent_whatever_fails(case):
     run, most = shared_bounds.played(case, 3, agents=8, seconds=14.0)
-    assert run.verdict == play.KEPT, run.result.breaches[:3]
+    assert run.verdict == play.KEPT, run.result.violations[:3]
     assert not [name for name in bounds.JUDGED if most[name] > 1], most
     assert most["looks"] > 100 and most["lent"] > 0 and most["heard"] > 0, most
 
@@ -84,7 +84,7 @@
     }
 )
 def test_fleet_of_processes_shares_state_while_one_agent_receives_nothing(played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
 
 
 def test_freshness_ages_with_silence_and_recovers(monkeypatch):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 from test_disk import Stops
 
 from lupinreach.bed.ways.disk import CARRIED, MemoryDisk
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.store import records, trust
 from lupinreach.store.records import HEADER, encode_file, encode_record
 from lupinreach.store.store import Store
@@ -73,7 +73,7 @@
 
 
 def test_file_from_before_the_store_is_read_and_rewritten():
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     disk.put(b'{"form":1,"at":5}')
     store = Store(CARRIED, "a", disk)
     assert store.open().state == {"learnt": {"form": 1, "at": 5}}
@@ -109,7 +109,7 @@
 def test_power_loss_at_any_step_keeps_flushed_values_and_adds_nothing():
     outcomes = 0
     for steps in range(30):
-        disk, safe, put = Stops(stream(1, "disk"), steps), {}, [{}]
+        disk, safe, put = Stops(random_stream(1, "disk"), steps), {}, [{}]
         store = Store(CARRIED, "a", disk)
         state = {}
         for life in range(1, 4):
@@ -136,7 +136,7 @@
         def append(self, path, text, sync):
             super().append(path, text, False)
 
-    disk = Unsynced(stream(1, "disk"))
+    disk = Unsynced(random_stream(1, "disk"))
     store = Store(CARRIED, "a", disk)
     for life in (1, 2):
         store.put("life", life)
@@ -147,7 +147,7 @@
 
 
 def test_two_processes_on_one_disk_lower_neither_incarnation_nor_floor():
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     one, two = Store(CARRIED, "a", disk), Store(CARRIED, "a", disk)
     one.open(), two.open()
     for store, life in ((one, 4), (two, 6)):
@@ -161,7 +161,7 @@
 
 def test_failing_disk_is_reported_once_and_values_are_written_when_it_recovers():
     reported = []
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     store = Store(CARRIED, "a", disk, reported.append)
     store.put("life", 1)
     assert asyncio.run(store.flush()) and store.writable
@@ -176,7 +176,7 @@
 
 
 def test_file_and_state_stay_bounded():
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     store = Store(CARRIED, "a", disk)
     for n in range(400):
         store.put("learnt", [n] * 2000)
