--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -15,7 +15,7 @@
 from lupinreach.bed.world.traffic import Arrival
 from lupinreach.config import Address
 from lupinreach.model import Idempotency
-from lupinreach.net.ends import Ended
+from lupinreach.net.connection_end import Ended
 from lupinreach.net.http import Head
 
 REFUSED = (429, 503)
--- a/lupinreach/bed/peers/messages.py
+++ b/lupinreach/bed/peers/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.http import Head, parse_head
 
 MOST = 4 << 20
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -20,7 +20,7 @@
 from lupinreach.bed.world.spec import RegistrySpec, World
 from lupinreach.model import Idempotency
 from lupinreach.net import protocol
-from lupinreach.net.ends import Ended
+from lupinreach.net.connection_end import Ended
 from lupinreach.net.http import Head
 
 Asked = Callable[[str], tuple[int, int, int] | None]  # by the name of a try: agent, its life, product
--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 
 MOST_HEAD = 16 << 10
 MOST_CHUNK_LINE = 128
--- a/lupinreach/mesh/backend_client.py
+++ b/lupinreach/mesh/backend_client.py
@@ -9,7 +9,7 @@
 from lupinreach.mesh.errors import AttemptFailure
 from lupinreach.mesh.link import Address, tune
 from lupinreach.mesh.reader import MessageReader, WholeMessage
-from lupinreach.net.ends import Ended
+from lupinreach.net.connection_end import Ended
 
 REQUEST_ID = b"lupinreach-request-id"
 MOST_ANSWER = 64 << 20
--- a/lupinreach/mesh/reader.py
+++ b/lupinreach/mesh/reader.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from lupinreach.http1.message import Chunks, Head, parse_head
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 
 NO_BODY_STATUSES = frozenset({204, 304})
 
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -13,7 +13,7 @@
 from lupinreach.mesh.link import Address, tune
 from lupinreach.mesh.reader import MessageReader, WholeMessage
 from lupinreach.mesh.tasks import spawn
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 
 MOST_PIPELINED = 16  # requests read ahead on one connection
 SWEEP_S = 0.5  # between two looks for connections that took too long
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -12,8 +12,8 @@
 from lupinreach.balance import Call
 from lupinreach.model import Idempotency, Load, NewCall
 from lupinreach.net import http, protocol
+from lupinreach.net.connection_end import ENDINGS, End
 from lupinreach.net.counters import Counters
-from lupinreach.net.ends import ENDINGS, End
 from lupinreach.net.ids import Remembered
 from lupinreach.net.reply import Reply
 from lupinreach.net.serving import Serving
--- a/lupinreach/net/channel.py
+++ b/lupinreach/net/channel.py
@@ -10,7 +10,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 
 FIRST_BUFFER = 4096
 LEAST_ROOM = 512  # bytes of free buffer below which a read gets a larger or a fresh one
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -15,8 +15,8 @@
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import Channel
 from lupinreach.net.clock import Clock
+from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.counters import Counters
-from lupinreach.net.ends import End, Ended
 from lupinreach.net.log import Log
 from lupinreach.net.pool import Place, Pool, connect
 from lupinreach.net.sockets import Sockets
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -20,7 +20,7 @@
     request,
 )
 from lupinreach.net.channel import Channel
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 
 __all__ = [
     "CONTINUE",
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -12,7 +12,7 @@
 from lupinreach.net import http, protocol
 from lupinreach.net.call import ApiCall, BadRequest, compose, read_ask
 from lupinreach.net.channel import FIRST_BUFFER, Channel
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.log import Log
 from lupinreach.net.reply import Reply
 from lupinreach.net.serving import Serving
--- a/lupinreach/net/pool.py
+++ b/lupinreach/net/pool.py
@@ -13,8 +13,8 @@
 from lupinreach.config import Address
 from lupinreach.net import http
 from lupinreach.net.channel import Channel
+from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.counters import Counters
-from lupinreach.net.ends import End, Ended
 from lupinreach.net.protocol import MOST_BODY
 from lupinreach.net.sockets import Sockets
 
--- a/lupinreach/net/probes.py
+++ b/lupinreach/net/probes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lupinreach.net import http, protocol
-from lupinreach.net.ends import ENDINGS, End
+from lupinreach.net.connection_end import ENDINGS, End
 from lupinreach.net.serving import Serving
 from lupinreach.net.shot import Shot, read_load
 
--- a/lupinreach/net/shot.py
+++ b/lupinreach/net/shot.py
@@ -10,7 +10,7 @@
 from lupinreach.model import Load
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import FIRST_BUFFER, Channel
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.pool import Place, Pool
 from lupinreach.net.reply import ClientGone, Reply
 from lupinreach.net.upload import Upload
--- a/lupinreach/net/upload.py
+++ b/lupinreach/net/upload.py
@@ -11,7 +11,7 @@
 
 from lupinreach.net import http
 from lupinreach.net.channel import Channel
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.pool import Place, Pool
 
 
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -14,7 +14,7 @@
 from lupinreach.net import http
 from lupinreach.net.agent import Agent
 from lupinreach.net.channel import Channel
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.sockets import Sockets
 from lupinreach.ops import figures
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -16,7 +16,7 @@
 from lupinreach.config import LOADS
 from lupinreach.model import NEVER_RAN, AttemptEnd, Load
 from lupinreach.net import listener, protocol
-from lupinreach.net.ends import ENDINGS, End
+from lupinreach.net.connection_end import ENDINGS, End
 from lupinreach.net.pool import Place, Pool
 from lupinreach.net.shot import Shot, read_load
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,7 +6,7 @@
 from helpers import run
 
 from lupinreach.net import http
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import End, Ended
 
 
 class Feed:
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -11,8 +11,8 @@
 
 from lupinreach.net import call, http, listener, shot
 from lupinreach.net.channel import RESET
+from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.counters import Outcome
-from lupinreach.net.ends import End, Ended
 
 PAY = {"kind": b"pay", "method": b"POST"}
 
