--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -13,10 +13,10 @@
 from lupinreach.config import Address, AgentConfig, BadConfig, read_agent
 from lupinreach.model import Listing, Port, Settings, UpdateKind
 from lupinreach.net import protocol
+from lupinreach.net.body_memory import Kept
 from lupinreach.net.clock import Clock
 from lupinreach.net.counters import Counters
 from lupinreach.net.directory import Directory
-from lupinreach.net.kept import Kept
 from lupinreach.net.listener import Listener
 from lupinreach.net.log import Log
 from lupinreach.net.peers import Peers
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -7,11 +7,11 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.model import Settings
+from lupinreach.net.body_memory import Kept
 from lupinreach.net.clock import Clock
 from lupinreach.net.counters import Counters
 from lupinreach.net.directory import Directory
 from lupinreach.net.ids import Ids, Remembered
-from lupinreach.net.kept import Kept
 from lupinreach.net.pool import Pool
 from lupinreach.net.standing import Standing
 from lupinreach.net.tasks import Tasks
