--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -23,9 +23,9 @@
 from lupinreach.net.pool import Pool
 from lupinreach.net.port import AgentPort
 from lupinreach.net.probes import probe
+from lupinreach.net.readiness import Standing
 from lupinreach.net.serving import Serving
 from lupinreach.net.sockets import Sockets
-from lupinreach.net.standing import Standing
 from lupinreach.net.tasks import Tasks
 
 OWN_DESCRIPTORS = 12  # standard streams, event loop, listener, directory, datagrams, and a few spare
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -13,7 +13,7 @@
 from lupinreach.net.directory import Directory
 from lupinreach.net.ids import Ids, Remembered
 from lupinreach.net.pool import Pool
-from lupinreach.net.standing import Standing
+from lupinreach.net.readiness import Standing
 from lupinreach.net.tasks import Tasks
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -10,7 +10,7 @@
 
 from lupinreach.net.agent import Agent
 from lupinreach.net.counters import Counters, Outcome
-from lupinreach.net.standing import SETTLES, Standing, State
+from lupinreach.net.readiness import SETTLES, Standing, State
 from lupinreach.ops import figures
 from lupinreach.ops.door import MOST_HELD, Door
 
