--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -14,10 +14,10 @@
 from lupinreach.net import http, protocol
 from lupinreach.net.connection_end import ENDINGS, End
 from lupinreach.net.counters import Counters
+from lupinreach.net.exchange import Shot, read_load
 from lupinreach.net.ids import Remembered
 from lupinreach.net.reply import Reply
 from lupinreach.net.serving import Serving
-from lupinreach.net.shot import Shot, read_load
 from lupinreach.net.upload import Upload
 
 RATE_LIMITED, ERRORED, FAULT, COPY = 429, 502, 500, 409
--- a/lupinreach/net/probes.py
+++ b/lupinreach/net/probes.py
@@ -4,8 +4,8 @@
 
 from lupinreach.net import http, protocol
 from lupinreach.net.connection_end import ENDINGS, End
+from lupinreach.net.exchange import Shot, read_load
 from lupinreach.net.serving import Serving
-from lupinreach.net.shot import Shot, read_load
 
 
 async def probe(serving: Serving, backend: int) -> None:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -17,8 +17,8 @@
 from lupinreach.model import NEVER_RAN, AttemptEnd, Load
 from lupinreach.net import listener, protocol
 from lupinreach.net.connection_end import ENDINGS, End
+from lupinreach.net.exchange import Shot, read_load
 from lupinreach.net.pool import Place, Pool
-from lupinreach.net.shot import Shot, read_load
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
 PAY = {"kind": b"pay", "method": b"POST", "body": b"sum=3"}
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import OK, Peer, Site, look, read_http, run, says, target
 
-from lupinreach.net import call, http, listener, shot
+from lupinreach.net import call, exchange, http, listener
 from lupinreach.net.channel import RESET
 from lupinreach.net.connection_end import End, Ended
 from lupinreach.net.counters import Outcome
@@ -205,7 +205,7 @@
             assert written < 24 << 20  # the rest waits in the two kernels' buffers or was never made
             (client,) = site.agent.listener.clients
             held = len(client.channel.buffer) + len(client.channel.stream._write_buffer)
-            assert held <= 4 * shot.BUFFER
+            assert held <= 4 * exchange.BUFFER
             writer.transport.abort()
             await site.settled()
             assert site.agent.counters.open == 0 and site.agent.pool.open == 0
