--- a/lupinreach/bed/peers/clients.py
+++ b/lupinreach/bed/peers/clients.py
@@ -15,7 +15,7 @@
 from lupinreach.bed.world.traffic import Arrival
 from lupinreach.config import Address
 from lupinreach.model import Idempotency
-from lupinreach.net.connection_end import Ended
+from lupinreach.net.connection_end import ConnectionEnded
 from lupinreach.net.http import Head
 
 REFUSED = (429, 503)
@@ -195,7 +195,7 @@
             return
         try:
             messages = self._reader.feed(data)
-        except Ended:
+        except ConnectionEnded:
             self._transport.abort()
             return
         for head, body in messages:
--- a/lupinreach/bed/peers/messages.py
+++ b/lupinreach/bed/peers/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.http import Head, parse_head
 
 MOST = 4 << 20
@@ -28,7 +28,7 @@
             self._buffer = bytearray(self._buffer)
         self._buffer += data
         if len(self._buffer) > MOST:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         found: list[tuple[Head, bytes]] = []
         while True:
             if self._head is None:
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -20,7 +20,7 @@
 from lupinreach.bed.world.spec import RegistrySpec, World
 from lupinreach.model import Idempotency
 from lupinreach.net import protocol
-from lupinreach.net.connection_end import Ended
+from lupinreach.net.connection_end import ConnectionEnded
 from lupinreach.net.http import Head
 
 Asked = Callable[[str], tuple[int, int, int] | None]  # by the name of a try: agent, its life, product
@@ -185,7 +185,7 @@
             return
         try:
             messages = self._reader.feed(data)
-        except Ended:
+        except ConnectionEnded:
             self._transport.abort()
             return
         self._busy = True
@@ -361,7 +361,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             messages = self._reader.feed(data)
-        except Ended:
+        except ConnectionEnded:
             self._transport.abort()
             return
         for head, _ in messages:
--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 MOST_HEAD = 16 << 10
 MOST_CHUNK_LINE = 128
@@ -90,12 +90,12 @@
     stop = buffer.find(b"\r\n\r\n", start, end)
     if stop < 0 or stop - start > MOST_HEAD:
         if end - start > MOST_HEAD:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         return None
     area = memoryview(buffer)
     first = (ANSWER if answer else REQUEST).match(buffer, start, stop + 2)
     if not first:
-        raise Ended(End.MALFORMED)
+        raise ConnectionEnded(ConnectionEnd.MALFORMED)
     headers: dict[bytes, bytes] = {}
     lines: list[tuple[bytes, Slice]] = []
     lengths, codings, said = [], [], b""
@@ -116,13 +116,13 @@
                 said += b"," + value.lower()
         at = end
     if at != stop + 2:
-        raise Ended(End.MALFORMED)
+        raise ConnectionEnded(ConnectionEnd.MALFORMED)
     # Guards against a message whose end two readers would find at different places.
     minor = first[1] if answer else first[3]
     if len(lengths) > 1 or (codings and (lengths or codings != [b"chunked"] or minor == b"0")):
-        raise Ended(End.MALFORMED)
+        raise ConnectionEnded(ConnectionEnd.MALFORMED)
     if lengths and not LENGTH.fullmatch(lengths[0]):
-        raise Ended(End.MALFORMED)
+        raise ConnectionEnded(ConnectionEnd.MALFORMED)
     options = frozenset(o.strip() for o in said.split(b",")) if said else NO_OPTIONS
     return Head(
         first=(b"", b"", int(first[2])) if answer else (first[1], first[2], 0),
@@ -165,29 +165,29 @@
             size = line.find(b"\n") + 1
             if not size:
                 if len(line) == MOST_CHUNK_LINE:
-                    raise Ended(End.MALFORMED)
+                    raise ConnectionEnded(ConnectionEnd.MALFORMED)
                 break
             at += size
             self._framing += size
             if self._bound and self._framing > MOST_HEAD:
                 # Guards against trailers and extensions without end.
-                raise Ended(End.TOO_LARGE)
+                raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
             self._line(line[:size])
         return pieces, at
 
     def _line(self, line: bytes) -> None:
         if self._ends:
             if line != b"\r\n":
-                raise Ended(End.MALFORMED)
+                raise ConnectionEnded(ConnectionEnd.MALFORMED)
             self._ends = False
         elif self._trailer:
             self.done = line == b"\r\n"
             if not self.done and not HEADER.fullmatch(line):
-                raise Ended(End.MALFORMED)
+                raise ConnectionEnded(ConnectionEnd.MALFORMED)
         else:
             chunk = CHUNK.fullmatch(line)
             if not chunk:
-                raise Ended(End.MALFORMED)
+                raise ConnectionEnded(ConnectionEnd.MALFORMED)
             self._left = int(chunk[1], 16)
             self._trailer = not self._left
             if self._trailer:
--- a/lupinreach/mesh/backend_client.py
+++ b/lupinreach/mesh/backend_client.py
@@ -9,7 +9,7 @@
 from lupinreach.mesh.errors import AttemptFailure
 from lupinreach.mesh.link import Address, tune
 from lupinreach.mesh.reader import MessageReader, WholeMessage
-from lupinreach.net.connection_end import Ended
+from lupinreach.net.connection_end import ConnectionEnded
 
 REQUEST_ID = b"lupinreach-request-id"
 MOST_ANSWER = 64 << 20
@@ -69,7 +69,7 @@
             whole = self._reader.next()
             while whole is not None and not self._is_expected(whole):
                 whole = self._reader.next()
-        except Ended:
+        except ConnectionEnded:
             self._fail(AttemptFailure.GARBLED)
             return
         if whole is not None:
--- a/lupinreach/mesh/reader.py
+++ b/lupinreach/mesh/reader.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from lupinreach.http1.message import Chunks, Head, parse_head
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 NO_BODY_STATUSES = frozenset({204, 304})
 
@@ -72,7 +72,7 @@
         self._chunks = Chunks() if head.chunked else None
         self._length = self._body_length(head)
         if self._length is not None and self._length > self.most_body:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         return True
 
     def _body_length(self, head: Head) -> int | None:
@@ -100,7 +100,7 @@
             self._size += len(piece)
             done = self._size == self._length
         if self._size > self.most_body:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         return self._finish() if done else None
 
     def _finish(self) -> WholeMessage:
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -13,7 +13,7 @@
 from lupinreach.mesh.link import Address, tune
 from lupinreach.mesh.reader import MessageReader, WholeMessage
 from lupinreach.mesh.tasks import spawn
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 MOST_PIPELINED = 16  # requests read ahead on one connection
 SWEEP_S = 0.5  # between two looks for connections that took too long
@@ -251,7 +251,7 @@
                 return
             try:
                 whole = self._reader.next()
-            except Ended as ended:
+            except ConnectionEnded as ended:
                 self._refuse_ended(ended)
                 return
             if whole is None:
@@ -338,8 +338,8 @@
             self._paused = True
             self._transport.pause_reading()
 
-    def _refuse_ended(self, ended: Ended) -> None:
-        if ended.end is not End.TOO_LARGE:
+    def _refuse_ended(self, ended: ConnectionEnded) -> None:
+        if ended.end is not ConnectionEnd.TOO_LARGE:
             self._refuse(ErrorKind.MALFORMED)
         elif self._reader.head is None:
             self._refuse(ErrorKind.HEAD_TOO_LARGE)
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -12,7 +12,7 @@
 from lupinreach.balance import Call
 from lupinreach.model import Idempotency, Load, NewCall
 from lupinreach.net import http, protocol
-from lupinreach.net.connection_end import ENDINGS, End
+from lupinreach.net.connection_end import ENDINGS, ConnectionEnd
 from lupinreach.net.counters import Counters
 from lupinreach.net.exchange import Shot, read_load
 from lupinreach.net.ids import Remembered
@@ -167,7 +167,7 @@
                     case Landed(number):
                         shot = shots[number].shot
                         counters.shots[shot.end.value] += 1
-                        answer, served = shot.answer, shot.end is End.SERVED
+                        answer, served = shot.answer, shot.end is ConnectionEnd.SERVED
                         load = _reported(counters, answer) if answer else None
                         took = now() - shots[number].sent if shot.took is None else shot.took
                         call.on_attempt_ended(now(), number, ENDINGS[shot.end], took, served, load)
@@ -229,7 +229,7 @@
     async def _settle(self, call: Call, shots: list[Out]) -> None:
         """After a fault: end what is out, so that the module's books stay right."""
         for number in range(len(call.attempts)):
-            end = End.CALLED_OFF_SENDING  # if it was ordered and never begun
+            end = ConnectionEnd.CALLED_OFF_SENDING  # if it was ordered and never begun
             if number < len(shots):
                 shots[number].task.cancel()
                 await asyncio.wait([shots[number].task])
@@ -274,13 +274,13 @@
         call.on_head(serving.clock.now(), number, shot.took or 0.0, load)
         return True
 
-    def _passed_on(self, end: End) -> None:
-        if end is End.SERVED:
+    def _passed_on(self, end: ConnectionEnd) -> None:
+        if end is ConnectionEnd.SERVED:
             self._close("fulfilled")
         elif not self.answered.done():
             # Guards against a client that would take for whole what is not.
             self._answers.cut()
-            self._close("left" if end is End.CALLED_OFF else "errored")
+            self._close("left" if end is ConnectionEnd.CALLED_OFF else "errored")
 
     def _answer(
         self,
--- a/lupinreach/net/channel.py
+++ b/lupinreach/net/channel.py
@@ -10,7 +10,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 FIRST_BUFFER = 4096
 LEAST_ROOM = 512  # bytes of free buffer below which a read gets a larger or a fresh one
@@ -52,24 +52,26 @@
         while begun and self.patience < inf and not reading.done():
             await asyncio.wait([reading], timeout=self.patience)
             if not reading.done() and not self._pending():
-                raise Ended(End.STOOD_STILL)
+                raise ConnectionEnded(ConnectionEnd.STOOD_STILL)
         try:
             self.end += await reading
         except StreamClosedError:
-            raise Ended(End.BROKE if self.stream.error else End.CUT_SHORT) from None
+            raise ConnectionEnded(
+                ConnectionEnd.BROKE if self.stream.error else ConnectionEnd.CUT_SHORT
+            ) from None
         self._reading = None
 
     def need(self, size: int) -> None:
         """Make the next reads fit a message of that many bytes."""
         if size > self._most:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         if self._reading is None and len(self.buffer) - self.start < size:
             self._renew(size + LEAST_ROOM)
 
     def _make_room(self) -> None:
         unread = self.end - self.start
         if unread >= self._most:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         if len(self.buffer) - self.end < LEAST_ROOM or (not unread and len(self.buffer) > self.least):
             # Guards against idle connections that keep the large buffer of one large message.
             self._renew(max(self.least, 2 * unread))
@@ -130,7 +132,7 @@
                     self.start = self.end
                     await self.fill()
                     most -= self.end - self.start
-        except (Ended, OSError, TimeoutError):
+        except (ConnectionEnded, OSError, TimeoutError):
             pass
 
     def close(self) -> None:
--- a/lupinreach/net/connection_end.py
+++ b/lupinreach/net/connection_end.py
@@ -7,7 +7,7 @@
 from lupinreach.model import AttemptEnd
 
 
-class End(Enum):
+class ConnectionEnd(Enum):
     """How a connection, or one exchange on it, ended."""
 
     # A whole answer came.
@@ -38,33 +38,33 @@
 
 # Only what was never written whole is known not to have run: a break after that is a reset.
 ENDINGS = {
-    End.SERVED: AttemptEnd.FULFILLED,
-    End.TURNED_AWAY: AttemptEnd.REJECTED,
-    End.FAULT: AttemptEnd.ERRORED,
-    End.NO_ROOM: AttemptEnd.UNREACHABLE,
-    End.REFUSED: AttemptEnd.REFUSED,
-    End.NEVER_UP: AttemptEnd.UNREACHABLE,
-    End.BROKE_SENDING: AttemptEnd.UNREACHABLE,
-    End.LATE_SENDING: AttemptEnd.UNREACHABLE,
-    End.CALLED_OFF_SENDING: AttemptEnd.UNSENT,
-    End.BROKE: AttemptEnd.RESET,
-    End.CUT_SHORT: AttemptEnd.RESET,
+    ConnectionEnd.SERVED: AttemptEnd.FULFILLED,
+    ConnectionEnd.TURNED_AWAY: AttemptEnd.REJECTED,
+    ConnectionEnd.FAULT: AttemptEnd.ERRORED,
+    ConnectionEnd.NO_ROOM: AttemptEnd.UNREACHABLE,
+    ConnectionEnd.REFUSED: AttemptEnd.REFUSED,
+    ConnectionEnd.NEVER_UP: AttemptEnd.UNREACHABLE,
+    ConnectionEnd.BROKE_SENDING: AttemptEnd.UNREACHABLE,
+    ConnectionEnd.LATE_SENDING: AttemptEnd.UNREACHABLE,
+    ConnectionEnd.CALLED_OFF_SENDING: AttemptEnd.UNSENT,
+    ConnectionEnd.BROKE: AttemptEnd.RESET,
+    ConnectionEnd.CUT_SHORT: AttemptEnd.RESET,
     # A spoilt answer says that something is wrong, as a 500 does, and not that too much is out.
-    End.MALFORMED: AttemptEnd.ERRORED,
-    End.TOO_LARGE: AttemptEnd.ERRORED,
-    End.STOOD_STILL: AttemptEnd.ERRORED,
-    End.SILENT: AttemptEnd.TIMED_OUT,
-    End.CALLED_OFF: AttemptEnd.CANCELLED,
-    End.LEFT: AttemptEnd.RESET,
-    End.IDLE: AttemptEnd.RESET,
-    End.MADE_ROOM: AttemptEnd.RESET,
-    End.STOPPED: AttemptEnd.RESET,
+    ConnectionEnd.MALFORMED: AttemptEnd.ERRORED,
+    ConnectionEnd.TOO_LARGE: AttemptEnd.ERRORED,
+    ConnectionEnd.STOOD_STILL: AttemptEnd.ERRORED,
+    ConnectionEnd.SILENT: AttemptEnd.TIMED_OUT,
+    ConnectionEnd.CALLED_OFF: AttemptEnd.CANCELLED,
+    ConnectionEnd.LEFT: AttemptEnd.RESET,
+    ConnectionEnd.IDLE: AttemptEnd.RESET,
+    ConnectionEnd.MADE_ROOM: AttemptEnd.RESET,
+    ConnectionEnd.STOPPED: AttemptEnd.RESET,
 }
 
 
-class Ended(Exception):
+class ConnectionEnded(Exception):
     """Raised to whoever uses a connection when it has ended."""
 
-    def __init__(self, end: End) -> None:
+    def __init__(self, end: ConnectionEnd) -> None:
         super().__init__(end.value)
         self.end = end
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -15,7 +15,7 @@
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import Channel
 from lupinreach.net.clock import Clock
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.counters import Counters
 from lupinreach.net.log import Log
 from lupinreach.net.pool import Place, Pool, connect
@@ -125,10 +125,10 @@
                 # Guards against versions that two directories count each for itself: a whole list has no past.
                 self._line(await self._list(address, protocol.BEAT / 1000))
                 break
-            except (Ended, TimeoutError) as failed:
-                why, where = failed.end if isinstance(failed, Ended) else End.SILENT, ""
+            except (ConnectionEnded, TimeoutError) as failed:
+                why, where = failed.end if isinstance(failed, ConnectionEnded) else ConnectionEnd.SILENT, ""
             except BadConfig as bad:
-                why, where = End.MALFORMED, str(bad)
+                why, where = ConnectionEnd.MALFORMED, str(bad)
             self._failed(why, where)
             # Guards against agents that all come back to a new directory at once.
             tries += 1
@@ -138,7 +138,7 @@
         self._log.event("directory moved", discovery=list(address))
         self.ask(True)
 
-    def _failed(self, why: End, where: str) -> None:
+    def _failed(self, why: ConnectionEnd, where: str) -> None:
         self._counters.directory[f"failed: {why.value}"] += 1
         self._log.event("directory failed", why=why.value, where=where)
 
@@ -151,11 +151,11 @@
             if follow:
                 await self._watch()
             return
-        except (Ended, TimeoutError) as failed:
-            why = failed.end if isinstance(failed, Ended) else End.SILENT
+        except (ConnectionEnded, TimeoutError) as failed:
+            why = failed.end if isinstance(failed, ConnectionEnded) else ConnectionEnd.SILENT
         except BadConfig as bad:
             self._version = None
-            why, where = End.MALFORMED, str(bad)
+            why, where = ConnectionEnd.MALFORMED, str(bad)
         self._failed(why, where)
         if self._by_itself:
             await asyncio.sleep(protocol.BEAT / 1000)
@@ -172,7 +172,7 @@
             finally:
                 channel.close()
         if answer.status != 200:
-            raise Ended(End.FAULT)
+            raise ConnectionEnded(ConnectionEnd.FAULT)
         return answer.body
 
     async def _watch(self) -> None:
@@ -184,7 +184,7 @@
             async with asyncio.timeout(silence):
                 head = await http.read_head(channel, answer=True)
             if head.first[2] != 200 or not head.chunked:
-                raise Ended(End.FAULT)
+                raise ConnectionEnded(ConnectionEnd.FAULT)
             chunks, line = http.Chunks(bound=False), bytearray()
             while True:
                 pieces, used = chunks.feed(memoryview(channel.buffer)[channel.start : channel.end])
@@ -196,12 +196,12 @@
                         line.clear()
                     line += rest
                 if len(line) > MOST_LIST:
-                    raise Ended(End.TOO_LARGE)
+                    raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
                 if chunks.done:
                     break
                 async with asyncio.timeout(silence):
                     await channel.fill()
-            raise Ended(End.LEFT)
+            raise ConnectionEnded(ConnectionEnd.LEFT)
         finally:
             channel.close()
 
--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -10,7 +10,7 @@
 from lupinreach.model import Load
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import FIRST_BUFFER, Channel
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.pool import Place, Pool
 from lupinreach.net.reply import ClientGone, Reply
 from lupinreach.net.upload import Upload
@@ -53,7 +53,7 @@
         self.length: int | None = None  # of the body of a long answer, where it says so
         self.written = 0.0  # when it was handed to the kernel, on the event loop's clock, and
         self.came = 0.0  # when the kernel had the answer, of a long one its first bytes; 0 = it has none
-        self.end = End.CALLED_OFF_SENDING  # what it stays if the task is cancelled before it begins
+        self.end = ConnectionEnd.CALLED_OFF_SENDING  # what it stays if the task is cancelled before it begins
 
     async def run(self) -> None:
         channel: Channel | None = None
@@ -64,7 +64,7 @@
             async with self._limit:
                 channel = self._upload.take() if self._upload else await self._pool.take(self._place)
                 if channel is None:
-                    raise Ended(End.BROKE_SENDING)
+                    raise ConnectionEnded(ConnectionEnd.BROKE_SENDING)
                 await self._write(channel)
                 head = await http.read_answer_head(channel)
                 body = http.answer_body(channel, head, self._pool.most_answer)
@@ -73,21 +73,21 @@
                 self._whole = body.done
                 self.answer = http.message(head, begun)
                 self.end = _meaning(self.answer)
-                if not body.done and self.end is End.SERVED:
-                    self.end, self.length = End.SILENT, body.length  # until it is whole
+                if not body.done and self.end is ConnectionEnd.SERVED:
+                    self.end, self.length = ConnectionEnd.SILENT, body.length  # until it is whole
                     await self._pass_on(channel, body)
         except TimeoutError:
-            self.end = End.SILENT if self._written else End.LATE_SENDING
+            self.end = ConnectionEnd.SILENT if self._written else ConnectionEnd.LATE_SENDING
         except ClientGone:
-            self.end = End.CALLED_OFF
-        except Ended as ended:
+            self.end = ConnectionEnd.CALLED_OFF
+        except ConnectionEnded as ended:
             self.end = ended.end
         except asyncio.CancelledError:
-            self.end = End.CALLED_OFF if self._written else End.CALLED_OFF_SENDING
+            self.end = ConnectionEnd.CALLED_OFF if self._written else ConnectionEnd.CALLED_OFF_SENDING
             raise
         except BaseException:
             # Guards against a fault of our own that would pass for a shot that never ran.
-            self.end = End.BROKE if self._written else End.BROKE_SENDING
+            self.end = ConnectionEnd.BROKE if self._written else ConnectionEnd.BROKE_SENDING
             raise
         finally:
             if channel is not None:
@@ -104,7 +104,7 @@
         try:
             await self._writing
         except OSError:  # what Tornado raises for a closed stream is one
-            raise Ended(End.BROKE_SENDING) from None
+            raise ConnectionEnded(ConnectionEnd.BROKE_SENDING) from None
         self._body = b""  # guards against a long one held for as long as its answer takes
 
     @property
@@ -131,7 +131,7 @@
         """Hand an answer on as it comes; it belongs to the client now, and its time is that of its first bytes."""
         assert self.answer is not None
         if self._began is None:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         self._reply = asyncio.get_running_loop().create_future()
         self._began()
         reply = await self._reply
@@ -149,7 +149,7 @@
             pieces = body.here()
         await reply.end()
         channel.patience, channel.least = patience, FIRST_BUFFER
-        self._whole, self.end = True, End.SERVED
+        self._whole, self.end = True, ConnectionEnd.SERVED
 
     @property
     def _written(self) -> bool:
@@ -175,12 +175,12 @@
     return inf if length <= KEPT else 0
 
 
-def _meaning(answer: http.Message) -> End:
+def _meaning(answer: http.Message) -> ConnectionEnd:
     if answer.status == protocol.SERVED:
-        return End.SERVED
+        return ConnectionEnd.SERVED
     if answer.status in protocol.TURNED_AWAY and answer.header(protocol.NEVER_RAN) == b"1":
-        return End.TURNED_AWAY
-    return End.FAULT
+        return ConnectionEnd.TURNED_AWAY
+    return ConnectionEnd.FAULT
 
 
 def read_load(text: bytes | None) -> Load | None:
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -20,7 +20,7 @@
     request,
 )
 from lupinreach.net.channel import Channel
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 __all__ = [
     "CONTINUE",
@@ -70,7 +70,7 @@
     def __init__(self, channel: Channel, head: Head, most: int, until_close: bool = False) -> None:
         self.length = None if head.chunked else head.length if until_close else head.length or 0
         if (self.length or 0) > most:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         self.size = 0  # bytes that were taken
         self.done = self.length == 0
         self._channel = channel
@@ -92,15 +92,19 @@
             self.done = self.done or self.size == self.length
         channel.start += used
         if self.size > self._most:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         return pieces
 
     async def more(self) -> None:
         """Wait until more has come; at the end of the connection, if that is the body's, it is done."""
         try:
             await self._channel.fill(begun=True)
-        except Ended as ended:
-            if self.length is not None or self._chunks is not None or ended.end is not End.CUT_SHORT:
+        except ConnectionEnded as ended:
+            if (
+                self.length is not None
+                or self._chunks is not None
+                or ended.end is not ConnectionEnd.CUT_SHORT
+            ):
                 raise
             self.done = True
 
@@ -137,7 +141,7 @@
         head = await read_head(channel, answer=True)
         if head.first[2] >= 200:
             return head
-    raise Ended(End.TOO_LARGE)
+    raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
 
 
 def answer_body(channel: Channel, head: Head, most: int) -> Body:
@@ -146,7 +150,7 @@
     until_close = head.length is None and not head.chunked
     if until_close and head.keeps:
         # Its end would be the connection's, which was to stay: nobody could tell whether it came whole.
-        raise Ended(End.CUT_SHORT)
+        raise ConnectionEnded(ConnectionEnd.CUT_SHORT)
     return Body(channel, head, most, until_close)
 
 
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -12,7 +12,7 @@
 from lupinreach.net import http, protocol
 from lupinreach.net.call import ApiCall, BadRequest, compose, read_ask
 from lupinreach.net.channel import FIRST_BUFFER, Channel
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.log import Log
 from lupinreach.net.reply import Reply
 from lupinreach.net.serving import Serving
@@ -37,7 +37,7 @@
 HELD_UP = 1.0  # s
 RESERVE = 1 / 8  # of the connections, 2 at least: kept to turn away those that come on top of the others
 NO_ROOM, LATE = 503, 408
-STATUSES = {End.MALFORMED: 400, End.TOO_LARGE: 413}
+STATUSES = {ConnectionEnd.MALFORMED: 400, ConnectionEnd.TOO_LARGE: 413}
 
 
 class Client:
@@ -56,17 +56,17 @@
         self._old = False  # what is being answered is HTTP/1.0
 
     async def serve(self) -> None:
-        end = End.LEFT
+        end = ConnectionEnd.LEFT
         try:
             while self._keeps:
                 await self._one()
-            end = End.STOPPED if self._serving.standing.stopping else End.LEFT
-        except Ended as ended:
+            end = ConnectionEnd.STOPPED if self._serving.standing.stopping else ConnectionEnd.LEFT
+        except ConnectionEnded as ended:
             end = ended.end
             if end in STATUSES:
                 await self._refuse(STATUSES[end], end.value)
         except BadRequest as bad:
-            end = End.MALFORMED
+            end = ConnectionEnd.MALFORMED
             await self._refuse(bad.status, str(bad))
         finally:
             self._listener.closed(self, end)
@@ -78,8 +78,8 @@
             listener.rests(self)
             try:
                 await channel.fill()
-            except Ended:
-                raise Ended(End.LEFT) from None
+            except ConnectionEnded:
+                raise ConnectionEnded(ConnectionEnd.LEFT) from None
             finally:
                 listener.stirs(self)
         now = self._serving.clock.now()
@@ -131,7 +131,7 @@
                         await self._writing
                 await self._writing
             except (OSError, TimeoutError):
-                raise Ended(End.LEFT) from None
+                raise ConnectionEnded(ConnectionEnd.LEFT) from None
 
     async def _api_call(self, request: http.Message, arrived: float, upload: Upload | None) -> None:
         if self._listener.full:
@@ -332,7 +332,7 @@
                 return
             self._serving.counters.connections["client opened"] += 1
             if spare is not None:
-                self.closed(spare, End.MADE_ROOM)
+                self.closed(spare, ConnectionEnd.MADE_ROOM)
             try:
                 client = Client(self._serving, self, sock)
             except OSError:  # gone before it was looked at
@@ -386,19 +386,19 @@
             for client, due in list(self.reading.items()):
                 if now >= due:
                     client.turn_away(LATE, "the request did not come whole in time")
-                    self.closed(client, End.SILENT)
+                    self.closed(client, ConnectionEnd.SILENT)
             for client in list(self.fresh):
                 if now < client.since + SILENT_FIRST * 1000:
                     break
                 if not client.channel.heard:
-                    self.closed(client, End.SILENT)
+                    self.closed(client, ConnectionEnd.SILENT)
             if self._serving.standing.closes_idle(now):
                 self.close_idle()
             for client in list(self.idle):
                 if now < client.since + MAY_CLOSE * 1000 or len(self.clients) < CROWDED * self.served:
                     break
                 if not client.channel.heard:
-                    self.closed(client, End.IDLE)
+                    self.closed(client, ConnectionEnd.IDLE)
 
     @asynccontextmanager
     async def refusing(self) -> AsyncIterator[bool]:
@@ -419,7 +419,7 @@
         finally:
             self._lingering -= 1
 
-    def closed(self, client: Client, end: End) -> None:
+    def closed(self, client: Client, end: ConnectionEnd) -> None:
         if client not in self.clients:
             return
         client.channel.close()
@@ -433,7 +433,7 @@
     def close_idle(self) -> None:
         for client in [*self.fresh, *self.idle]:
             if not client.channel.heard:
-                self.closed(client, End.STOPPED)
+                self.closed(client, ConnectionEnd.STOPPED)
 
     def close(self, take_in: bool = True) -> None:
         """Accept no more; what has come is taken in first, unless another process will."""
--- a/lupinreach/net/pool.py
+++ b/lupinreach/net/pool.py
@@ -13,7 +13,7 @@
 from lupinreach.config import Address
 from lupinreach.net import http
 from lupinreach.net.channel import Channel
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.counters import Counters
 from lupinreach.net.protocol import MOST_BODY
 from lupinreach.net.sockets import Sockets
@@ -37,16 +37,18 @@
     try:
         channel = Channel(sockets.stream(address), most, patience)
     except OSError:
-        raise Ended(End.NO_ROOM) from None
+        raise ConnectionEnded(ConnectionEnd.NO_ROOM) from None
     try:
         async with asyncio.timeout(within / 1000):
             await channel.stream.connect(address)
     except TimeoutError:
         channel.close()
-        raise Ended(End.NEVER_UP) from None
+        raise ConnectionEnded(ConnectionEnd.NEVER_UP) from None
     except StreamClosedError as failed:
         number = getattr(failed.real_error, "errno", None)
-        raise Ended(End.NO_ROOM if number in OUT_OF_DESCRIPTORS else End.REFUSED) from None
+        raise ConnectionEnded(
+            ConnectionEnd.NO_ROOM if number in OUT_OF_DESCRIPTORS else ConnectionEnd.REFUSED
+        ) from None
     except BaseException:
         channel.close()
         raise
@@ -96,13 +98,13 @@
             if not channel.heard:
                 return channel
             # Guards against a shot that is written to a connection that the backend has closed: a reset.
-            self._close(channel, End.LEFT)
+            self._close(channel, ConnectionEnd.LEFT)
         if self.open >= self._most:
             if not self._idle:
-                raise Ended(End.NO_ROOM)
+                raise ConnectionEnded(ConnectionEnd.NO_ROOM)
             oldest = next(iter(self._idle))
             self._remove(oldest)
-            self._close(oldest, End.MADE_ROOM)
+            self._close(oldest, ConnectionEnd.MADE_ROOM)
         self.open += 1
         try:
             channel = await connect(
@@ -131,13 +133,13 @@
         """Keep a connection on which nothing is out; it is dropped as soon as anything comes on it."""
         if place not in self._kept:
             # Guards against a shot that ends after its backend has gone and would leave its connection here.
-            self._close(channel, End.IDLE)
+            self._close(channel, ConnectionEnd.IDLE)
             return
         self._idle[channel] = place, asyncio.get_running_loop().time()
         self._by_place.setdefault(place, []).append(channel)
-        channel.listen().add_done_callback(lambda _: self._drop(channel, End.LEFT))
+        channel.listen().add_done_callback(lambda _: self._drop(channel, ConnectionEnd.LEFT))
 
-    def discard(self, channel: Channel, end: End) -> None:
+    def discard(self, channel: Channel, end: ConnectionEnd) -> None:
         """Close a connection that was in use."""
         self._close(channel, end)
 
@@ -145,7 +147,7 @@
         """Close what stands idle to a place that gets nothing more."""
         self._kept.discard(place)
         for channel in list(self._by_place.get(place, ())):
-            self._drop(channel, End.IDLE)
+            self._drop(channel, ConnectionEnd.IDLE)
 
     def leave(self, but: set[int], idle: float) -> int:
         """Close what has stood idle for so many ms to any backend but these; how many that were.
@@ -155,7 +157,7 @@
         old = asyncio.get_running_loop().time() - idle / 1000
         left = [c for c, (place, since) in self._idle.items() if since <= old and place.backend not in but]
         for channel in left:
-            self._drop(channel, End.IDLE)
+            self._drop(channel, ConnectionEnd.IDLE)
         return len(left)
 
     async def sweep(self, used: Callable[[], set[int] | None], unused: float) -> None:
@@ -168,11 +170,11 @@
                 channel = next(iter(self._idle))
                 if self._idle[channel][1] > old:
                     break
-                self._drop(channel, End.IDLE)
+                self._drop(channel, ConnectionEnd.IDLE)
             if unused and (but := used()) is not None:
                 self.leave(but, unused)
 
-    def _drop(self, channel: Channel, end: End) -> None:
+    def _drop(self, channel: Channel, end: ConnectionEnd) -> None:
         if channel in self._idle:
             self._remove(channel)
             self._close(channel, end)
@@ -184,7 +186,7 @@
         if not beside:
             del self._by_place[place]
 
-    def _close(self, channel: Channel, end: End) -> None:
+    def _close(self, channel: Channel, end: ConnectionEnd) -> None:
         self.open -= 1
         self._counters.connections[f"backend {end.value}"] += 1
         channel.close()
--- a/lupinreach/net/upload.py
+++ b/lupinreach/net/upload.py
@@ -11,7 +11,7 @@
 
 from lupinreach.net import http
 from lupinreach.net.channel import Channel
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.pool import Place, Pool
 
 
@@ -40,7 +40,7 @@
         """Send it ahead; each write may take so many s. Raises Stopped for the backend's end, Ended for the client's."""
         try:
             self._channel = await self._pool.take(self.place)
-        except Ended:
+        except ConnectionEnded:
             raise Stopped from None
         await self._write(head, within)
         last = bytes(begun)
@@ -72,4 +72,4 @@
     def let_go(self) -> None:
         """End what no shot took over."""
         if (channel := self.take()) is not None:
-            self._pool.discard(channel, End.CALLED_OFF_SENDING)
+            self._pool.discard(channel, ConnectionEnd.CALLED_OFF_SENDING)
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -14,7 +14,7 @@
 from lupinreach.net import http
 from lupinreach.net.agent import Agent
 from lupinreach.net.channel import Channel
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.sockets import Sockets
 from lupinreach.ops import figures
 
@@ -145,10 +145,10 @@
                 await http.read_body(channel, head, MOST_CALL)
         except TimeoutError:
             return Said(408, "the call did not come whole in time")
-        except Ended as ended:
-            if ended.end is End.TOO_LARGE:
+        except ConnectionEnded as ended:
+            if ended.end is ConnectionEnd.TOO_LARGE:
                 return Said(413, "the call is too large")
-            return Said(400, "the call can't be read") if ended.end is End.MALFORMED else None
+            return Said(400, "the call can't be read") if ended.end is ConnectionEnd.MALFORMED else None
         method, target, _ = head.first
         path = target.partition(b"?")[0]
         if path not in self._calls:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -16,7 +16,7 @@
 from lupinreach.config import LOADS
 from lupinreach.model import NEVER_RAN, AttemptEnd, Load
 from lupinreach.net import listener, protocol
-from lupinreach.net.connection_end import ENDINGS, End
+from lupinreach.net.connection_end import ENDINGS, ConnectionEnd
 from lupinreach.net.exchange import Shot, read_load
 from lupinreach.net.pool import Place, Pool
 
@@ -568,15 +568,17 @@
             soon = asyncio.get_running_loop().time() + 5
             shots = [Shot(pool, places[n], look(), soon) for n in (0, 1, 0)]
             await shots[0].run()
-            assert shots[0].end is End.SERVED and pool.open == 1
+            assert shots[0].end is ConnectionEnd.SERVED and pool.open == 1
             held = agent.tasks.spawn("shot", shots[1].run())
             while not two.requests:
                 await asyncio.sleep(0.001)
             await shots[2].run()
-            assert shots[2].end is End.NO_ROOM and agent.counters.connections["backend made room"] == 1
+            assert (
+                shots[2].end is ConnectionEnd.NO_ROOM and agent.counters.connections["backend made room"] == 1
+            )
             held.cancel()
             await asyncio.wait([held])
-            assert shots[1].end is End.CALLED_OFF and pool.open == 0
+            assert shots[1].end is ConnectionEnd.CALLED_OFF and pool.open == 0
 
     run(work())
 
@@ -612,7 +614,7 @@
             pool.give_back(idle, address)
             overdue = Shot(pool, address, look(), loop.time())
             await overdue.run()
-            assert overdue.end is End.LATE_SENDING and len(backend.requests) == 1
+            assert overdue.end is ConnectionEnd.LATE_SENDING and len(backend.requests) == 1
             unbegun = Shot(pool, address, look(), loop.time() + 5)
             task = loop.create_task(unbegun.run())
             task.cancel()
@@ -630,15 +632,15 @@
 
 
 def test_every_end_has_its_meaning():
-    assert set(ENDINGS) == set(End)
+    assert set(ENDINGS) == set(ConnectionEnd)
     assert {e for e, ending in ENDINGS.items() if ending in NEVER_RAN} == {
-        End.TURNED_AWAY,
-        End.NO_ROOM,
-        End.REFUSED,
-        End.NEVER_UP,
-        End.BROKE_SENDING,
-        End.LATE_SENDING,
-        End.CALLED_OFF_SENDING,
+        ConnectionEnd.TURNED_AWAY,
+        ConnectionEnd.NO_ROOM,
+        ConnectionEnd.REFUSED,
+        ConnectionEnd.NEVER_UP,
+        ConnectionEnd.BROKE_SENDING,
+        ConnectionEnd.LATE_SENDING,
+        ConnectionEnd.CALLED_OFF_SENDING,
     }
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,7 +6,7 @@
 from helpers import run
 
 from lupinreach.net import http
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 
 class Feed:
@@ -26,7 +26,7 @@
 
     async def fill(self, begun=False):
         if not self.pieces:
-            raise Ended(End.CUT_SHORT)
+            raise ConnectionEnded(ConnectionEnd.CUT_SHORT)
         self.buffer = self.buffer + self.pieces.pop(0)  # a new one: the slices of the old stay good
 
 
@@ -39,8 +39,8 @@
     return run(http.read_answer(Feed(*pieces), most))
 
 
-def ends(work) -> End:
-    with pytest.raises(Ended) as ended:
+def ends(work) -> ConnectionEnd:
+    with pytest.raises(ConnectionEnded) as ended:
         run(work)
     return ended.value.end
 
@@ -113,7 +113,7 @@
     ],
 )
 def test_malformed_requests_are_refused(first, line):
-    assert ends(request(Feed(first + b"\r\n" + line + b"\r\n\r\n"))) is End.MALFORMED
+    assert ends(request(Feed(first + b"\r\n" + line + b"\r\n\r\n"))) is ConnectionEnd.MALFORMED
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,7 @@
 )
 def test_malformed_chunks_are_refused(chunks):
     raw = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
-    assert ends(request(Feed(raw))) is End.MALFORMED
+    assert ends(request(Feed(raw))) is ConnectionEnd.MALFORMED
 
 
 def test_header_values_come_without_the_blanks_around_them_and_lines_as_they_came():
@@ -144,12 +144,12 @@
 
 def test_sizes_are_bounded():
     post = b"POST / HTTP/1.1\r\n"
-    assert ends(request(Feed(post + b"A: " + b"x" * http.MOST_HEAD))) is End.TOO_LARGE
-    assert ends(request(Feed(post + b"Content-Length: 101\r\n\r\n"))) is End.TOO_LARGE
+    assert ends(request(Feed(post + b"A: " + b"x" * http.MOST_HEAD))) is ConnectionEnd.TOO_LARGE
+    assert ends(request(Feed(post + b"Content-Length: 101\r\n\r\n"))) is ConnectionEnd.TOO_LARGE
     endless = post + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"A: trailer\r\n" * http.MOST_HEAD
-    assert ends(request(Feed(endless))) is End.TOO_LARGE
+    assert ends(request(Feed(endless))) is ConnectionEnd.TOO_LARGE
     many = b"".join(b"1\r\nx\r\n" for _ in range(101))
-    assert ends(request(Feed(post + b"Transfer-Encoding: chunked\r\n\r\n" + many))) is End.TOO_LARGE
+    assert ends(request(Feed(post + b"Transfer-Encoding: chunked\r\n\r\n" + many))) is ConnectionEnd.TOO_LARGE
 
 
 def test_random_bytes_end_in_a_message_or_in_a_named_end():
@@ -161,8 +161,8 @@
             raw[rng.randrange(len(raw))] = rng.randrange(256)
         try:
             assert len(answer(bytes(raw)).body) <= 100
-        except Ended as ended:
-            assert ended.end in (End.MALFORMED, End.TOO_LARGE, End.CUT_SHORT)
+        except ConnectionEnded as ended:
+            assert ended.end in (ConnectionEnd.MALFORMED, ConnectionEnd.TOO_LARGE, ConnectionEnd.CUT_SHORT)
 
 
 def test_answers():
@@ -172,7 +172,7 @@
     assert not answer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: Close\r\n\r\n").keeps
     assert not answer(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").keeps
     for cut in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b"HTTP/1.1 200 OK\r\n\r\nno end told"):
-        assert ends(http.read_answer(Feed(cut), 100)) is End.CUT_SHORT
+        assert ends(http.read_answer(Feed(cut), 100)) is ConnectionEnd.CUT_SHORT
 
 
 def test_what_belongs_to_one_connection_is_not_passed_on():
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -11,7 +11,7 @@
 
 from lupinreach.net import call, exchange, http, listener
 from lupinreach.net.channel import RESET
-from lupinreach.net.connection_end import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.counters import Outcome
 
 PAY = {"kind": b"pay", "method": b"POST"}
@@ -435,7 +435,7 @@
 
     async def fill(self, begun=False):
         if not self.pieces:
-            raise Ended(End.CUT_SHORT)
+            raise ConnectionEnded(ConnectionEnd.CUT_SHORT)
         self.buffer = self.buffer[self.start : self.end] + self.pieces.pop(0)
         self.start, self.end = 0, len(self.buffer)
 
@@ -487,7 +487,7 @@
         left = bytes(feed.buffer[feed.start : feed.end]) + b"".join(feed.pieces)
         assert bytes(got) == body and left == rest
         cut = chance.randrange(len(text))
-        with pytest.raises(Ended):
+        with pytest.raises(ConnectionEnded):
             run(http.read_body(Feed([bytes(text[:cut])]), head_of(chunked=True), 10_000))
 
 
@@ -495,12 +495,12 @@
     many = chunked(bytes(100_000), 1)
     assert len(run(http.read_body(Feed([many]), head_of(chunked=True), 1 << 20))) == 100_000
     endless = b"1" + b";x=" + b"y" * 100 + b"\r\nx\r\n"
-    with pytest.raises(Ended) as refused:
+    with pytest.raises(ConnectionEnded) as refused:
         run(http.read_body(Feed([endless] * 10_000), head_of(chunked=True), 1 << 20))
-    assert refused.value.end is End.TOO_LARGE
-    with pytest.raises(Ended) as refused:
+    assert refused.value.end is ConnectionEnd.TOO_LARGE
+    with pytest.raises(ConnectionEnded) as refused:
         run(http.read_body(Feed([b"0\r\n"] + [b"A: b\r\n"] * 10_000), head_of(chunked=True), 1 << 20))
-    assert refused.value.end is End.TOO_LARGE
+    assert refused.value.end is ConnectionEnd.TOO_LARGE
 
 
 def test_a_late_event_loop_passes_for_no_backends_slowness():
