--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -12,7 +12,7 @@
 from lupinreach.balance import Call
 from lupinreach.model import Idempotency, Load, NewCall
 from lupinreach.net import http, protocol
-from lupinreach.net.connection_end import ENDINGS, ConnectionEnd
+from lupinreach.net.connection_end import ATTEMPT_ENDS, ConnectionEnd
 from lupinreach.net.counters import Counters
 from lupinreach.net.exchange import Shot, read_load
 from lupinreach.net.ids import Remembered
@@ -162,7 +162,9 @@
                     case Landed(number) if number == self._passing:
                         end = shots[number].shot.end
                         counters.shots[end.value] += 1
-                        call.on_attempt_ended(now(), number, ENDINGS[end], now() - shots[number].sent, True)
+                        call.on_attempt_ended(
+                            now(), number, ATTEMPT_ENDS[end], now() - shots[number].sent, True
+                        )
                         self._passed_on(end)
                     case Landed(number):
                         shot = shots[number].shot
@@ -170,7 +172,7 @@
                         answer, served = shot.answer, shot.end is ConnectionEnd.SERVED
                         load = _reported(counters, answer) if answer else None
                         took = now() - shots[number].sent if shot.took is None else shot.took
-                        call.on_attempt_ended(now(), number, ENDINGS[shot.end], took, served, load)
+                        call.on_attempt_ended(now(), number, ATTEMPT_ENDS[shot.end], took, served, load)
                         if served and answer:
                             lines = http.passed_on(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
                             self._answer("fulfilled", protocol.SERVED, answer.body, lines)
@@ -234,7 +236,7 @@
                 shots[number].task.cancel()
                 await asyncio.wait([shots[number].task])
                 end = shots[number].shot.end
-            call.on_attempt_ended(self._serving.clock.now(), number, ENDINGS[end], 0.0, False)
+            call.on_attempt_ended(self._serving.clock.now(), number, ATTEMPT_ENDS[end], 0.0, False)
 
     def client_spoke(self, reading: asyncio.Future[int]) -> None:
         """Something has come from the client, or it has closed its connection."""
--- a/lupinreach/net/connection_end.py
+++ b/lupinreach/net/connection_end.py
@@ -37,7 +37,7 @@
 
 
 # Only what was never written whole is known not to have run: a break after that is a reset.
-ENDINGS = {
+ATTEMPT_ENDS = {
     ConnectionEnd.SERVED: AttemptEnd.FULFILLED,
     ConnectionEnd.TURNED_AWAY: AttemptEnd.REJECTED,
     ConnectionEnd.FAULT: AttemptEnd.ERRORED,
--- a/lupinreach/net/probes.py
+++ b/lupinreach/net/probes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lupinreach.net import http, protocol
-from lupinreach.net.connection_end import ENDINGS, ConnectionEnd
+from lupinreach.net.connection_end import ATTEMPT_ENDS, ConnectionEnd
 from lupinreach.net.exchange import Shot, read_load
 from lupinreach.net.serving import Serving
 
@@ -22,5 +22,5 @@
     load = None
     if shot.answer is not None:
         load = read_load(shot.answer.header(protocol.LOAD) or bytes(shot.answer.body))
-    ending = ENDINGS[shot.end if shot.end is not ConnectionEnd.TURNED_AWAY else ConnectionEnd.FAULT]
+    ending = ATTEMPT_ENDS[shot.end if shot.end is not ConnectionEnd.TURNED_AWAY else ConnectionEnd.FAULT]
     serving.balancer.on_probe(clock.now(), backend, ending, clock.now() - sent, load)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -16,7 +16,7 @@
 from lupinreach.config import LOADS
 from lupinreach.model import NEVER_RAN, AttemptEnd, Load
 from lupinreach.net import listener, protocol
-from lupinreach.net.connection_end import ENDINGS, ConnectionEnd
+from lupinreach.net.connection_end import ATTEMPT_ENDS, ConnectionEnd
 from lupinreach.net.exchange import Shot, read_load
 from lupinreach.net.pool import Place, Pool
 
@@ -620,7 +620,7 @@
             task.cancel()
             await asyncio.wait([task])
             ends = [s.end for s in (refused, late, unwritten, written, unbegun)]
-            assert [ENDINGS[e] for e in ends] == [
+            assert [ATTEMPT_ENDS[e] for e in ends] == [
                 AttemptEnd.REFUSED,
                 AttemptEnd.UNREACHABLE,
                 AttemptEnd.UNREACHABLE,
@@ -632,8 +632,8 @@
 
 
 def test_every_end_has_its_meaning():
-    assert set(ENDINGS) == set(ConnectionEnd)
-    assert {e for e, ending in ENDINGS.items() if ending in NEVER_RAN} == {
+    assert set(ATTEMPT_ENDS) == set(ConnectionEnd)
+    assert {e for e, ending in ATTEMPT_ENDS.items() if ending in NEVER_RAN} == {
         ConnectionEnd.TURNED_AWAY,
         ConnectionEnd.NO_ROOM,
         ConnectionEnd.REFUSED,
