--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -13,7 +13,7 @@
 from lupinreach.config import Address, AgentConfig, BadConfig, read_agent
 from lupinreach.model import Listing, Port, Settings, UpdateKind
 from lupinreach.net import protocol
-from lupinreach.net.body_memory import Kept
+from lupinreach.net.body_memory import BodyMemory
 from lupinreach.net.clock import Clock
 from lupinreach.net.counters import Counters
 from lupinreach.net.directory import Directory
@@ -100,7 +100,7 @@
             self.pool,
             self.directory,
             self.balancer,
-            Kept(
+            BodyMemory(
                 int(KEPT_EACH * config.memory),
                 max(0, min(int(KEPT_ALL * config.memory), config.memory - OWN_MEMORY)),
             ),
--- a/lupinreach/net/body_memory.py
+++ b/lupinreach/net/body_memory.py
@@ -5,7 +5,7 @@
 from lupinreach.net.http import IN_PLACE
 
 
-class Kept:
+class BodyMemory:
     """Counts what is held. Bodies that fit the buffer of their connection count for nothing: connections are bounded."""
 
     def __init__(self, each: int, most: int) -> None:
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -203,7 +203,7 @@
         finally:
             overdue.cancel()
             serving.ids.end(self._id)
-            serving.kept.give(len(request.body))
+            serving.body_memory.give(len(request.body))
             if self._upload is not None:
                 self._upload.let_go()
             request.body = b""  # guards against a long one that lives until the collector comes by
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -186,7 +186,7 @@
                 kept += piece
             self._came(body.size)
             if body.size > http.IN_PLACE:
-                if not self._serving.kept.take(body.size - self._held, body.size):
+                if not self._serving.body_memory.take(body.size - self._held, body.size):
                     return await self._send_ahead(request, kept, body)
                 self._held = body.size
             if body.done:
@@ -237,7 +237,7 @@
         self._listener.reading[self] = self._body_since + WHOLE * 1000 + size / PACE
 
     def _let_go(self, upload: Upload | None = None) -> None:
-        self._serving.kept.give(self._held)
+        self._serving.body_memory.give(self._held)
         self._held = 0
         if upload is not None:
             upload.let_go()
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -7,7 +7,7 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.model import Settings
-from lupinreach.net.body_memory import Kept
+from lupinreach.net.body_memory import BodyMemory
 from lupinreach.net.clock import Clock
 from lupinreach.net.counters import Counters
 from lupinreach.net.directory import Directory
@@ -29,7 +29,7 @@
     pool: Pool
     directory: Directory
     balancer: Balancer
-    kept: Kept
+    body_memory: BodyMemory
     ids: Ids = field(default_factory=Ids)
     # Where ids of what may have run outlive the process: awaited before the module has a non-idempotent API call.
     remember: Callable[[bytes], Awaitable[Remembered]] | None = None
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -275,7 +275,7 @@
             head, _, whole = await asyncio.wait_for(read_any(reader), 5)
             assert status(head) == 200 and whole and seen == [body, body]  # never ran, so again
             await site.settled()
-            assert site.agent.serving.kept.held == 0
+            assert site.agent.serving.body_memory.held == 0
             writer.close()
 
     run(work())
@@ -345,7 +345,9 @@
             assert got == body and whole and (b"chunked" in head) == (form == "chunked")
             counters = site.agent.counters
             assert counters.others["requests sent ahead"] == 1 and counters.written == 1
-            assert counters.outcomes[Outcome.FULFILLED]["pay"] == 1 and site.agent.serving.kept.held == 0
+            assert (
+                counters.outcomes[Outcome.FULFILLED]["pay"] == 1 and site.agent.serving.body_memory.held == 0
+            )
             assert site.agent.pool.open <= 1 and not site.agent.balancer._open_calls
 
     run(work())
@@ -390,7 +392,7 @@
             await site.settled()
             while site.agent.listener.clients:
                 await asyncio.sleep(0)
-            assert site.agent.serving.kept.held == 0 and site.agent.counters.open == 0
+            assert site.agent.serving.body_memory.held == 0 and site.agent.counters.open == 0
 
     run(work())
 
@@ -417,7 +419,7 @@
             await asyncio.wait_for(ended.wait(), 5)
             while site.agent.listener.clients:
                 await asyncio.sleep(0)
-            assert site.agent.serving.kept.held == 0 and site.agent.pool.open == 0
+            assert site.agent.serving.body_memory.held == 0 and site.agent.pool.open == 0
             assert site.agent.counters.written == 0 and not site.agent.counters.taken
 
     run(work())
