--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -23,7 +23,7 @@
 from lupinreach.net.pool import Pool
 from lupinreach.net.port import AgentPort
 from lupinreach.net.probes import probe
-from lupinreach.net.readiness import Standing
+from lupinreach.net.readiness import Readiness
 from lupinreach.net.serving import Serving
 from lupinreach.net.sockets import Sockets
 from lupinreach.net.tasks import Tasks
@@ -67,7 +67,7 @@
         self.log = log or Log(config.name, self.clock)
         self.counters = Counters()
         self.tasks = Tasks(self.clock, self.log, self.counters)
-        self.standing = Standing()
+        self.standing = Readiness()
         self._sockets = sockets or Sockets()
         room = _descriptors(config.sockets) - OWN_DESCRIPTORS - reserved
         # One for each side of an API call: with fewer to backends, a shot would fail for want of one.
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -155,7 +155,7 @@
 
     def _stays(self) -> bool:
         """What the answer says of the connection, and what then holds."""
-        if self._serving.standing.parting or self._listener.short:
+        if self._serving.standing.closes_after_answer or self._listener.short:
             self._keeps = False
         return self._keeps
 
--- a/lupinreach/net/readiness.py
+++ b/lupinreach/net/readiness.py
@@ -16,7 +16,7 @@
 
 from enum import Enum
 
-SETTLES = 500.0  # ms from the first no until nobody is sent here any more
+DRAIN_SETTLE_MS = 500.0  # ms from the first no until nobody is sent here any more
 
 
 class State(Enum):
@@ -27,7 +27,7 @@
     SUCCEEDED = "succeeded"
 
 
-class Standing:
+class Readiness:
     """If the agent can serve: it has a list of backends, is not drained, and is to stay."""
 
     def __init__(self) -> None:
@@ -53,19 +53,19 @@
         return self.state is State.SERVING or (self.state is State.SUCCEEDED and self.drained_at is None)
 
     @property
-    def takes_clients(self) -> bool:
+    def serves_new_clients(self) -> bool:
         """If this process serves whatever comes, sent here or not: what the door's `/_ready` says."""
         return self.accepting and self.listed and not self.stopping
 
     @property
-    def parting(self) -> bool:
+    def closes_after_answer(self) -> bool:
         """If an answer ends its connection."""
         return self.stopping or self.drained_at is not None
 
     def closes_idle(self, now: float) -> bool:
         """If connections between two requests are to be closed."""
         # Guards against clients that would open another one here, as long as they are still sent here.
-        return self.state is State.DRAINED and now >= (self.drained_at or 0.0) + SETTLES
+        return self.state is State.DRAINED and now >= (self.drained_at or 0.0) + DRAIN_SETTLE_MS
 
     def drain(self, now: float) -> None:
         if self.drained_at is None:
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -13,7 +13,7 @@
 from lupinreach.net.directory import Directory
 from lupinreach.net.ids import Ids, Remembered
 from lupinreach.net.pool import Pool
-from lupinreach.net.readiness import Standing
+from lupinreach.net.readiness import Readiness
 from lupinreach.net.tasks import Tasks
 
 
@@ -25,7 +25,7 @@
     clock: Clock
     counters: Counters
     tasks: Tasks
-    standing: Standing
+    standing: Readiness
     pool: Pool
     directory: Directory
     balancer: Balancer
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -160,7 +160,7 @@
 
     def _ready(self) -> Said:
         standing = self._agent.standing
-        return Said(200, "yes") if standing.takes_clients else Said(503, f"no: {standing.state.value}")
+        return Said(200, "yes") if standing.serves_new_clients else Said(503, f"no: {standing.state.value}")
 
     def _vars(self) -> Said:
         agent = self._agent
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -10,7 +10,7 @@
 
 from lupinreach.net.agent import Agent
 from lupinreach.net.counters import Counters, Outcome
-from lupinreach.net.readiness import SETTLES, Standing, State
+from lupinreach.net.readiness import DRAIN_SETTLE_MS, Readiness, State
 from lupinreach.ops import figures
 from lupinreach.ops.door import MOST_HELD, Door
 
@@ -62,7 +62,7 @@
         "stop": lambda s: setattr(s, "stopping", True),
     }
     for order in itertools.product(events, repeat=4):
-        standing, listed, drained, stopping = Standing(), False, None, False
+        standing, listed, drained, stopping = Readiness(), False, None, False
         for name in order:
             events[name](standing)
             listed, stopping = listed or name == "listed", stopping or name == "stop"
@@ -81,13 +81,13 @@
             )
             assert standing.state is wanted
             assert standing.ready == (wanted is State.SERVING)
-            assert standing.parting == (stopping or drained is not None)
-            assert not standing.takes_clients
+            assert standing.closes_after_answer == (stopping or drained is not None)
+            assert not standing.serves_new_clients
             standing.accepting = True
-            assert standing.takes_clients == (listed and not stopping)
+            assert standing.serves_new_clients == (listed and not stopping)
             standing.accepting = False
             for late in (-1.0, 0.0):
-                assert standing.closes_idle((drained or 0.0) + SETTLES + late) == (
+                assert standing.closes_idle((drained or 0.0) + DRAIN_SETTLE_MS + late) == (
                     wanted is State.DRAINED and late == 0.0
                 )
 
@@ -267,7 +267,7 @@
             for _ in range(3):
                 await site.call(b"POST", b"/_lameduck/on")
                 await site.call(b"POST", b"/_lameduck/off")
-            await asyncio.sleep((SETTLES + 300) / 1000)
+            await asyncio.sleep((DRAIN_SETTLE_MS + 300) / 1000)
             assert code(await site.ask(look(), client)) == 200
 
     run(work())
