--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -231,7 +231,7 @@
     async def _settle(self, call: Call, shots: list[Out]) -> None:
         """After a fault: end what is out, so that the module's books stay right."""
         for number in range(len(call.attempts)):
-            end = ConnectionEnd.CALLED_OFF_SENDING  # if it was ordered and never begun
+            end = ConnectionEnd.SEND_CANCELLED  # if it was ordered and never begun
             if number < len(shots):
                 shots[number].task.cancel()
                 await asyncio.wait([shots[number].task])
@@ -282,7 +282,7 @@
         elif not self.answered.done():
             # Guards against a client that would take for whole what is not.
             self._answers.cut()
-            self._close("left" if end is ConnectionEnd.CALLED_OFF else "errored")
+            self._close("left" if end is ConnectionEnd.CANCELLED else "errored")
 
     def _answer(
         self,
--- a/lupinreach/net/channel.py
+++ b/lupinreach/net/channel.py
@@ -52,12 +52,12 @@
         while begun and self.patience < inf and not reading.done():
             await asyncio.wait([reading], timeout=self.patience)
             if not reading.done() and not self._pending():
-                raise ConnectionEnded(ConnectionEnd.STOOD_STILL)
+                raise ConnectionEnded(ConnectionEnd.STALLED)
         try:
             self.end += await reading
         except StreamClosedError:
             raise ConnectionEnded(
-                ConnectionEnd.BROKE if self.stream.error else ConnectionEnd.CUT_SHORT
+                ConnectionEnd.CONNECTION_ERROR if self.stream.error else ConnectionEnd.CLOSED_EARLY
             ) from None
         self._reading = None
 
--- a/lupinreach/net/connection_end.py
+++ b/lupinreach/net/connection_end.py
@@ -12,52 +12,52 @@
 
     # A whole answer came.
     SERVED = "served"
-    TURNED_AWAY = "turned away"
-    FAULT = "fault"  # any other status
+    REJECTED = "turned away"
+    ERROR_STATUS = "fault"  # any other status
     # The last byte of the message was never written.
-    NO_ROOM = "no room"  # no descriptor left for it
+    NO_DESCRIPTOR = "no room"  # no descriptor left for it
     REFUSED = "refused"
-    NEVER_UP = "never up"
-    BROKE_SENDING = "broke while sending"
-    LATE_SENDING = "out of time while sending"
-    CALLED_OFF_SENDING = "called off while sending"
+    CONNECT_TIMED_OUT = "never up"
+    SEND_FAILED = "broke while sending"
+    SEND_TIMED_OUT = "out of time while sending"
+    SEND_CANCELLED = "called off while sending"
     # It was written.
-    BROKE = "broke"
-    CUT_SHORT = "cut short"  # the other side ended it before the answer was whole
+    CONNECTION_ERROR = "broke"
+    CLOSED_EARLY = "cut short"  # the other side ended it before the answer was whole
     MALFORMED = "malformed"
     TOO_LARGE = "too large"
-    STOOD_STILL = "stood still"  # an answer that had begun brought nothing more
-    SILENT = "silent"
-    CALLED_OFF = "called off"
+    STALLED = "stood still"  # an answer that had begun brought nothing more
+    TIMED_OUT = "silent"
+    CANCELLED = "called off"
     # Between two messages.
-    LEFT = "left"  # the other side closed it
+    CLOSED_BY_PEER = "left"  # the other side closed it
     IDLE = "idle"  # stood idle for too long
-    MADE_ROOM = "made room"  # closed for another
+    EVICTED = "made room"  # closed for another
     STOPPED = "stopped"
 
 
 # Only what was never written whole is known not to have run: a break after that is a reset.
 ATTEMPT_ENDS = {
     ConnectionEnd.SERVED: AttemptEnd.FULFILLED,
-    ConnectionEnd.TURNED_AWAY: AttemptEnd.REJECTED,
-    ConnectionEnd.FAULT: AttemptEnd.ERRORED,
-    ConnectionEnd.NO_ROOM: AttemptEnd.UNREACHABLE,
+    ConnectionEnd.REJECTED: AttemptEnd.REJECTED,
+    ConnectionEnd.ERROR_STATUS: AttemptEnd.ERRORED,
+    ConnectionEnd.NO_DESCRIPTOR: AttemptEnd.UNREACHABLE,
     ConnectionEnd.REFUSED: AttemptEnd.REFUSED,
-    ConnectionEnd.NEVER_UP: AttemptEnd.UNREACHABLE,
-    ConnectionEnd.BROKE_SENDING: AttemptEnd.UNREACHABLE,
-    ConnectionEnd.LATE_SENDING: AttemptEnd.UNREACHABLE,
-    ConnectionEnd.CALLED_OFF_SENDING: AttemptEnd.UNSENT,
-    ConnectionEnd.BROKE: AttemptEnd.RESET,
-    ConnectionEnd.CUT_SHORT: AttemptEnd.RESET,
+    ConnectionEnd.CONNECT_TIMED_OUT: AttemptEnd.UNREACHABLE,
+    ConnectionEnd.SEND_FAILED: AttemptEnd.UNREACHABLE,
+    ConnectionEnd.SEND_TIMED_OUT: AttemptEnd.UNREACHABLE,
+    ConnectionEnd.SEND_CANCELLED: AttemptEnd.UNSENT,
+    ConnectionEnd.CONNECTION_ERROR: AttemptEnd.RESET,
+    ConnectionEnd.CLOSED_EARLY: AttemptEnd.RESET,
     # A spoilt answer says that something is wrong, as a 500 does, and not that too much is out.
     ConnectionEnd.MALFORMED: AttemptEnd.ERRORED,
     ConnectionEnd.TOO_LARGE: AttemptEnd.ERRORED,
-    ConnectionEnd.STOOD_STILL: AttemptEnd.ERRORED,
-    ConnectionEnd.SILENT: AttemptEnd.TIMED_OUT,
-    ConnectionEnd.CALLED_OFF: AttemptEnd.CANCELLED,
-    ConnectionEnd.LEFT: AttemptEnd.RESET,
+    ConnectionEnd.STALLED: AttemptEnd.ERRORED,
+    ConnectionEnd.TIMED_OUT: AttemptEnd.TIMED_OUT,
+    ConnectionEnd.CANCELLED: AttemptEnd.CANCELLED,
+    ConnectionEnd.CLOSED_BY_PEER: AttemptEnd.RESET,
     ConnectionEnd.IDLE: AttemptEnd.RESET,
-    ConnectionEnd.MADE_ROOM: AttemptEnd.RESET,
+    ConnectionEnd.EVICTED: AttemptEnd.RESET,
     ConnectionEnd.STOPPED: AttemptEnd.RESET,
 }
 
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -126,7 +126,10 @@
                 self._line(await self._list(address, protocol.BEAT / 1000))
                 break
             except (ConnectionEnded, TimeoutError) as failed:
-                why, where = failed.end if isinstance(failed, ConnectionEnded) else ConnectionEnd.SILENT, ""
+                why, where = (
+                    failed.end if isinstance(failed, ConnectionEnded) else ConnectionEnd.TIMED_OUT,
+                    "",
+                )
             except BadConfig as bad:
                 why, where = ConnectionEnd.MALFORMED, str(bad)
             self._failed(why, where)
@@ -152,7 +155,7 @@
                 await self._watch()
             return
         except (ConnectionEnded, TimeoutError) as failed:
-            why = failed.end if isinstance(failed, ConnectionEnded) else ConnectionEnd.SILENT
+            why = failed.end if isinstance(failed, ConnectionEnded) else ConnectionEnd.TIMED_OUT
         except BadConfig as bad:
             self._version = None
             why, where = ConnectionEnd.MALFORMED, str(bad)
@@ -172,7 +175,7 @@
             finally:
                 channel.close()
         if answer.status != 200:
-            raise ConnectionEnded(ConnectionEnd.FAULT)
+            raise ConnectionEnded(ConnectionEnd.ERROR_STATUS)
         return answer.body
 
     async def _watch(self) -> None:
@@ -184,7 +187,7 @@
             async with asyncio.timeout(silence):
                 head = await http.read_head(channel, answer=True)
             if head.first[2] != 200 or not head.chunked:
-                raise ConnectionEnded(ConnectionEnd.FAULT)
+                raise ConnectionEnded(ConnectionEnd.ERROR_STATUS)
             chunks, line = http.Chunks(bound=False), bytearray()
             while True:
                 pieces, used = chunks.feed(memoryview(channel.buffer)[channel.start : channel.end])
@@ -201,7 +204,7 @@
                     break
                 async with asyncio.timeout(silence):
                     await channel.fill()
-            raise ConnectionEnded(ConnectionEnd.LEFT)
+            raise ConnectionEnded(ConnectionEnd.CLOSED_BY_PEER)
         finally:
             channel.close()
 
--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -53,7 +53,7 @@
         self.length: int | None = None  # of the body of a long answer, where it says so
         self.written = 0.0  # when it was handed to the kernel, on the event loop's clock, and
         self.came = 0.0  # when the kernel had the answer, of a long one its first bytes; 0 = it has none
-        self.end = ConnectionEnd.CALLED_OFF_SENDING  # what it stays if the task is cancelled before it begins
+        self.end = ConnectionEnd.SEND_CANCELLED  # what it stays if the task is cancelled before it begins
 
     async def run(self) -> None:
         channel: Channel | None = None
@@ -64,7 +64,7 @@
             async with self._limit:
                 channel = self._upload.take() if self._upload else await self._pool.take(self._place)
                 if channel is None:
-                    raise ConnectionEnded(ConnectionEnd.BROKE_SENDING)
+                    raise ConnectionEnded(ConnectionEnd.SEND_FAILED)
                 await self._write(channel)
                 head = await http.read_answer_head(channel)
                 body = http.answer_body(channel, head, self._pool.most_answer)
@@ -74,20 +74,20 @@
                 self.answer = http.message(head, begun)
                 self.end = _meaning(self.answer)
                 if not body.done and self.end is ConnectionEnd.SERVED:
-                    self.end, self.length = ConnectionEnd.SILENT, body.length  # until it is whole
+                    self.end, self.length = ConnectionEnd.TIMED_OUT, body.length  # until it is whole
                     await self._pass_on(channel, body)
         except TimeoutError:
-            self.end = ConnectionEnd.SILENT if self._written else ConnectionEnd.LATE_SENDING
+            self.end = ConnectionEnd.TIMED_OUT if self._written else ConnectionEnd.SEND_TIMED_OUT
         except ClientGone:
-            self.end = ConnectionEnd.CALLED_OFF
+            self.end = ConnectionEnd.CANCELLED
         except ConnectionEnded as ended:
             self.end = ended.end
         except asyncio.CancelledError:
-            self.end = ConnectionEnd.CALLED_OFF if self._written else ConnectionEnd.CALLED_OFF_SENDING
+            self.end = ConnectionEnd.CANCELLED if self._written else ConnectionEnd.SEND_CANCELLED
             raise
         except BaseException:
             # Guards against a fault of our own that would pass for a shot that never ran.
-            self.end = ConnectionEnd.BROKE if self._written else ConnectionEnd.BROKE_SENDING
+            self.end = ConnectionEnd.CONNECTION_ERROR if self._written else ConnectionEnd.SEND_FAILED
             raise
         finally:
             if channel is not None:
@@ -104,7 +104,7 @@
         try:
             await self._writing
         except OSError:  # what Tornado raises for a closed stream is one
-            raise ConnectionEnded(ConnectionEnd.BROKE_SENDING) from None
+            raise ConnectionEnded(ConnectionEnd.SEND_FAILED) from None
         self._body = b""  # guards against a long one held for as long as its answer takes
 
     @property
@@ -179,8 +179,8 @@
     if answer.status == protocol.SERVED:
         return ConnectionEnd.SERVED
     if answer.status in protocol.TURNED_AWAY and answer.header(protocol.NEVER_RAN) == b"1":
-        return ConnectionEnd.TURNED_AWAY
-    return ConnectionEnd.FAULT
+        return ConnectionEnd.REJECTED
+    return ConnectionEnd.ERROR_STATUS
 
 
 def read_load(text: bytes | None) -> Load | None:
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -103,7 +103,7 @@
             if (
                 self.length is not None
                 or self._chunks is not None
-                or ended.end is not ConnectionEnd.CUT_SHORT
+                or ended.end is not ConnectionEnd.CLOSED_EARLY
             ):
                 raise
             self.done = True
@@ -150,7 +150,7 @@
     until_close = head.length is None and not head.chunked
     if until_close and head.keeps:
         # Its end would be the connection's, which was to stay: nobody could tell whether it came whole.
-        raise ConnectionEnded(ConnectionEnd.CUT_SHORT)
+        raise ConnectionEnded(ConnectionEnd.CLOSED_EARLY)
     return Body(channel, head, most, until_close)
 
 
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -56,11 +56,11 @@
         self._old = False  # what is being answered is HTTP/1.0
 
     async def serve(self) -> None:
-        end = ConnectionEnd.LEFT
+        end = ConnectionEnd.CLOSED_BY_PEER
         try:
             while self._keeps:
                 await self._one()
-            end = ConnectionEnd.STOPPED if self._serving.standing.stopping else ConnectionEnd.LEFT
+            end = ConnectionEnd.STOPPED if self._serving.standing.stopping else ConnectionEnd.CLOSED_BY_PEER
         except ConnectionEnded as ended:
             end = ended.end
             if end in STATUSES:
@@ -79,7 +79,7 @@
             try:
                 await channel.fill()
             except ConnectionEnded:
-                raise ConnectionEnded(ConnectionEnd.LEFT) from None
+                raise ConnectionEnded(ConnectionEnd.CLOSED_BY_PEER) from None
             finally:
                 listener.stirs(self)
         now = self._serving.clock.now()
@@ -131,7 +131,7 @@
                         await self._writing
                 await self._writing
             except (OSError, TimeoutError):
-                raise ConnectionEnded(ConnectionEnd.LEFT) from None
+                raise ConnectionEnded(ConnectionEnd.CLOSED_BY_PEER) from None
 
     async def _api_call(self, request: http.Message, arrived: float, upload: Upload | None) -> None:
         if self._listener.full:
@@ -332,7 +332,7 @@
                 return
             self._serving.counters.connections["client opened"] += 1
             if spare is not None:
-                self.closed(spare, ConnectionEnd.MADE_ROOM)
+                self.closed(spare, ConnectionEnd.EVICTED)
             try:
                 client = Client(self._serving, self, sock)
             except OSError:  # gone before it was looked at
@@ -386,12 +386,12 @@
             for client, due in list(self.reading.items()):
                 if now >= due:
                     client.turn_away(LATE, "the request did not come whole in time")
-                    self.closed(client, ConnectionEnd.SILENT)
+                    self.closed(client, ConnectionEnd.TIMED_OUT)
             for client in list(self.fresh):
                 if now < client.since + SILENT_FIRST * 1000:
                     break
                 if not client.channel.heard:
-                    self.closed(client, ConnectionEnd.SILENT)
+                    self.closed(client, ConnectionEnd.TIMED_OUT)
             if self._serving.standing.closes_idle(now):
                 self.close_idle()
             for client in list(self.idle):
--- a/lupinreach/net/pool.py
+++ b/lupinreach/net/pool.py
@@ -37,17 +37,17 @@
     try:
         channel = Channel(sockets.stream(address), most, patience)
     except OSError:
-        raise ConnectionEnded(ConnectionEnd.NO_ROOM) from None
+        raise ConnectionEnded(ConnectionEnd.NO_DESCRIPTOR) from None
     try:
         async with asyncio.timeout(within / 1000):
             await channel.stream.connect(address)
     except TimeoutError:
         channel.close()
-        raise ConnectionEnded(ConnectionEnd.NEVER_UP) from None
+        raise ConnectionEnded(ConnectionEnd.CONNECT_TIMED_OUT) from None
     except StreamClosedError as failed:
         number = getattr(failed.real_error, "errno", None)
         raise ConnectionEnded(
-            ConnectionEnd.NO_ROOM if number in OUT_OF_DESCRIPTORS else ConnectionEnd.REFUSED
+            ConnectionEnd.NO_DESCRIPTOR if number in OUT_OF_DESCRIPTORS else ConnectionEnd.REFUSED
         ) from None
     except BaseException:
         channel.close()
@@ -98,13 +98,13 @@
             if not channel.heard:
                 return channel
             # Guards against a shot that is written to a connection that the backend has closed: a reset.
-            self._close(channel, ConnectionEnd.LEFT)
+            self._close(channel, ConnectionEnd.CLOSED_BY_PEER)
         if self.open >= self._most:
             if not self._idle:
-                raise ConnectionEnded(ConnectionEnd.NO_ROOM)
+                raise ConnectionEnded(ConnectionEnd.NO_DESCRIPTOR)
             oldest = next(iter(self._idle))
             self._remove(oldest)
-            self._close(oldest, ConnectionEnd.MADE_ROOM)
+            self._close(oldest, ConnectionEnd.EVICTED)
         self.open += 1
         try:
             channel = await connect(
@@ -137,7 +137,7 @@
             return
         self._idle[channel] = place, asyncio.get_running_loop().time()
         self._by_place.setdefault(place, []).append(channel)
-        channel.listen().add_done_callback(lambda _: self._drop(channel, ConnectionEnd.LEFT))
+        channel.listen().add_done_callback(lambda _: self._drop(channel, ConnectionEnd.CLOSED_BY_PEER))
 
     def discard(self, channel: Channel, end: ConnectionEnd) -> None:
         """Close a connection that was in use."""
--- a/lupinreach/net/probes.py
+++ b/lupinreach/net/probes.py
@@ -22,5 +22,5 @@
     load = None
     if shot.answer is not None:
         load = read_load(shot.answer.header(protocol.LOAD) or bytes(shot.answer.body))
-    ending = ATTEMPT_ENDS[shot.end if shot.end is not ConnectionEnd.TURNED_AWAY else ConnectionEnd.FAULT]
+    ending = ATTEMPT_ENDS[shot.end if shot.end is not ConnectionEnd.REJECTED else ConnectionEnd.ERROR_STATUS]
     serving.balancer.on_probe(clock.now(), backend, ending, clock.now() - sent, load)
--- a/lupinreach/net/upload.py
+++ b/lupinreach/net/upload.py
@@ -72,4 +72,4 @@
     def let_go(self) -> None:
         """End what no shot took over."""
         if (channel := self.take()) is not None:
-            self._pool.discard(channel, ConnectionEnd.CALLED_OFF_SENDING)
+            self._pool.discard(channel, ConnectionEnd.SEND_CANCELLED)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -574,11 +574,12 @@
                 await asyncio.sleep(0.001)
             await shots[2].run()
             assert (
-                shots[2].end is ConnectionEnd.NO_ROOM and agent.counters.connections["backend made room"] == 1
+                shots[2].end is ConnectionEnd.NO_DESCRIPTOR
+                and agent.counters.connections["backend made room"] == 1
             )
             held.cancel()
             await asyncio.wait([held])
-            assert shots[1].end is ConnectionEnd.CALLED_OFF and pool.open == 0
+            assert shots[1].end is ConnectionEnd.CANCELLED and pool.open == 0
 
     run(work())
 
@@ -614,7 +615,7 @@
             pool.give_back(idle, address)
             overdue = Shot(pool, address, look(), loop.time())
             await overdue.run()
-            assert overdue.end is ConnectionEnd.LATE_SENDING and len(backend.requests) == 1
+            assert overdue.end is ConnectionEnd.SEND_TIMED_OUT and len(backend.requests) == 1
             unbegun = Shot(pool, address, look(), loop.time() + 5)
             task = loop.create_task(unbegun.run())
             task.cancel()
@@ -634,13 +635,13 @@
 def test_every_end_has_its_meaning():
     assert set(ATTEMPT_ENDS) == set(ConnectionEnd)
     assert {e for e, ending in ATTEMPT_ENDS.items() if ending in NEVER_RAN} == {
-        ConnectionEnd.TURNED_AWAY,
-        ConnectionEnd.NO_ROOM,
+        ConnectionEnd.REJECTED,
+        ConnectionEnd.NO_DESCRIPTOR,
         ConnectionEnd.REFUSED,
-        ConnectionEnd.NEVER_UP,
-        ConnectionEnd.BROKE_SENDING,
-        ConnectionEnd.LATE_SENDING,
-        ConnectionEnd.CALLED_OFF_SENDING,
+        ConnectionEnd.CONNECT_TIMED_OUT,
+        ConnectionEnd.SEND_FAILED,
+        ConnectionEnd.SEND_TIMED_OUT,
+        ConnectionEnd.SEND_CANCELLED,
     }
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -26,7 +26,7 @@
 
     async def fill(self, begun=False):
         if not self.pieces:
-            raise ConnectionEnded(ConnectionEnd.CUT_SHORT)
+            raise ConnectionEnded(ConnectionEnd.CLOSED_EARLY)
         self.buffer = self.buffer + self.pieces.pop(0)  # a new one: the slices of the old stay good
 
 
@@ -162,7 +162,7 @@
         try:
             assert len(answer(bytes(raw)).body) <= 100
         except ConnectionEnded as ended:
-            assert ended.end in (ConnectionEnd.MALFORMED, ConnectionEnd.TOO_LARGE, ConnectionEnd.CUT_SHORT)
+            assert ended.end in (ConnectionEnd.MALFORMED, ConnectionEnd.TOO_LARGE, ConnectionEnd.CLOSED_EARLY)
 
 
 def test_answers():
@@ -172,7 +172,7 @@
     assert not answer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: Close\r\n\r\n").keeps
     assert not answer(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").keeps
     for cut in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b"HTTP/1.1 200 OK\r\n\r\nno end told"):
-        assert ends(http.read_answer(Feed(cut), 100)) is ConnectionEnd.CUT_SHORT
+        assert ends(http.read_answer(Feed(cut), 100)) is ConnectionEnd.CLOSED_EARLY
 
 
 def test_what_belongs_to_one_connection_is_not_passed_on():
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -437,7 +437,7 @@
 
     async def fill(self, begun=False):
         if not self.pieces:
-            raise ConnectionEnded(ConnectionEnd.CUT_SHORT)
+            raise ConnectionEnded(ConnectionEnd.CLOSED_EARLY)
         self.buffer = self.buffer[self.start : self.end] + self.pieces.pop(0)
         self.start, self.end = 0, len(self.buffer)
 
