--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -88,9 +88,9 @@
         )
         self.balancer = decide(settings, config.seed, port)
         # Where agents of a fleet know of each other: who takes datagrams, and lists before the module does.
-        self.hears: Callable[[int, bytes], None] | None = None
-        self.tells: Callable[[], dict[str, object]] | None = None  # and what operators see of it
-        self.sees: Callable[[UpdateKind, list[Listing], bool], list[Listing]] | None = None
+        self.on_peer_datagram: Callable[[int, bytes], None] | None = None
+        self.fleet_report: Callable[[], dict[str, object]] | None = None  # and what operators see of it
+        self.revise_listings: Callable[[UpdateKind, list[Listing], bool], list[Listing]] | None = None
         self.serving = Serving(
             settings,
             self.clock,
@@ -229,8 +229,8 @@
 
     def _listed(self, news: UpdateKind, entries: list[Listing], older: bool) -> None:
         try:
-            if self.sees is not None and news is not UpdateKind.FAILED:
-                entries = self.sees(news, entries, older)
+            if self.revise_listings is not None and news is not UpdateKind.FAILED:
+                entries = self.revise_listings(news, entries, older)
             self.balancer.update_backends(self.clock.now(), news, entries)
         except Exception as fault:
             self.tasks.fault("listed", fault)
@@ -241,8 +241,8 @@
 
     def _heard(self, sender: int, message: bytes) -> None:
         try:
-            if self.hears is not None:
-                self.hears(sender, message)
+            if self.on_peer_datagram is not None:
+                self.on_peer_datagram(sender, message)
             else:
                 self.balancer.on_peer_message(self.clock.now(), sender, message)
         except Exception as fault:
--- a/lupinreach/ops/door.py
+++ b/lupinreach/ops/door.py
@@ -168,7 +168,9 @@
         found = figures.report(
             products, agent.counters, agent.directory.listed, agent.balancer.avoided_count(agent.clock.now())
         )
-        return Said(200, figures=found if agent.tells is None else found | {"fleet": agent.tells()})
+        return Said(
+            200, figures=found if agent.fleet_report is None else found | {"fleet": agent.fleet_report()}
+        )
 
     def _drain(self, on: bool) -> Said:
         self._agent.drain(on)
--- a/lupinreach/ops/returning.py
+++ b/lupinreach/ops/returning.py
@@ -109,7 +109,7 @@
             agent.tasks.spawn("sharing", self.sharing.run())
         store.put("life", self.own.life.number)
         self._put_beat()
-        agent.hears, agent.sees, agent.tells = self.hear, self.see, self.figures
+        agent.on_peer_datagram, agent.revise_listings, agent.fleet_report = self.hear, self.see, self.figures
         agent.directory.older = self.older
         agent.standing.returning = not self.returned.ready
 
