--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -130,7 +130,7 @@
         self._product = serving.settings.products[self.ask.product].name
         self._overdue = (self.ask.until + until) / 2
         runs_once = serving.settings.products[self.ask.product].kind is Idempotency.NON_IDEMPOTENT
-        self._remember = serving.remember if runs_once else None
+        self._persist_id = serving.persist_id if runs_once else None
         self._id = request.headers[protocol.ID]
         if not serving.ids.begin(self._id):
             raise BadRequest("Req-Id is open already, or was a moment ago", COPY)
@@ -145,10 +145,10 @@
             serving.clock.on_loop(self._overdue), self.orders.put_nowait, Overdue()
         )
         try:
-            if self._remember is not None and not await self._remembered(self._remember):
+            if self._persist_id is not None and not await self._remembered(self._persist_id):
                 return
-            if serving.took is not None:
-                serving.took(self.ask.customer)
+            if serving.on_call_accepted is not None:
+                serving.on_call_accepted(self.ask.customer)
             call = serving.balancer.submit(now(), self.ask)
             while not (self.answered.done() and call.closed):
                 match await self.orders.get():
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -32,10 +32,10 @@
     body_memory: BodyMemory
     ids: Ids = field(default_factory=Ids)
     # Where ids of what may have run outlive the process: awaited before the module has a non-idempotent API call.
-    remember: Callable[[bytes], Awaitable[Remembered]] | None = None
+    persist_id: Callable[[bytes], Awaitable[Remembered]] | None = None
 
     # Where agents share what customers ask: hears the customer of each API call that is taken.
-    took: Callable[[int], None] | None = None
+    on_call_accepted: Callable[[int], None] | None = None
 
     def __post_init__(self) -> None:
         self.products = {p.name.encode(): (i, p) for i, p in enumerate(self.settings.products)}
--- a/lupinreach/ops/ran.py
+++ b/lupinreach/ops/ran.py
@@ -41,7 +41,7 @@
         self._hangs: asyncio.Task[bool] | None = None  # a sync that took longer
         self.kept: Callable[[], None] = lambda: None  # hears of each id that is put
         if waits:
-            agent.serving.remember = self.keep
+            agent.serving.persist_id = self.keep
         # What is sent once more comes within a client timeout, so a disk that can't tell is in doubt for as long: one that
         # was cut or is another's; with a fleet each one until peers were asked, since an older copy looks sound.
         self._lost = found.lost > 0
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -77,7 +77,7 @@
         self._count = 0  # questions of this life
         self.stage = Silence.FRESH
         if settings.customers:
-            agent.serving.took = self.counts.took
+            agent.serving.on_call_accepted = self.counts.took
 
     # Datagrams.
 
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -150,7 +150,7 @@
                 await kept.wait()
                 return Remembered.KEPT
 
-            site.agent.serving.remember = remember
+            site.agent.serving.persist_id = remember
             began = asyncio.get_running_loop().time()
             answer = await site.ask(look(kind=b"pay", method=b"POST", body=b"x", deadline=b"0.4"))
             assert answer.startswith(b"HTTP/1.1 502") and asyncio.get_running_loop().time() - began < 0.4
@@ -170,7 +170,7 @@
     """The part alone, beside an agent that is none."""
     product = SimpleNamespace(kind=Idempotency.NON_IDEMPOTENT, timeout=1000.0)
     agent = SimpleNamespace(
-        serving=SimpleNamespace(ids=Ids(), remember=None, longest_wait=40.0),
+        serving=SimpleNamespace(ids=Ids(), persist_id=None, longest_wait=40.0),
         log=SimpleNamespace(event=lambda *_, **__: None),
         counters=SimpleNamespace(others=virtual.Counter()),
         config=SimpleNamespace(settings=SimpleNamespace(products=[product]), fleet=None),
