--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -15,7 +15,7 @@
 from lupinreach.net.connection_end import ATTEMPT_ENDS, ConnectionEnd
 from lupinreach.net.counters import Counters
 from lupinreach.net.exchange import Shot, read_load
-from lupinreach.net.ids import Remembered
+from lupinreach.net.ids import IdPersistence
 from lupinreach.net.reply import Reply
 from lupinreach.net.serving import Serving
 from lupinreach.net.upload import Upload
@@ -208,7 +208,7 @@
                 self._upload.let_go()
             request.body = b""  # guards against a long one that lives until the collector comes by
 
-    async def _remembered(self, remember: Callable[[bytes], Awaitable[Remembered]]) -> bool:
+    async def _remembered(self, remember: Callable[[bytes], Awaitable[IdPersistence]]) -> bool:
         """Have it known to the next life before anything of it runs; false if it was answered in place of that."""
         keeping = self._serving.tasks.spawn("remember", remember(self._id))
         order = asyncio.ensure_future(self.orders.get())
@@ -219,9 +219,9 @@
         match order.result() if order.done() else keeping.result():
             case Left():
                 self._close("left")
-            case Overdue() | Remembered.UNSURE:
+            case Overdue() | IdPersistence.OUTCOME_UNKNOWN:
                 self._answer("errored", ERRORED)
-            case Remembered.NOT_NOW:
+            case IdPersistence.UNAVAILABLE:
                 limits = self._serving.settings.limits
                 self._rate_limit(
                     min(self._serving.longest_wait, limits.max_retry_after) if limits.retry_after else 0.0
--- a/lupinreach/net/ids.py
+++ b/lupinreach/net/ids.py
@@ -6,12 +6,12 @@
 from enum import Enum
 
 
-class Remembered(Enum):
+class IdPersistence(Enum):
     """If an API call that may run once only will be known to the next life."""
 
-    KEPT = "kept"
-    NOT_NOW = "not now"  # nothing of it has run: rate-limited
-    UNSURE = "unsure"  # a former life may have run it, and nobody remembers: errored
+    PERSISTED = "kept"
+    UNAVAILABLE = "not now"  # nothing of it has run: rate-limited
+    OUTCOME_UNKNOWN = "unsure"  # a former life may have run it, and nobody remembers: errored
 
 
 class Ids:
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -11,7 +11,7 @@
 from lupinreach.net.clock import Clock
 from lupinreach.net.counters import Counters
 from lupinreach.net.directory import Directory
-from lupinreach.net.ids import Ids, Remembered
+from lupinreach.net.ids import IdPersistence, Ids
 from lupinreach.net.pool import Pool
 from lupinreach.net.readiness import Readiness
 from lupinreach.net.tasks import Tasks
@@ -32,7 +32,7 @@
     body_memory: BodyMemory
     ids: Ids = field(default_factory=Ids)
     # Where ids of what may have run outlive the process: awaited before the module has a non-idempotent API call.
-    persist_id: Callable[[bytes], Awaitable[Remembered]] | None = None
+    persist_id: Callable[[bytes], Awaitable[IdPersistence]] | None = None
 
     # Where agents share what customers ask: hears the customer of each API call that is taken.
     on_call_accepted: Callable[[int], None] | None = None
--- a/lupinreach/ops/ran.py
+++ b/lupinreach/ops/ran.py
@@ -17,7 +17,7 @@
 
 from lupinreach.model import Idempotency
 from lupinreach.net.agent import Agent
-from lupinreach.net.ids import Remembered
+from lupinreach.net.ids import IdPersistence
 from lupinreach.store import trust
 from lupinreach.store.records import Found
 from lupinreach.store.store import Store
@@ -55,20 +55,20 @@
         if not (behind or self._lost):
             self._unsure_until = 0.0
 
-    async def keep(self, name: bytes) -> Remembered:
+    async def keep(self, name: bytes) -> IdPersistence:
         """Have it known to the next life that this API call may run from now on."""
         counted = self._agent.counters.others
         if self._agent.clock.now() < self._unsure_until:
             counted["ran: errored, the disk can't tell"] += 1
-            return Remembered.UNSURE
+            return IdPersistence.OUTCOME_UNKNOWN
         if self._hangs is not None and not self._hangs.done():
             counted["ran: refused, the disk hangs"] += 1
-            return Remembered.NOT_NOW
+            return IdPersistence.UNAVAILABLE
         self._hangs = None
         key = PREFIX + name.decode("latin-1")
         if not self._store.put(key, 1):
             counted["ran: refused, no room"] += 1
-            return Remembered.NOT_NOW
+            return IdPersistence.UNAVAILABLE
         self._fresh.append(key)
         self.kept()
         writing = self._agent.tasks.spawn("ran", self._store.flush())
@@ -76,9 +76,9 @@
         if not (await asyncio.wait({writing}, timeout=self._patience))[0]:
             self._hangs = writing
             counted["ran: refused, the disk hangs"] += 1
-            return Remembered.NOT_NOW
+            return IdPersistence.UNAVAILABLE
         counted["ran: kept" if writing.result() else "ran: not kept"] += 1
-        return Remembered.KEPT
+        return IdPersistence.PERSISTED
 
     async def run(self) -> None:
         """Forget, turn by turn; what is dropped is written with what comes next."""
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -19,7 +19,7 @@
 from lupinreach.fleet import wire
 from lupinreach.fleet.life import Life
 from lupinreach.model import Idempotency
-from lupinreach.net.ids import Ids, Remembered
+from lupinreach.net.ids import IdPersistence, Ids
 from lupinreach.ops import returning
 from lupinreach.ops.ran import Ran
 from lupinreach.store import records
@@ -148,7 +148,7 @@
 
             async def remember(name):
                 await kept.wait()
-                return Remembered.KEPT
+                return IdPersistence.PERSISTED
 
             site.agent.serving.persist_id = remember
             began = asyncio.get_running_loop().time()
@@ -184,7 +184,10 @@
     async def work():
         disk = MemoryDisk(stream(1, "disk"))
         _, ran = part(Store("/a/carried", "a", disk))
-        assert await asyncio.gather(*(ran.keep(b"id-%d" % n) for n in range(50))) == [Remembered.KEPT] * 50
+        assert (
+            await asyncio.gather(*(ran.keep(b"id-%d" % n) for n in range(50)))
+            == [IdPersistence.PERSISTED] * 50
+        )
         disk.lose_power()
         agent, after = part(store := Store("/a/carried", "a", disk))
         assert not any(agent.serving.ids.begin(b"id-%d" % n) for n in range(50)) and agent.serving.ids.begin(
@@ -206,13 +209,14 @@
         agent, ran = part(store := Store("/a/carried", "a", disk))
         disk.stuck = True
         assert (
-            await ran.keep(b"a") is Remembered.KEPT and agent.counters.others["ran: not kept"] == 1
+            await ran.keep(b"a") is IdPersistence.PERSISTED and agent.counters.others["ran: not kept"] == 1
         )  # as without it
         disk.stuck = False
         while store.put(f"drain/{len(store.state)}", 1):
             pass
         assert (
-            await ran.keep(b"b") is Remembered.NOT_NOW and agent.counters.others["ran: refused, no room"] == 1
+            await ran.keep(b"b") is IdPersistence.UNAVAILABLE
+            and agent.counters.others["ran: refused, no room"] == 1
         )
 
     asyncio.run(work())
