--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -301,7 +301,7 @@
 
     def _close(self, what: str) -> None:
         if not self.answered.done():
-            self._serving.counters.told(what, self._product)
+            self._serving.counters.count_answer(what, self._product)
             self.answered.set_result(None)
 
 
--- a/lupinreach/net/counters.py
+++ b/lupinreach/net/counters.py
@@ -51,7 +51,7 @@
         self.written = 0  # shots written whole
         self.open = 0  # API calls taken and not ended
 
-    def told(self, what: str, product: str | None) -> None:
+    def count_answer(self, what: str, product: str | None) -> None:
         """An API call has ended for its client; a product that isn't known has no outcome."""
         self.answered[what] += 1
         if product is not None and what in OUTCOMES:
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -228,7 +228,9 @@
     def _turn_back(self, headers: dict[bytes, bytes]) -> None:
         """Refuse what no shot was sent for, and end the connection."""
         kind = headers.get(protocol.KIND)
-        self._serving.counters.told("no room", kind.decode() if kind in self._serving.products else None)
+        self._serving.counters.count_answer(
+            "no room", kind.decode() if kind in self._serving.products else None
+        )
         self._keeps = False
         self.whole(NO_ROOM)
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -214,9 +214,9 @@
 
 def test_a_report_names_every_product_and_never_avoids_more_than_is_listed():
     counters = Counters()
-    counters.told("fulfilled", "a")
-    counters.told("left", "a")
-    counters.told("no room", None)
+    counters.count_answer("fulfilled", "a")
+    counters.count_answer("left", "a")
+    counters.count_answer("no room", None)
     said = figures.report(["a", "b"], counters, 2, 3)
     assert said == {
         "success": {"a": 1, "b": 0},
