--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -70,7 +70,7 @@
         self._heard_at: float | None = None  # when the directory last said anything, a beat included
         self.heard = asyncio.Event()  # it has told its list at least once
         # If what speaks with this version is older than what is known of it; without a fleet nothing is.
-        self.older: Callable[[int], bool] | None = None
+        self.is_stale_version: Callable[[int], bool] | None = None
         self._home = config.directory  # the address of the directory that is followed
         self._task: asyncio.Task[None] | None = None
         self._moving: asyncio.Task[None] | None = None  # to another directory, until its list has come
@@ -238,7 +238,11 @@
         if news is UpdateKind.CHANGES and self._version is not None and version < self._version:
             raise BadConfig(f"{top.at(protocol.VERSION)}: {version} comes after {self._version}")
         read = [self._entry(e) for e in top.sections(protocol.ENTRIES, NEEDED)]
-        older = news is not UpdateKind.CACHED and self.older is not None and self.older(version)
+        older = (
+            news is not UpdateKind.CACHED
+            and self.is_stale_version is not None
+            and self.is_stale_version(version)
+        )
         if older and news is UpdateKind.FULL:
             news = (
                 UpdateKind.CHANGES
--- a/lupinreach/ops/returning.py
+++ b/lupinreach/ops/returning.py
@@ -110,7 +110,7 @@
         store.put("life", self.own.life.number)
         self._put_beat()
         agent.on_peer_datagram, agent.revise_listings, agent.fleet_report = self.hear, self.see, self.figures
-        agent.directory.older = self.older
+        agent.directory.is_stale_version = self.older
         agent.standing.returning = not self.returned.ready
 
     def _chance(self) -> float:
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -190,7 +190,7 @@
     agent = SimpleNamespace(
         clock=SimpleNamespace(now=lambda: 5_000.0),
         counters=SimpleNamespace(others=Counter(), answered=Counter()),
-        directory=SimpleNamespace(older=None, version=60, age=None),
+        directory=SimpleNamespace(is_stale_version=None, version=60, age=None),
         standing=SimpleNamespace(returning=False, listed=False),
         listed=[],
         sent=[],
@@ -241,7 +241,7 @@
         Listing(1, ListState.DRAINING, 9.0, name=71),
     )
     assert part.own.life.number == 4
-    assert agent.directory.older(40)
+    assert agent.directory.is_stale_version(40)
     assert [e.state for e in part.see(UpdateKind.CHANGES, [ready, draining], True)] == [
         ListState.DRAINING,
         ListState.DRAINING,
@@ -256,7 +256,7 @@
         and answer.nonce == 8
         and answer.revision == 50
     )
-    assert not agent.directory.older(51)
+    assert not agent.directory.is_stale_version(51)
     assert [e.state for e in part.see(UpdateKind.FULL, [ready], False)] == [ListState.READY]
     assert part.drains.all() == [] and not [k for k in part._store.state if k.startswith("drain/70")]
 
