--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -254,12 +254,12 @@
                 entry = self._entries[uid] = Entry(Place(self._next, address))
                 self._next += 1
             elif entry.place.address != address:
-                pool.forget(entry.place)
+                pool.disable_keep_alive(entry.place)
                 entry.place = Place(entry.place.backend, address)
             if listing.state is ListState.READY:
-                pool.keep(entry.place)
+                pool.enable_keep_alive(entry.place)
             else:
-                pool.forget(entry.place)
+                pool.disable_keep_alive(entry.place)
             self._by_index[entry.place.backend] = entry.place
             entry.gone_at = now if listing.state is ListState.REMOVED else None
         if news is not UpdateKind.CHANGES:
@@ -267,7 +267,7 @@
             for uid, entry in self._entries.items():
                 if uid not in named and entry.gone_at is None:
                     entry.gone_at = now
-                    pool.forget(entry.place)
+                    pool.disable_keep_alive(entry.place)
         self._version = version
         self._counters.directory[f"news: {news.name.lower()}"] += 1
         listings = [replace(listing, backend=self._entries[uid].place.backend) for uid, _, listing in read]
--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -62,7 +62,7 @@
             if loop.time() >= self._until:
                 raise TimeoutError  # an idle connection would take the message before any timer runs
             async with self._limit:
-                channel = self._upload.take() if self._upload else await self._pool.take(self._place)
+                channel = self._upload.take() if self._upload else await self._pool.acquire(self._place)
                 if channel is None:
                     raise ConnectionEnded(ConnectionEnd.SEND_FAILED)
                 await self._write(channel)
@@ -163,7 +163,7 @@
     def _release(self, channel: Channel) -> None:
         # A connection with a half-read answer, or with more than one, is never used again.
         if self._whole and self.answer is not None and self.answer.keeps and not channel.spoke:
-            self._pool.give_back(channel, self._place)
+            self._pool.release(channel, self._place)
         else:
             self._pool.discard(channel, self.end)
 
--- a/lupinreach/net/pool.py
+++ b/lupinreach/net/pool.py
@@ -90,7 +90,7 @@
         self._by_place: dict[Place, list[Channel]] = {}  # the same; a place leaves with its last
         self._kept: set[Place] = set()  # to which idle connections are kept; `forget` takes them out
 
-    async def take(self, place: Place) -> Channel:
+    async def acquire(self, place: Place) -> Channel:
         """A connection to this place for one exchange: the one that was used last, else a new one."""
         while place in self._by_place:
             channel = self._by_place[place][-1]
@@ -125,11 +125,11 @@
         # Counted by the write itself, since a shot may be called off the moment after.
         self._counters.written += not writing.cancelled() and writing.exception() is None
 
-    def keep(self, place: Place) -> None:
+    def enable_keep_alive(self, place: Place) -> None:
         """From now on connections to this place are worth keeping."""
         self._kept.add(place)
 
-    def give_back(self, channel: Channel, place: Place) -> None:
+    def release(self, channel: Channel, place: Place) -> None:
         """Keep a connection on which nothing is out; it is dropped as soon as anything comes on it."""
         if place not in self._kept:
             # Guards against a shot that ends after its backend has gone and would leave its connection here.
@@ -143,13 +143,13 @@
         """Close a connection that was in use."""
         self._close(channel, end)
 
-    def forget(self, place: Place) -> None:
+    def disable_keep_alive(self, place: Place) -> None:
         """Close what stands idle to a place that gets nothing more."""
         self._kept.discard(place)
         for channel in list(self._by_place.get(place, ())):
             self._drop(channel, ConnectionEnd.IDLE)
 
-    def leave(self, but: set[int], idle: float) -> int:
+    def close_unused(self, but: set[int], idle: float) -> int:
         """Close what has stood idle for so many ms to any backend but these; how many that were.
 
         Guards against connections to backends that an agent has exchanged for others, where a backend holds only so many.
@@ -172,7 +172,7 @@
                     break
                 self._drop(channel, ConnectionEnd.IDLE)
             if unused and (but := used()) is not None:
-                self.leave(but, unused)
+                self.close_unused(but, unused)
 
     def _drop(self, channel: Channel, end: ConnectionEnd) -> None:
         if channel in self._idle:
--- a/lupinreach/net/upload.py
+++ b/lupinreach/net/upload.py
@@ -39,7 +39,7 @@
     ) -> None:
         """Send it ahead; each write may take so many s. Raises Stopped for the backend's end, Ended for the client's."""
         try:
-            self._channel = await self._pool.take(self.place)
+            self._channel = await self._pool.acquire(self.place)
         except ConnectionEnded:
             raise Stopped from None
         await self._write(head, within)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -50,7 +50,7 @@
 
 def place(pool, address, index=0) -> Place:
     host, port = address.split(":")
-    pool.keep(found := Place(index, (host, int(port))))
+    pool.enable_keep_alive(found := Place(index, (host, int(port))))
     return found
 
 
@@ -611,8 +611,8 @@
             await unwritten.run()
             written = Shot(pool, address, look(), loop.time() + 0.1)
             await written.run()
-            idle = await pool.take(address)
-            pool.give_back(idle, address)
+            idle = await pool.acquire(address)
+            pool.release(idle, address)
             overdue = Shot(pool, address, look(), loop.time())
             await overdue.run()
             assert overdue.end is ConnectionEnd.SEND_TIMED_OUT and len(backend.requests) == 1
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -307,10 +307,10 @@
             async with Site(target("s1", one.address), target("s2", two.address)) as site:
                 pool, places = site.agent.pool, [site.agent.directory.place(n) for n in (0, 1)]
                 for place in places:
-                    pool.give_back(await pool.take(place), place)
-                assert pool.open == 2 and pool.leave({0}, 1e6) == 0  # not while it may be used again
-                assert pool.leave({0}, 0.0) == 1 and pool.open == 1
-                assert pool.leave({0}, 0.0) == 0
+                    pool.release(await pool.acquire(place), place)
+                assert pool.open == 2 and pool.close_unused({0}, 1e6) == 0  # not while it may be used again
+                assert pool.close_unused({0}, 0.0) == 1 and pool.open == 1
+                assert pool.close_unused({0}, 0.0) == 0
 
     on_loop(work())
 
