--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -18,7 +18,7 @@
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.spec import Trouble, World, plain
 from lupinreach.bed.world.traffic import arrivals
-from lupinreach.config import ASK, BEAT, Address
+from lupinreach.config import FLEET_HEARTBEAT_MS, FLEET_QUERY_TIMEOUT_MS, Address
 from lupinreach.model import DedupScope, Idempotency
 
 READY_WITHIN = 5.0  # s for an agent to listen
@@ -253,7 +253,11 @@
         if self.world.store:
             raw["store"] = {"file": self.ground.carried(n)} | ({"ran": True} if self.world.ran else {})
         if self.world.in_touch:
-            raw["fleet"] = {"beat_ms": BEAT, "ask_ms": ASK, "share_ms": self.world.share}
+            raw["fleet"] = {
+                "beat_ms": FLEET_HEARTBEAT_MS,
+                "ask_ms": FLEET_QUERY_TIMEOUT_MS,
+                "share_ms": self.world.share,
+            }
         if self.world.carry:
             raw["carry"] = {"file": self.ground.carried(n), "most_age_s": self.world.carry}
         return raw
--- a/lupinreach/config.py
+++ b/lupinreach/config.py
@@ -33,7 +33,7 @@
 MOST_CONFIG_BYTES = 16 << 20
 LEAST_MEMORY = 32  # MB
 CARRY_AGE = 60.0  # s
-BEAT, ASK = (
+FLEET_HEARTBEAT_MS, FLEET_QUERY_TIMEOUT_MS = (
     1000.0,
     300.0,
 )  # ms between two words of an agent to the fleet, and for which one that stands up asks it
@@ -244,8 +244,8 @@
     if settings.me >= settings.agents:
         raise BadConfig(f"settings.me: {settings.me} is out of range")
     return FleetConfig(
-        own.number("beat_ms", BEAT, low=50.0, high=60_000.0),
-        own.number("ask_ms", ASK, low=10.0, high=10_000.0),
+        own.number("beat_ms", FLEET_HEARTBEAT_MS, low=50.0, high=60_000.0),
+        own.number("ask_ms", FLEET_QUERY_TIMEOUT_MS, low=10.0, high=10_000.0),
         own.number("share_ms", 0.0, high=60_000.0),
     )
 
