--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -424,7 +424,7 @@
     def _beat(self) -> None:
         if self in self._host.lines:
             self._line(b"")
-            self._host.ground.loop.call_later(protocol.BEAT / 1000, self._beat)
+            self._host.ground.loop.call_later(protocol.WATCH_HEARTBEAT_MS / 1000, self._beat)
 
     def cut(self) -> None:
         self._transport.abort()
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -123,7 +123,7 @@
         while True:
             try:
                 # Guards against versions that two directories count each for itself: a whole list has no past.
-                self._line(await self._list(address, protocol.BEAT / 1000))
+                self._line(await self._list(address, protocol.WATCH_HEARTBEAT_MS / 1000))
                 break
             except (ConnectionEnded, TimeoutError) as failed:
                 why, where = (
@@ -136,7 +136,7 @@
             # Guards against agents that all come back to a new directory at once.
             tries += 1
             chance = crc32(b"%d:%d" % (self._seed, tries)) / 2**32
-            await asyncio.sleep(MOVE_AGAIN * protocol.BEAT / 1000 * (1 + chance))
+            await asyncio.sleep(MOVE_AGAIN * protocol.WATCH_HEARTBEAT_MS / 1000 * (1 + chance))
         self._home, self._moving = address, None
         self._log.event("directory moved", discovery=list(address))
         self.ask(True)
@@ -150,7 +150,7 @@
         try:
             if not follow or self._version is None:
                 # After a gap there is nothing that changes could be added to.
-                self._line(await self._list(self._home, SILENT_BEATS * protocol.BEAT / 1000))
+                self._line(await self._list(self._home, SILENT_BEATS * protocol.WATCH_HEARTBEAT_MS / 1000))
             if follow:
                 await self._watch()
             return
@@ -161,7 +161,7 @@
             why, where = ConnectionEnd.MALFORMED, str(bad)
         self._failed(why, where)
         if self._by_itself:
-            await asyncio.sleep(protocol.BEAT / 1000)
+            await asyncio.sleep(protocol.WATCH_HEARTBEAT_MS / 1000)
             self.ask(True)
         else:
             self._listed(UpdateKind.FAILED, [], False)
@@ -182,7 +182,7 @@
         """Follow the changes until the watch ends."""
         target = protocol.WATCH_PATH + protocol.WATCH_AFTER % (self._version or 0)
         channel = await self._send(self._home, target)
-        silence = SILENT_BEATS * protocol.BEAT / 1000
+        silence = SILENT_BEATS * protocol.WATCH_HEARTBEAT_MS / 1000
         try:
             async with asyncio.timeout(silence):
                 head = await http.read_head(channel, answer=True)
@@ -212,7 +212,7 @@
         self._counters.directory["called"] += 1
         host = b"%s:%d" % (address[0].encode(), address[1])
         channel = await connect(
-            self._sockets, address, SILENT_BEATS * protocol.BEAT, http.MOST_HEAD + MOST_LIST
+            self._sockets, address, SILENT_BEATS * protocol.WATCH_HEARTBEAT_MS, http.MOST_HEAD + MOST_LIST
         )
         channel.write(http.request(b"GET", target, (), host))
         return channel
--- a/lupinreach/net/protocol.py
+++ b/lupinreach/net/protocol.py
@@ -38,7 +38,7 @@
 UID, ENDPOINT, ZONE, CELL = "uid", "endpoint", "az", "pod_group"
 STATE, SIZE, BOOT_TIME = "state", "capacity_hint", "boot_ms"
 STATES = {"Ready": ListState.READY, "Terminating": ListState.DRAINING, "Gone": ListState.REMOVED}
-BEAT = 2000.0  # ms between two lines of a watch at most
+WATCH_HEARTBEAT_MS = 2000.0  # ms between two lines of a watch at most
 
 MOST_BODY = 40 << 20  # bytes of a body, either way
 MOST_DATAGRAM = 256
