--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -69,7 +69,7 @@
         fleet = logs.read([Path(file).read_bytes().splitlines() for file in files])
     except OSError as wrong:
         bad(f"{wrong.filename}: {wrong.strerror}")
-    if not fleet.lives:
+    if not fleet.runs:
         bad(f"{', '.join(files)}: no line of an agent's log in it")
     found = logs.summary(fleet)
     table = Table(box=None)
--- a/lupinreach/logs.py
+++ b/lupinreach/logs.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Life:
+class AgentRun:
     """One agent from a start to its end, by the last counters that it left."""
 
     agent: str
@@ -38,7 +38,7 @@
 class Fleet:
     """What was read. Holds an entry for each life and each event that is not a line of counters."""
 
-    lives: list[Life] = field(default_factory=list)
+    runs: list[AgentRun] = field(default_factory=list)
     events: list[tuple[float, str, str]] = field(default_factory=list)  # at, what, agent; in order of time
     no_event: int = 0  # lines that could not be read as an event
 
@@ -57,12 +57,12 @@
             elif line.strip():
                 fleet.no_event += 1
     found.sort(key=lambda event: event["at"])
-    current: dict[str, Life] = {}
+    current: dict[str, AgentRun] = {}
     for event in found:
         agent, what = event["agent"], event["event"]
         if what == "started" or agent not in current:
-            current[agent] = Life(agent, event["at"] if what == "started" else None)
-            fleet.lives.append(current[agent])
+            current[agent] = AgentRun(agent, event["at"] if what == "started" else None)
+            fleet.runs.append(current[agent])
         life = current[agent]
         if what in ("counters", "stopped"):
             life.counts, life.stopped = event, what == "stopped"
@@ -98,7 +98,7 @@
 def totals(fleet: Fleet) -> dict[str, Counter[str]]:
     """The counters of all lives together, by group; a figure that is none counts for nothing."""
     summed = {group: Counter[str]() for group in GROUPS}
-    for life in fleet.lives:
+    for life in fleet.runs:
         for group in GROUPS:
             counts = life.counts.get(group)
             for name, count in counts.items() if isinstance(counts, dict) else ():
@@ -128,15 +128,15 @@
     counts = totals(fleet)
     taken = sum(counts["taken"].values())
     ages = sorted(
-        age for life in fleet.lives if isinstance(age := life.counts.get("list_age_ms"), (int, float))
+        age for life in fleet.runs if isinstance(age := life.counts.get("list_age_ms"), (int, float))
     )
-    cpu = sum(s for life in fleet.lives if isinstance(s := life.counts.get("cpu_s"), (int, float)))
+    cpu = sum(s for life in fleet.runs if isinstance(s := life.counts.get("cpu_s"), (int, float)))
     return {
-        "agents": len({life.agent for life in fleet.lives}),
-        "starts": sum(life.began is not None for life in fleet.lives),
-        "without_counters": sum(not life.counts for life in fleet.lives),
+        "agents": len({life.agent for life in fleet.runs}),
+        "starts": sum(life.began is not None for life in fleet.runs),
+        "without_counters": sum(not life.counts for life in fleet.runs),
         "never_heard_from_directory": sum(
-            bool(life.counts) and life.counts.get("list_age_ms") is None for life in fleet.lives
+            bool(life.counts) and life.counts.get("list_age_ms") is None for life in fleet.runs
         ),
         "list_age_ms": {"median": ages[len(ages) // 2], "oldest": ages[-1]} if ages else None,
         "cpu_ms_an_api_call": round(cpu * 1000 / taken, 3) if taken else None,
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1075,8 +1075,8 @@
             while text.count(b'"counters"') < 2:
                 text += await asyncio.to_thread(os.read, site.sink, 1 << 16)
             fleet = logs.read([text.splitlines()])
-            counts = fleet.lives[0].counts
-            assert [life.agent for life in fleet.lives] == ["n"] and fleet.no_event == 0
+            counts = fleet.runs[0].counts
+            assert [life.agent for life in fleet.runs] == ["n"] and fleet.no_event == 0
             assert counts["module"]["bound full"] == 0 and counts["cpu_s"] > 0 and "list_age_ms" in counts
 
     run(work())
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -40,7 +40,7 @@
             [line(1, "b", "started"), counters(25, "b", 10)],
         ]
     )
-    assert [(life.agent, life.stopped) for life in fleet.lives] == [("a", False), ("b", False), ("a", True)]
+    assert [(life.agent, life.stopped) for life in fleet.runs] == [("a", False), ("b", False), ("a", True)]
     found = logs.summary(fleet)
     assert found["taken"] == {"pay": 360} and found["answered"]["rate-limited"] == 3
     assert found["agents"] == 2 and found["starts"] == 3 and found["without_counters"] == 0
@@ -115,7 +115,7 @@
 )
 def test_what_is_no_event_is_counted_and_skipped(text):
     fleet = logs.read([[text, b"", line(1, "a", "started")]])
-    assert fleet.no_event == 1 and len(fleet.lives) == 1
+    assert fleet.no_event == 1 and len(fleet.runs) == 1
 
 
 def test_figures_that_are_none_count_for_nothing():
