--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -707,7 +707,7 @@
 
 
 def test_a_failed_directory_is_asked_again_and_the_list_kept(monkeypatch):
-    monkeypatch.setattr(protocol, "BEAT", 30.0)
+    monkeypatch.setattr(protocol, "WATCH_HEARTBEAT_MS", 30.0)
     for script in (says(failed(503)), breaks, silent):
 
         async def work(script=script):
@@ -1083,7 +1083,7 @@
 
 
 def test_where_changes_come_unasked_the_agent_follows_by_itself(monkeypatch):
-    monkeypatch.setattr(protocol, "BEAT", 30.0)
+    monkeypatch.setattr(protocol, "WATCH_HEARTBEAT_MS", 30.0)
     pushed = copy.deepcopy(AGENT_SETTINGS) | {"discovery": "pushed"}
 
     async def work():
