--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -13,7 +13,7 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.config import BadConfig, read_agent
-from lupinreach.net.agent import Agent, Decide
+from lupinreach.net.agent import Agent, BalancerFactory
 from lupinreach.net.clock import Clock
 
 DOOR_DESCRIPTORS = 18  # for operators, where there is a door
@@ -67,12 +67,15 @@
         door.close()
 
 
-async def main(decide: Decide, clock: Clock | None) -> int:
+async def main(make_balancer: BalancerFactory, clock: Clock | None) -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # guards against an end by one that comes before the start
     try:
         config = read_agent(os.environ)
         agent = Agent(
-            config, clock=clock, decide=decide, reserved=DOOR_DESCRIPTORS if config.mgmt is not None else 0
+            config,
+            clock=clock,
+            make_balancer=make_balancer,
+            reserved=DOOR_DESCRIPTORS if config.mgmt is not None else 0,
         )
     except BadConfig as bad:
         print(f"lupinreach: {bad}", file=sys.stderr)
@@ -88,10 +91,10 @@
     return 0
 
 
-def serve(decide: Decide = Balancer, clock: Clock | None = None) -> int:
+def serve(make_balancer: BalancerFactory = Balancer, clock: Clock | None = None) -> int:
     """Run one agent to its end; the exit code. The clock is the system's unless another is handed in."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(main(decide, clock))
+        return runner.run(main(make_balancer, clock))
 
 
 if __name__ == "__main__":
--- a/lupinreach/config.py
+++ b/lupinreach/config.py
@@ -20,7 +20,7 @@
     "once": Idempotency.NON_IDEMPOTENT,
 }
 GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
-LOADS = {
+LOAD_FIELDS = {
     "outstanding": "in_flight",
     "backlog": "waiting",
     "utilization": "busy",
@@ -195,7 +195,7 @@
         over_share_value=top.number("over_share_worth", 1.0),
         value_by_work=top.text("counted_by", "request") == "work",
         live_weights=top.choice("weight_kind", WEIGHTS, "nominal"),
-        load_fields=tuple(LOADS.get(f, f) for f in report.texts("fields")),
+        load_fields=tuple(LOAD_FIELDS.get(f, f) for f in report.texts("fields")),
         load_on_answers=report.text("how", "off") == "inline",
         warm_keys=top.section("family_info").flag("warm_keys"),
         step=top.number("step", 0.0) or 1.0,
--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -28,21 +28,24 @@
 from lupinreach.net.sockets import Sockets
 from lupinreach.net.tasks import Tasks
 
-OWN_DESCRIPTORS = 12  # standard streams, event loop, listener, directory, datagrams, and a few spare
-OWN_MEMORY = 40 << 20  # bytes that the process needs with nothing kept, its buffers among them
-KEPT_EACH, KEPT_ALL = 1 / 32, 1 / 4  # of the memory that it may hold: long requests, each and together
-LEAVES = 4.0  # x longest SLO: how long a connection to a backend that is no longer used stands idle
-COUNTED_EVERY = 10.0  # s between two lines of counters, so that one that is killed leaves some
-GOES_ON = 0.5  # s for which a stopping agent goes on accepting
-OPEN_AGAIN = 0.5  # s until an address that another process holds is asked for again
-LAST = 0.1  # s for which what was accepted last may still send its request
-OF_A_START = (
+RESERVED_DESCRIPTORS = 12  # standard streams, event loop, listener, directory, datagrams, and a few spare
+RESERVED_MEMORY_BYTES = 40 << 20  # bytes that the process needs with nothing kept, its buffers among them
+MAX_BODY_MEMORY_FRACTION, MAX_TOTAL_BODY_MEMORY_FRACTION = (
+    1 / 32,
+    1 / 4,
+)  # of the memory that it may hold: long requests, each and together
+UNUSED_IDLE_SLOS = 4.0  # x longest SLO: how long a connection to a backend that is no longer used stands idle
+COUNTERS_INTERVAL_S = 10.0  # s between two lines of counters, so that one that is killed leaves some
+ACCEPT_AFTER_STOP_S = 0.5  # s for which a stopping agent goes on accepting
+PEER_SOCKET_RETRY_S = 0.5  # s until an address that another process holds is asked for again
+LAST_REQUEST_GRACE_S = 0.1  # s for which what was accepted last may still send its request
+NOT_COMPARED_ON_RELOAD = (
     "directory",
     "known",
     "seed",
 )  # parts of the configuration that may differ when it is read again
 
-Decide = Callable[[Settings, int, Port], Balancer]  # from settings, seed and port
+BalancerFactory = Callable[[Settings, int, Port], Balancer]  # from settings, seed and port
 
 
 class Agent:
@@ -57,7 +60,7 @@
         log: Log | None = None,
         clock: Clock | None = None,
         sockets: Sockets | None = None,
-        decide: Decide = Balancer,
+        make_balancer: BalancerFactory = Balancer,
         reserved: int = 0,
     ) -> None:
         """`reserved` descriptors are left to others."""
@@ -69,24 +72,30 @@
         self.tasks = Tasks(self.clock, self.log, self.counters)
         self.standing = Readiness()
         self._sockets = sockets or Sockets()
-        room = _descriptors(config.sockets) - OWN_DESCRIPTORS - reserved
+        available = _descriptor_limit(config.sockets) - RESERVED_DESCRIPTORS - reserved
         # One for each side of an API call: with fewer to backends, a shot would fail for want of one.
         self.pool = Pool(
-            room // 2,
+            available // 2,
             settings.limits.connect_timeout,
             settings.limits.connection_idle,
             self.counters,
-            protocol.MOST_BODY,
+            protocol.MAX_BODY_BYTES,
             self._sockets,
         )
-        self.peers = Peers(config.peers, config.peers_all, self.counters, self._heard)
+        self.peers = Peers(config.peers, config.peers_all, self.counters, self._on_peer_datagram)
         self.directory = Directory(
-            config, self.clock, self.log, self.counters, self.tasks, self._sockets, self.pool, self._listed
+            config, self.clock, self.log, self.counters, self.tasks, self._sockets, self.pool, self._on_list
         )
         port = AgentPort(
-            self.clock, self.log, settings.limits, self.woke, self.directory.ask, self._probe, self.peers.tell
+            self.clock,
+            self.log,
+            settings.limits,
+            self.on_timer,
+            self.directory.request_list,
+            self._probe,
+            self.peers.broadcast,
         )
-        self.balancer = decide(settings, config.seed, port)
+        self.balancer = make_balancer(settings, config.seed, port)
         # Where agents of a fleet know of each other: who takes datagrams, and lists before the module does.
         self.on_peer_datagram: Callable[[int, bytes], None] | None = None
         self.fleet_report: Callable[[], dict[str, object]] | None = None  # and what operators see of it
@@ -101,17 +110,23 @@
             self.directory,
             self.balancer,
             BodyMemory(
-                int(KEPT_EACH * config.memory),
-                max(0, min(int(KEPT_ALL * config.memory), config.memory - OWN_MEMORY)),
+                int(MAX_BODY_MEMORY_FRACTION * config.memory),
+                max(
+                    0,
+                    min(
+                        int(MAX_TOTAL_BODY_MEMORY_FRACTION * config.memory),
+                        config.memory - RESERVED_MEMORY_BYTES,
+                    ),
+                ),
             ),
         )
         self.listener = Listener(
-            self.serving, self._sockets, config.listen, self.log, room // 2, config.inherited
+            self.serving, self._sockets, config.listen, self.log, available // 2, config.inherited
         )
 
     # From start to stop.
 
-    async def start(self, hear_first: float = 0.0) -> None:
+    async def start(self, directory_wait_s: float = 0.0) -> None:
         """Accept clients, after waiting for so many s at most until the directory has spoken."""
         if self.config.peer_listen is not None and self.config.settings.limits.peers:
             if self.config.inherited is None:
@@ -120,18 +135,18 @@
                 self.tasks.spawn("peers", self._open_peers(self.config.peer_listen))
         self.balancer.start(self.clock.now())
         self.directory.start(self.config.known)
-        if hear_first:
+        if directory_wait_s:
             # Guards against a list that has grown old while another process serves by a fresh one.
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(hear_first):
-                    await self.directory.heard.wait()
+                async with asyncio.timeout(directory_wait_s):
+                    await self.directory.list_received.wait()
         self.listener.open()
         self.standing.accepting = True
         self.tasks.spawn("sweep", self.listener.sweep())
-        unused = LEAVES * max(p.slo for p in self.config.settings.products)
+        unused = UNUSED_IDLE_SLOS * max(p.slo for p in self.config.settings.products)
         self.tasks.spawn("idle backends", self.pool.sweep(self.balancer.used_backends, unused))
-        self.tasks.spawn("ids", self._turn_ids())
-        self.tasks.spawn("counters", self._report_on())
+        self.tasks.spawn("ids", self._rotate_ids())
+        self.tasks.spawn("counters", self._report_periodically())
         self.log.event(
             "started",
             listen=list(self.listener.address),
@@ -148,13 +163,13 @@
             # What waits in the shared queue is the other's. Connections go with their answers, as far as they
             # have any to come, and those left idle after that: few of these cross with a request.
             self.listener.close(take_in=False)
-            await asyncio.sleep(GOES_ON)
+            await asyncio.sleep(ACCEPT_AFTER_STOP_S)
         else:
             # Idle connections go first, while a client that crosses with that can still open another.
             self.listener.close_idle()
-            await asyncio.sleep(GOES_ON)
+            await asyncio.sleep(ACCEPT_AFTER_STOP_S)
             self.listener.close()
-        await asyncio.sleep(LAST)
+        await asyncio.sleep(LAST_REQUEST_GRACE_S)
         self.listener.close_idle()
         try:
             async with asyncio.timeout(self.serving.longest_wait / 1000):
@@ -171,21 +186,22 @@
     def reload(self, environment: Mapping[str, str]) -> None:
         """Read the configuration again; of what it says, the directory's address takes effect."""
         try:
-            fresh = read_agent(environment, again=True)
+            reread = read_agent(environment, again=True)
         except BadConfig as bad:
             # Guards against a file that is wrong or half written: the old configuration stays.
             self.counters.others["reload refused"] += 1
             self.log.event("reload refused", why=str(bad))
             return
-        waits = [
+        needs_restart = [
             f.name
-            for f in fields(fresh)
-            if f.name not in OF_A_START and getattr(fresh, f.name) != getattr(self.config, f.name)
+            for f in fields(reread)
+            if f.name not in NOT_COMPARED_ON_RELOAD
+            and getattr(reread, f.name) != getattr(self.config, f.name)
         ]
         self.counters.others["reloaded"] += 1
-        self.log.event("reloaded", discovery=list(fresh.directory), needs_a_restart=waits)
-        self.config = replace(self.config, directory=fresh.directory)
-        self.directory.move(fresh.directory)
+        self.log.event("reloaded", discovery=list(reread.directory), needs_a_restart=needs_restart)
+        self.config = replace(self.config, directory=reread.directory)
+        self.directory.move(reread.directory)
 
     def drain(self, on: bool) -> None:
         """Send clients away, or take them back; what is said again changes nothing."""
@@ -213,21 +229,21 @@
                 return
             except OSError:
                 self.counters.others["datagrams: address taken"] += 1
-                await asyncio.sleep(OPEN_AGAIN)
+                await asyncio.sleep(PEER_SOCKET_RETRY_S)
 
-    async def _report_on(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
-            await asyncio.sleep(COUNTED_EVERY)
+            await asyncio.sleep(COUNTERS_INTERVAL_S)
             self.report()
 
-    async def _turn_ids(self) -> None:
+    async def _rotate_ids(self) -> None:
         while True:
             await asyncio.sleep(self.serving.longest_wait / 1000)
-            self.serving.ids.turn()
+            self.serving.ids.rotate()
 
     # News for the module that belongs to no API call.
 
-    def _listed(self, news: UpdateKind, entries: list[Listing], older: bool) -> None:
+    def _on_list(self, news: UpdateKind, entries: list[Listing], older: bool) -> None:
         try:
             if self.revise_listings is not None and news is not UpdateKind.FAILED:
                 entries = self.revise_listings(news, entries, older)
@@ -239,7 +255,7 @@
     def _probe(self, backend: int) -> None:
         self.tasks.spawn("probe", probe(self.serving, backend))
 
-    def _heard(self, sender: int, message: bytes) -> None:
+    def _on_peer_datagram(self, sender: int, message: bytes) -> None:
         try:
             if self.on_peer_datagram is not None:
                 self.on_peer_datagram(sender, message)
@@ -248,7 +264,7 @@
         except Exception as fault:
             self.tasks.fault("heard", fault)
 
-    def woke(self, at: float, mark: str) -> None:
+    def on_timer(self, at: float, mark: str) -> None:
         try:
             # Guards against a clock that rounds to just before the time asked for: the module would wait on.
             self.balancer.on_timer(max(at, self.clock.now()), mark)
@@ -256,7 +272,7 @@
             self.tasks.fault("woke", fault)
 
 
-def _descriptors(most: int) -> int:
+def _descriptor_limit(most: int) -> int:
     """How many the process may hold: as many as it is told, as far as the system lets it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= most:
--- a/lupinreach/net/channel.py
+++ b/lupinreach/net/channel.py
@@ -12,10 +12,10 @@
 
 from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
-FIRST_BUFFER = 4096
-LEAST_ROOM = 512  # bytes of free buffer below which a read gets a larger or a fresh one
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that drops what is unsent and resets
-LAST_RECEIVED = slice(52, 56)  # where Linux's tcp_info says how long ago data last came
+INITIAL_BUFFER_BYTES = 4096
+MIN_FREE_BUFFER_BYTES = 512  # bytes of free buffer below which a read gets a larger or a fresh one
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a close that drops what is unsent and resets
+TCPI_LAST_DATA_RECV = slice(52, 56)  # where Linux's tcp_info says how long ago data last came
 
 
 class Channel:
@@ -25,23 +25,23 @@
     replaced by a new one, so a slice stays good for as long as somebody holds it.
     """
 
-    def __init__(self, sock: socket.socket, most: int, patience: float = inf) -> None:
+    def __init__(self, sock: socket.socket, max_unread: int, stall_timeout: float = inf) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.stream = IOStream(sock, max_buffer_size=2 * most)
-        self._most = most  # bytes that may stand unread
-        self.patience = patience  # s for which a message that has begun may stand still
-        self.least = FIRST_BUFFER  # bytes of a fresh buffer
-        self.buffer = bytearray(FIRST_BUFFER)
+        self.stream = IOStream(sock, max_buffer_size=2 * max_unread)
+        self._max_unread = max_unread  # bytes that may stand unread
+        self.stall_timeout = stall_timeout  # s for which a message that has begun may stand still
+        self.min_buffer = INITIAL_BUFFER_BYTES  # bytes of a fresh buffer
+        self.buffer = bytearray(INITIAL_BUFFER_BYTES)
         self.start = self.end = 0
         self._reading: asyncio.Future[int] | None = None
 
     def listen(self) -> asyncio.Future[int]:
         """Go on reading; the future is done when something has come or the connection has ended."""
         if self._reading is None:
-            self._make_room()
+            self._ensure_space()
             try:
-                room = cast(bytearray, memoryview(self.buffer)[self.end :])  # a slice serves as well
-                self._reading = cast("asyncio.Future[int]", self.stream.read_into(room, partial=True))
+                target = cast(bytearray, memoryview(self.buffer)[self.end :])  # a slice serves as well
+                self._reading = cast("asyncio.Future[int]", self.stream.read_into(target, partial=True))
             except StreamClosedError as closed:
                 self._reading = _failed(closed)
         return self._reading
@@ -49,8 +49,8 @@
     async def fill(self, begun: bool = False) -> None:
         """Wait until more has been read; not for long where a message has begun."""
         reading = self.listen()
-        while begun and self.patience < inf and not reading.done():
-            await asyncio.wait([reading], timeout=self.patience)
+        while begun and self.stall_timeout < inf and not reading.done():
+            await asyncio.wait([reading], timeout=self.stall_timeout)
             if not reading.done() and not self._pending():
                 raise ConnectionEnded(ConnectionEnd.STALLED)
         try:
@@ -61,36 +61,38 @@
             ) from None
         self._reading = None
 
-    def need(self, size: int) -> None:
+    def ensure_capacity(self, size: int) -> None:
         """Make the next reads fit a message of that many bytes."""
-        if size > self._most:
+        if size > self._max_unread:
             raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         if self._reading is None and len(self.buffer) - self.start < size:
-            self._renew(size + LEAST_ROOM)
+            self._replace_buffer(size + MIN_FREE_BUFFER_BYTES)
 
-    def _make_room(self) -> None:
+    def _ensure_space(self) -> None:
         unread = self.end - self.start
-        if unread >= self._most:
+        if unread >= self._max_unread:
             raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
-        if len(self.buffer) - self.end < LEAST_ROOM or (not unread and len(self.buffer) > self.least):
+        if len(self.buffer) - self.end < MIN_FREE_BUFFER_BYTES or (
+            not unread and len(self.buffer) > self.min_buffer
+        ):
             # Guards against idle connections that keep the large buffer of one large message.
-            self._renew(max(self.least, 2 * unread))
+            self._replace_buffer(max(self.min_buffer, 2 * unread))
 
-    def _renew(self, size: int) -> None:
-        old, self.buffer = self.buffer, bytearray(min(size, self._most))
+    def _replace_buffer(self, size: int) -> None:
+        old, self.buffer = self.buffer, bytearray(min(size, self._max_unread))
         unread = self.end - self.start
         self.buffer[:unread] = memoryview(old)[self.start : self.end]
         self.start, self.end = 0, unread
 
     @property
-    def spoke(self) -> bool:
+    def has_input(self) -> bool:
         """If bytes, or the end of the connection, have come since the last message, as the event loop sees it."""
         return self.end > self.start or self.stream.closed() or self.listen().done()
 
     @property
-    def heard(self) -> bool:
+    def has_unread_input(self) -> bool:
         """If bytes, or the end of the connection, have come in that nobody has asked for yet."""
-        return self.spoke or self._pending()
+        return self.has_input or self._pending()
 
     def _pending(self) -> bool:
         """What the kernel holds and the event loop has not seen, such as a close by the other side."""
@@ -103,15 +105,19 @@
         return True
 
     @property
-    def quiet(self) -> float:
+    def ms_since_receive(self) -> float:
         """Ms since the kernel took in the last bytes of this connection, 0 where it doesn't say.
 
         Guards against a late event loop, or a wait to be accepted, that would pass for time not yet used.
         """
         if not hasattr(socket, "TCP_INFO") or self.stream.closed():
             return 0.0
-        info = self.stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED.stop)
-        return float(struct.unpack("=I", info[LAST_RECEIVED])[0]) if len(info) >= LAST_RECEIVED.stop else 0.0
+        info = self.stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCPI_LAST_DATA_RECV.stop)
+        return (
+            float(struct.unpack("=I", info[TCPI_LAST_DATA_RECV])[0])
+            if len(info) >= TCPI_LAST_DATA_RECV.stop
+            else 0.0
+        )
 
     def write(self, data: bytes | memoryview) -> asyncio.Future[None]:
         """Hand all of it to the kernel, in one write if it takes it; the future is done once it has."""
@@ -120,7 +126,7 @@
         except StreamClosedError as closed:
             return _failed(closed)
 
-    async def drain(self, most: int, within: float) -> None:
+    async def drain(self, max_bytes: int, within: float) -> None:
         """End our side and drop what still comes, as far as that is little and soon over.
 
         Guards against a close with bytes unread, which would take the last answer away from the other side.
@@ -128,10 +134,10 @@
         try:
             async with asyncio.timeout(within):
                 self.stream.socket.shutdown(socket.SHUT_WR)
-                while most > 0:
+                while max_bytes > 0:
                     self.start = self.end
                     await self.fill()
-                    most -= self.end - self.start
+                    max_bytes -= self.end - self.start
         except (ConnectionEnded, OSError, TimeoutError):
             pass
 
@@ -141,7 +147,7 @@
     def abort(self) -> None:
         """End it so that the other side can tell that what came is not whole."""
         if not self.stream.closed():
-            self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.stream.close()
 
 
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -22,10 +22,12 @@
 from lupinreach.net.sockets import Sockets
 from lupinreach.net.tasks import Tasks
 
-SILENT_BEATS = 3  # so many beats without a line, and the watch has failed
-MOVE_AGAIN = 1 / 20  # x beat: a new directory that fails is asked again after that, or up to twice as long
-KEPT = 2.0  # x longest client timeout: how long a backend that is gone is remembered
-MOST_LIST = 4 << 20  # bytes of one line, or of a whole list
+WATCH_TIMEOUT_HEARTBEATS = 3  # so many beats without a line, and the watch has failed
+MOVE_RETRY_HEARTBEATS = (
+    1 / 20
+)  # x beat: a new directory that fails is asked again after that, or up to twice as long
+REMOVED_RETENTION_TIMEOUTS = 2.0  # x longest client timeout: how long a backend that is gone is remembered
+MAX_LIST_BYTES = 4 << 20  # bytes of one line, or of a whole list
 
 
 @dataclass(slots=True)
@@ -57,21 +59,21 @@
         self._tasks = tasks
         self._sockets = sockets
         self._pool = pool
-        self._listed = listed
+        self._on_list = listed
         settings = config.settings
         self._zones = {name: number for number, name in enumerate(settings.zones)}
-        self._keep = KEPT * settings.longest_wait
+        self._retention_ms = REMOVED_RETENTION_TIMEOUTS * settings.longest_wait
         # Where the settings say that changes come unasked, the module asks for none.
-        self._by_itself = not settings.must_ask
+        self._pushed = not settings.must_ask
         self._version: int | None = None  # of the list as held; None: no list to add changes to
         self._entries: dict[str, Entry] = {}  # by uid; emptied some time after a backend is gone
         self._by_index: dict[int, Place] = {}  # the same by index; an index is never used again
         self._next = 0
-        self._heard_at: float | None = None  # when the directory last said anything, a beat included
-        self.heard = asyncio.Event()  # it has told its list at least once
+        self._last_message_at: float | None = None  # when the directory last said anything, a beat included
+        self.list_received = asyncio.Event()  # it has told its list at least once
         # If what speaks with this version is older than what is known of it; without a fleet nothing is.
         self.is_stale_version: Callable[[int], bool] | None = None
-        self._home = config.directory  # the address of the directory that is followed
+        self._address = config.directory  # the address of the directory that is followed
         self._task: asyncio.Task[None] | None = None
         self._moving: asyncio.Task[None] | None = None  # to another directory, until its list has come
 
@@ -91,22 +93,22 @@
     @property
     def age(self) -> float | None:
         """Ms since the directory last said anything, and so the age of the list; None: it has not since the start."""
-        return None if self._heard_at is None else round(self._clock.now() - self._heard_at, 1)
+        return None if self._last_message_at is None else round(self._clock.now() - self._last_message_at, 1)
 
     # Asking.
 
     def start(self, known: dict[str, Any]) -> None:
         """Begin with the list as this agent last had it."""
         if known:
-            self._take_in(known, "known", UpdateKind.CACHED)
-        if self._by_itself:
-            self.ask(True)
+            self._apply(known, "known", UpdateKind.CACHED)
+        if self._pushed:
+            self.request_list(True)
 
-    def ask(self, follow: bool) -> None:
+    def request_list(self, follow: bool) -> None:
         """A call of the module's: the changes from now on, or the full list once."""
         if follow and self._task is not None:
             self._task.cancel()
-        task = self._tasks.spawn("directory", self._call(follow))
+        task = self._tasks.spawn("directory", self._run_request(follow))
         if follow:
             self._task = task
 
@@ -115,15 +117,15 @@
         if self._moving is not None:
             self._moving.cancel()
             self._moving = None
-        if address != self._home:
+        if address != self._address:
             self._moving = self._tasks.spawn("directory move", self._move(address))
 
     async def _move(self, address: Address) -> None:
-        tries = 0
+        failures = 0
         while True:
             try:
                 # Guards against versions that two directories count each for itself: a whole list has no past.
-                self._line(await self._list(address, protocol.WATCH_HEARTBEAT_MS / 1000))
+                self._on_line(await self._fetch_list(address, protocol.WATCH_HEARTBEAT_MS / 1000))
                 break
             except (ConnectionEnded, TimeoutError) as failed:
                 why, where = (
@@ -134,23 +136,27 @@
                 why, where = ConnectionEnd.MALFORMED, str(bad)
             self._failed(why, where)
             # Guards against agents that all come back to a new directory at once.
-            tries += 1
-            chance = crc32(b"%d:%d" % (self._seed, tries)) / 2**32
-            await asyncio.sleep(MOVE_AGAIN * protocol.WATCH_HEARTBEAT_MS / 1000 * (1 + chance))
-        self._home, self._moving = address, None
+            failures += 1
+            chance = crc32(b"%d:%d" % (self._seed, failures)) / 2**32
+            await asyncio.sleep(MOVE_RETRY_HEARTBEATS * protocol.WATCH_HEARTBEAT_MS / 1000 * (1 + chance))
+        self._address, self._moving = address, None
         self._log.event("directory moved", discovery=list(address))
-        self.ask(True)
+        self.request_list(True)
 
     def _failed(self, why: ConnectionEnd, where: str) -> None:
         self._counters.directory[f"failed: {why.value}"] += 1
         self._log.event("directory failed", why=why.value, where=where)
 
-    async def _call(self, follow: bool) -> None:
+    async def _run_request(self, follow: bool) -> None:
         where = ""
         try:
             if not follow or self._version is None:
                 # After a gap there is nothing that changes could be added to.
-                self._line(await self._list(self._home, SILENT_BEATS * protocol.WATCH_HEARTBEAT_MS / 1000))
+                self._on_line(
+                    await self._fetch_list(
+                        self._address, WATCH_TIMEOUT_HEARTBEATS * protocol.WATCH_HEARTBEAT_MS / 1000
+                    )
+                )
             if follow:
                 await self._watch()
             return
@@ -160,18 +166,18 @@
             self._version = None
             why, where = ConnectionEnd.MALFORMED, str(bad)
         self._failed(why, where)
-        if self._by_itself:
+        if self._pushed:
             await asyncio.sleep(protocol.WATCH_HEARTBEAT_MS / 1000)
-            self.ask(True)
+            self.request_list(True)
         else:
-            self._listed(UpdateKind.FAILED, [], False)
+            self._on_list(UpdateKind.FAILED, [], False)
 
-    async def _list(self, address: Address, within: float) -> http.Slice | bytes:
+    async def _fetch_list(self, address: Address, within: float) -> http.Slice | bytes:
         """The text of the whole list, in so many s."""
         async with asyncio.timeout(within):
-            channel = await self._send(address, protocol.LIST_PATH)
+            channel = await self._connect(address, protocol.LIST_PATH)
             try:
-                answer = await http.read_answer(channel, MOST_LIST)
+                answer = await http.read_answer(channel, MAX_LIST_BYTES)
             finally:
                 channel.close()
         if answer.status != 200:
@@ -181,8 +187,8 @@
     async def _watch(self) -> None:
         """Follow the changes until the watch ends."""
         target = protocol.WATCH_PATH + protocol.WATCH_AFTER % (self._version or 0)
-        channel = await self._send(self._home, target)
-        silence = SILENT_BEATS * protocol.WATCH_HEARTBEAT_MS / 1000
+        channel = await self._connect(self._address, target)
+        silence = WATCH_TIMEOUT_HEARTBEATS * protocol.WATCH_HEARTBEAT_MS / 1000
         try:
             async with asyncio.timeout(silence):
                 head = await http.read_head(channel, answer=True)
@@ -193,12 +199,12 @@
                 pieces, used = chunks.feed(memoryview(channel.buffer)[channel.start : channel.end])
                 channel.start += used
                 for piece in pieces:
-                    *whole, rest = bytes(piece).split(b"\n")
-                    for part in whole:
-                        self._line(line + part)
+                    *lines, rest = bytes(piece).split(b"\n")
+                    for part in lines:
+                        self._on_line(line + part)
                         line.clear()
                     line += rest
-                if len(line) > MOST_LIST:
+                if len(line) > MAX_LIST_BYTES:
                     raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
                 if chunks.done:
                     break
@@ -208,33 +214,36 @@
         finally:
             channel.close()
 
-    async def _send(self, address: Address, target: bytes) -> Channel:
+    async def _connect(self, address: Address, target: bytes) -> Channel:
         self._counters.directory["called"] += 1
         host = b"%s:%d" % (address[0].encode(), address[1])
         channel = await connect(
-            self._sockets, address, SILENT_BEATS * protocol.WATCH_HEARTBEAT_MS, http.MOST_HEAD + MOST_LIST
+            self._sockets,
+            address,
+            WATCH_TIMEOUT_HEARTBEATS * protocol.WATCH_HEARTBEAT_MS,
+            http.MOST_HEAD + MAX_LIST_BYTES,
         )
         channel.write(http.request(b"GET", target, (), host))
         return channel
 
     # Taking in.
 
-    def _line(self, text: bytes | bytearray | memoryview) -> None:
-        self._heard_at = self._clock.now()
+    def _on_line(self, text: bytes | bytearray | memoryview) -> None:
+        self._last_message_at = self._clock.now()
         if not bytes(text).strip():
             return  # a beat
         try:
             raw = orjson.loads(text)
         except orjson.JSONDecodeError:
             raise BadConfig("list: no JSON") from None
-        self._take_in(raw, "list")
+        self._apply(raw, "list")
 
-    def _take_in(self, raw: Any, what: str, news: UpdateKind | None = None) -> None:
+    def _apply(self, raw: Any, what: str, news: UpdateKind | None = None) -> None:
         """One list or set of changes: read whole before any of it counts."""
         top = Section(raw, what)
         version = top.whole(protocol.VERSION)
         if news is None:
-            news = UpdateKind.FULL if top.flag(protocol.WHOLE) else UpdateKind.CHANGES
+            news = UpdateKind.FULL if top.flag(protocol.FULL_LIST) else UpdateKind.CHANGES
         if news is UpdateKind.CHANGES and self._version is not None and version < self._version:
             raise BadConfig(f"{top.at(protocol.VERSION)}: {version} comes after {self._version}")
         read = [self._entry(e) for e in top.sections(protocol.ENTRIES, NEEDED)]
@@ -271,11 +280,11 @@
         self._version = version
         self._counters.directory[f"news: {news.name.lower()}"] += 1
         listings = [replace(listing, backend=self._entries[uid].place.backend) for uid, _, listing in read]
-        self._listed(news, listings, older)
+        self._on_list(news, listings, older)
         if news is not UpdateKind.CACHED:
-            self.heard.set()
+            self.list_received.set()
         for uid, entry in list(self._entries.items()):
-            if entry.gone_at is not None and now > entry.gone_at + self._keep:
+            if entry.gone_at is not None and now > entry.gone_at + self._retention_ms:
                 del self._entries[uid], self._by_index[entry.place.backend]
 
     def _entry(self, raw: Section) -> tuple[str, Address, Listing]:
--- a/lupinreach/net/ids.py
+++ b/lupinreach/net/ids.py
@@ -23,11 +23,11 @@
     def __init__(self) -> None:
         self._open: set[bytes] = set()  # each leaves with its API call
         self._ended: set[bytes] = set()  # since the last turn; each leaves at the turn after the next
-        self._before: set[bytes] = set()
+        self._ended_earlier: set[bytes] = set()
 
     def begin(self, name: bytes) -> bool:
         """Take an id; false if an API call has it, or had it lately."""
-        if name in self._open or name in self._ended or name in self._before:
+        if name in self._open or name in self._ended or name in self._ended_earlier:
             return False
         self._open.add(name)
         return True
@@ -40,6 +40,6 @@
         self._open.discard(name)
         self._ended.add(name)
 
-    def turn(self) -> None:
+    def rotate(self) -> None:
         """Forget what ended before the last turn."""
-        self._before, self._ended = self._ended, set()
+        self._ended_earlier, self._ended = self._ended, set()
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -10,34 +10,36 @@
 
 from lupinreach.config import Address
 from lupinreach.net import http, protocol
-from lupinreach.net.call import ApiCall, BadRequest, compose, read_ask
-from lupinreach.net.channel import FIRST_BUFFER, Channel
+from lupinreach.net.call import ApiCall, BadRequest, compose, parse_call
+from lupinreach.net.channel import INITIAL_BUFFER_BYTES, Channel
 from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.log import Log
 from lupinreach.net.reply import Reply
 from lupinreach.net.serving import Serving
 from lupinreach.net.sockets import Sockets
-from lupinreach.net.upload import Stopped, Upload
-
-BACKLOG = 512
-AT_ONCE = 64  # connections accepted in one turn of the event loop
-PAUSE = 0.1  # s without accepting when the process has run out of descriptors
-LINGER = 0.5  # s in which the rest of a refused request is read, so that its client gets to see the answer,
-MOST_DROPPED = 256 << 10  # bytes of it, and
-LINGERING = 1 / 8  # of the connections that may do so at once
-ON_ITS_WAY = 0.25  # s for which the first request on a new connection may be on its way
-SILENT_FIRST = 2.0  # s from connecting for the first byte to come
-WHOLE = 2.5  # s from there, or from the first byte of a later request, for all of it
-PACE = 32.0  # bytes a ms beside that: half of what a client is promised
-MAY_CLOSE = 2.0  # s after which a connection between two requests may be closed,
-CROWDED = 1 / 2  # of those that are served: from there on it is
-SHORT = 0.6  # of those that are served: from there on an answer ends its connection
-SWEEP = 0.25  # s between two looks for such connections
-REFUSALS = 50.0  # bad requests a second that are answered at once; past that each waits
-HELD_UP = 1.0  # s
-RESERVE = 1 / 8  # of the connections, 2 at least: kept to turn away those that come on top of the others
-NO_ROOM, LATE = 503, 408
-STATUSES = {ConnectionEnd.MALFORMED: 400, ConnectionEnd.TOO_LARGE: 413}
+from lupinreach.net.upload import Upload, UploadStopped
+
+ACCEPT_BACKLOG = 512
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one turn of the event loop
+ACCEPT_RETRY_S = 0.1  # s without accepting when the process has run out of descriptors
+LINGER_S = 0.5  # s in which the rest of a refused request is read, so that its client gets to see the answer,
+MAX_DISCARDED_BYTES = 256 << 10  # bytes of it, and
+MAX_LINGERING_FRACTION = 1 / 8  # of the connections that may do so at once
+FIRST_REQUEST_GRACE_S = 0.25  # s for which the first request on a new connection may be on its way
+FIRST_BYTE_TIMEOUT_S = 2.0  # s from connecting for the first byte to come
+REQUEST_TIMEOUT_S = 2.5  # s from there, or from the first byte of a later request, for all of it
+MIN_BODY_BYTES_PER_MS = 32.0  # bytes a ms beside that: half of what a client is promised
+MIN_IDLE_S = 2.0  # s after which a connection between two requests may be closed,
+CROWDED_FRACTION = 1 / 2  # of those that are served: from there on it is
+CLOSE_AFTER_ANSWER_FRACTION = 0.6  # of those that are served: from there on an answer ends its connection
+SWEEP_INTERVAL_S = 0.25  # s between two looks for such connections
+REFUSALS_PER_S = 50.0  # bad requests a second that are answered at once; past that each waits
+REFUSAL_DELAY_S = 1.0  # s
+RESERVED_FRACTION = (
+    1 / 8
+)  # of the connections, 2 at least: kept to turn away those that come on top of the others
+OVERLOADED_STATUS, TIMED_OUT_STATUS = 503, 408
+REFUSAL_STATUSES = {ConnectionEnd.MALFORMED: 400, ConnectionEnd.TOO_LARGE: 413}
 
 
 class Client:
@@ -46,83 +48,83 @@
     def __init__(self, serving: Serving, listener: Listener, sock: socket.socket) -> None:
         self._serving = serving
         self._listener = listener
-        self.channel = Channel(sock, http.MOST_HEAD + http.IN_PLACE)
+        self.channel = Channel(sock, http.MOST_HEAD + http.SINGLE_BUFFER_BODY_BYTES)
         self.since = serving.clock.now()  # accepted, or free for the next request
         self.fresh = True  # nothing has come yet
-        self._keeps = True  # as the last request said
+        self._keep_alive = True  # as the last request said
         self._writing: asyncio.Future[None] | None = None
         self._held = 0  # bytes of a long body that is being read
         self._body_since = 0.0
-        self._old = False  # what is being answered is HTTP/1.0
+        self._http10 = False  # what is being answered is HTTP/1.0
 
     async def serve(self) -> None:
         end = ConnectionEnd.CLOSED_BY_PEER
         try:
-            while self._keeps:
-                await self._one()
+            while self._keep_alive:
+                await self._serve_request()
             end = ConnectionEnd.STOPPED if self._serving.standing.stopping else ConnectionEnd.CLOSED_BY_PEER
         except ConnectionEnded as ended:
             end = ended.end
-            if end in STATUSES:
-                await self._refuse(STATUSES[end], end.value)
+            if end in REFUSAL_STATUSES:
+                await self._refuse(REFUSAL_STATUSES[end], end.value)
         except BadRequest as bad:
             end = ConnectionEnd.MALFORMED
             await self._refuse(bad.status, str(bad))
         finally:
-            self._listener.closed(self, end)
+            self._listener.close_client(self, end)
 
-    async def _one(self) -> None:
+    async def _serve_request(self) -> None:
         """One request and its answer."""
         channel, listener = self.channel, self._listener
         if channel.start == channel.end:
-            listener.rests(self)
+            listener.on_idle(self)
             try:
                 await channel.fill()
             except ConnectionEnded:
                 raise ConnectionEnded(ConnectionEnd.CLOSED_BY_PEER) from None
             finally:
-                listener.stirs(self)
+                listener.on_active(self)
         now = self._serving.clock.now()
-        listener.reading[self] = (self.since if self.fresh else now) + WHOLE * 1000
+        listener.request_deadlines[self] = (self.since if self.fresh else now) + REQUEST_TIMEOUT_S * 1000
         self.fresh = False
         try:
             head = await http.read_head(channel, answer=False)
             if b"expect" in head.headers and channel.start == channel.end:  # its body may wait for a word
                 channel.write(http.CONTINUE)
-            self._old = head.old
+            self._http10 = head.old
             self._body_since = self._serving.clock.now()
             request = http.message(head, b"")
             upload = await self._read_body(head, request)
-        except Stopped:
+        except UploadStopped:
             # Nothing ran, so trying again is harmless; what still comes of the request is dropped.
-            self._let_go()
-            self._turn_back(head.headers)
-            await channel.drain(MOST_DROPPED, LINGER)
+            self._release()
+            self._reject(head.headers)
+            await channel.drain(MAX_DISCARDED_BYTES, LINGER_S)
             return
         except BaseException:
-            self._let_go()
+            self._release()
             raise
         finally:
-            del listener.reading[self]
+            del listener.request_deadlines[self]
         if channel.end > channel.start:
-            self._let_go(upload)
+            self._release(upload)
             # Guards against requests by the hundred on one connection: the protocol has one at a time.
             raise BadRequest("more has come than one request")
-        self._keeps = request.keeps
-        arrived = self._serving.clock.now() - channel.quiet  # of its last byte
+        self._keep_alive = request.keeps
+        arrived = self._serving.clock.now() - channel.ms_since_receive  # of its last byte
         if request.target == protocol.READY_PATH:
-            self._let_go(upload)
-            self.whole(200 if self._serving.standing.ready else 503)
-            await self._written()
+            self._release(upload)
+            self.send_answer(200 if self._serving.standing.ready else 503)
+            await self._wait_until_written()
         else:
             self._serving.counters.open += 1
             try:
                 await self._api_call(request, arrived, upload)
-                await self._written()
+                await self._wait_until_written()
             finally:
                 self._serving.counters.open -= 1
 
-    async def _written(self) -> None:
+    async def _wait_until_written(self) -> None:
         """Wait until the kernel has the answer."""
         if self._writing is not None:
             try:
@@ -134,125 +136,133 @@
                 raise ConnectionEnded(ConnectionEnd.CLOSED_BY_PEER) from None
 
     async def _api_call(self, request: http.Message, arrived: float, upload: Upload | None) -> None:
-        if self._listener.full:
+        if self._listener.is_full:
             # Turned away before it reaches the module, and harmless to repeat: nothing was sent for it.
             # Guards against requests that the kernel has taken in and that nobody has a descriptor to read.
-            self._let_go(upload)
-            self._turn_back(request.headers)
+            self._release(upload)
+            self._reject(request.headers)
             return
         try:
             call = ApiCall(self._serving, request, arrived, self, upload)
         except BadRequest:
-            self._let_go(upload)
+            self._release(upload)
             raise
         self._held = 0  # the API call's now
         # To go on reading is how a client is seen to leave while its shot is out.
         reading = self.channel.listen()
-        reading.add_done_callback(call.client_spoke)
+        reading.add_done_callback(call.on_client_input)
         self._serving.tasks.spawn("api call", call.run())
         await call.answered
-        reading.remove_done_callback(call.client_spoke)
+        reading.remove_done_callback(call.on_client_input)
 
-    def _stays(self) -> bool:
+    def _decide_keep_alive(self) -> bool:
         """What the answer says of the connection, and what then holds."""
-        if self._serving.standing.closes_after_answer or self._listener.short:
-            self._keeps = False
-        return self._keeps
+        if self._serving.standing.closes_after_answer or self._listener.is_crowded:
+            self._keep_alive = False
+        return self._keep_alive
 
-    def whole(
+    def send_answer(
         self, status: int, lines: Sequence[http.Slice | bytes] = (), body: http.Slice | bytes = b""
     ) -> None:
         """Write an answer as one piece."""
-        self._writing = self.channel.write(http.answer(status, lines, body, self._stays()))
+        self._writing = self.channel.write(http.answer(status, lines, body, self._decide_keep_alive()))
 
-    def begin(self, status: int, lines: Sequence[http.Slice | bytes], length: int | None) -> Reply:
+    def begin_answer(self, status: int, lines: Sequence[http.Slice | bytes], length: int | None) -> Reply:
         """An answer that will be written as it comes."""
-        if length is None and self._old:
-            self._keeps = False
-        return Reply(self.channel, status, lines, length, self._stays(), self._old)
+        if length is None and self._http10:
+            self._keep_alive = False
+        return Reply(self.channel, status, lines, length, self._decide_keep_alive(), self._http10)
 
-    def cut(self) -> None:
-        self._keeps = False
+    def abort_answer(self) -> None:
+        self._keep_alive = False
         self.channel.abort()
 
     async def _read_body(self, head: http.Head, request: http.Message) -> Upload | None:
         """Read the body, whole if there is room to keep it; else it goes ahead to a backend."""
-        if not head.chunked and (head.length or 0) <= http.IN_PLACE:
-            request.body = await http.read_body(self.channel, head, http.IN_PLACE, self._came)
+        if not head.chunked and (head.length or 0) <= http.SINGLE_BUFFER_BODY_BYTES:
+            request.body = await http.read_body(
+                self.channel, head, http.SINGLE_BUFFER_BODY_BYTES, self._on_body_progress
+            )
             return None
-        body, kept = http.Body(self.channel, head, protocol.MOST_BODY), bytearray()
+        body, received = http.Body(self.channel, head, protocol.MAX_BODY_BYTES), bytearray()
         while True:
-            for piece in body.here():
-                kept += piece
-            self._came(body.size)
-            if body.size > http.IN_PLACE:
-                if not self._serving.body_memory.take(body.size - self._held, body.size):
-                    return await self._send_ahead(request, kept, body)
+            for piece in body.take_available():
+                received += piece
+            self._on_body_progress(body.size)
+            if body.size > http.SINGLE_BUFFER_BODY_BYTES:
+                if not self._serving.body_memory.reserve(body.size - self._held, body.size):
+                    return await self._send_ahead(request, received, body)
                 self._held = body.size
             if body.done:
-                request.body = memoryview(kept)
+                request.body = memoryview(received)
                 return None
-            await body.more()
+            await body.wait_more()
 
-    async def _send_ahead(self, request: http.Message, kept: bytearray, body: http.Body) -> Upload:
+    async def _send_ahead(self, request: http.Message, received: bytearray, body: http.Body) -> Upload:
         """Guards against long requests that together don't fit: this one can have one shot only."""
         serving = self._serving
-        ask, _ = read_ask(None, request, serving.clock.now(), serving)
+        new_call, _ = parse_call(None, request, serving.clock.now(), serving)
         if request.method == b"GET":
             raise BadRequest("GET is for what may run again, and has no body")
         backend = (
             None
-            if self._listener.full
-            else serving.balancer.choose_for_upload(serving.clock.now(), ask.product)
+            if self._listener.is_full
+            else serving.balancer.choose_for_upload(serving.clock.now(), new_call.product)
         )
         if backend is None:
-            raise Stopped
+            raise UploadStopped
         upload = Upload(serving.pool, serving.directory.place(backend), body.length is None)
         serving.counters.others["requests sent ahead"] += 1
-        self.channel.least = (
-            http.IN_PLACE
+        self.channel.min_buffer = (
+            http.SINGLE_BUFFER_BODY_BYTES
         )  # guards against a long request that is read in thousands of pieces
-        left = (ask.until - serving.clock.now()) / 1000  # counts from the last byte
+        left = (new_call.until - serving.clock.now()) / 1000  # counts from the last byte
         try:
             await upload.run(
-                compose(request, left, body.length), kept, body, self._came, serving.longest_wait / 1000
+                compose(request, left, body.length),
+                received,
+                body,
+                self._on_body_progress,
+                serving.longest_wait / 1000,
             )
         except BaseException:
-            upload.let_go()
+            upload.discard()
             raise
         finally:
-            self.channel.least = FIRST_BUFFER
-        self._let_go()
+            self.channel.min_buffer = INITIAL_BUFFER_BYTES
+        self._release()
         return upload
 
-    def _turn_back(self, headers: dict[bytes, bytes]) -> None:
+    def _reject(self, headers: dict[bytes, bytes]) -> None:
         """Refuse what no shot was sent for, and end the connection."""
         kind = headers.get(protocol.KIND)
         self._serving.counters.count_answer(
             "no room", kind.decode() if kind in self._serving.products else None
         )
-        self._keeps = False
-        self.whole(NO_ROOM)
+        self._keep_alive = False
+        self.send_answer(OVERLOADED_STATUS)
 
-    def _came(self, size: int) -> None:
+    def _on_body_progress(self, size: int) -> None:
         """So much of a body has come: it is owed time for the rest."""
-        self._listener.reading[self] = self._body_since + WHOLE * 1000 + size / PACE
+        self._listener.request_deadlines[self] = (
+            self._body_since + REQUEST_TIMEOUT_S * 1000 + size / MIN_BODY_BYTES_PER_MS
+        )
 
-    def _let_go(self, upload: Upload | None = None) -> None:
-        self._serving.body_memory.give(self._held)
+    def _release(self, upload: Upload | None = None) -> None:
+        self._serving.body_memory.release(self._held)
         self._held = 0
         if upload is not None:
-            upload.let_go()
+            upload.discard()
 
     async def _refuse(self, status: int, why: str) -> None:
         """Answer what is no request, and end the connection: nobody knows what else is on it."""
         self._serving.counters.answered["bad request"] += 1
-        async with self._listener.refusing() as first:
+        async with self._listener.refusal_slot() as first:
             if first:
-                self.turn_away(status, why)
-                await self.channel.drain(MOST_DROPPED, LINGER)
+                self.send_refusal(status, why)
+                await self.channel.drain(MAX_DISCARDED_BYTES, LINGER_S)
 
-    def turn_away(self, status: int, why: str) -> None:
+    def send_refusal(self, status: int, why: str) -> None:
         self.channel.write(http.answer(status, [b"Content-Type: text/plain\r\n"], why.encode(), keeps=False))
 
 
@@ -270,26 +280,29 @@
     ) -> None:
         self._serving = serving
         self._sockets = sockets
-        self._wanted = address
+        self._address = address
         self._inherited = inherited  # a descriptor: its queue is shared, and not ours to size or to end
         self._log = log
         self.changed = asyncio.Event()  # a client has gone
-        self.most = most
-        self.served = most - max(2, int(RESERVE * most))  # at most; the rest are turned away
+        self.max_connections = most
+        self.max_served = most - max(2, int(RESERVED_FRACTION * most))  # at most; the rest are turned away
         self._socket: socket.socket | None = None
         self._accepting = False
         self.clients: set[Client] = set()  # each leaves when its connection closes
         self.idle: dict[Client, None] = {}  # those between two requests, longest first
         self.fresh: dict[Client, None] = {}  # those that have sent nothing yet, longest first
-        self.reading: dict[Client, float] = {}  # those in a request, and when it must be whole
-        self._refused, self._refused_at = 0.0, 0.0  # bad requests of late, drained at REFUSALS
+        self.request_deadlines: dict[Client, float] = {}  # those in a request, and when it must be whole
+        self._recent_refusals, self._refusals_updated_at = (
+            0.0,
+            0.0,
+        )  # bad requests of late, drained at REFUSALS
         self._lingering = 0  # those on which a refused request is held up or dropped
 
     def open(self) -> None:
         if self._inherited is not None:
             self._socket = self._sockets.inherited(self._inherited)
         else:
-            self._socket = self._sockets.listening(self._wanted)
+            self._socket = self._sockets.listening(self._address)
         self._resume()
 
     @property
@@ -302,7 +315,7 @@
         if self._socket is not None and not self._accepting:
             self._accepting = True
             if self._inherited is None:
-                self._socket.listen(min(BACKLOG, self.most))
+                self._socket.listen(min(ACCEPT_BACKLOG, self.max_connections))
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
     def _pause(self) -> None:
@@ -313,11 +326,11 @@
                 self._socket.listen(0)
             asyncio.get_running_loop().remove_reader(self._socket)
 
-    def _accept(self, most: int = AT_ONCE) -> None:
+    def _accept(self, most: int = MAX_ACCEPTS_PER_TURN) -> None:
         assert self._socket is not None
         for _ in range(most):
-            spare = self._spare() if len(self.clients) >= self.served else None
-            if len(self.clients) >= self.most and spare is None:
+            evicted = self._find_evictable() if len(self.clients) >= self.max_served else None
+            if len(self.clients) >= self.max_connections and evicted is None:
                 self._pause()
                 self._serving.counters.connections["accept paused"] += 1
                 return
@@ -330,11 +343,11 @@
                 self._serving.counters.connections["accept failed"] += 1
                 self._log.event("accept failed", why=str(failed))
                 self._pause()
-                asyncio.get_running_loop().call_later(PAUSE, self._resume)
+                asyncio.get_running_loop().call_later(ACCEPT_RETRY_S, self._resume)
                 return
             self._serving.counters.connections["client opened"] += 1
-            if spare is not None:
-                self.closed(spare, ConnectionEnd.EVICTED)
+            if evicted is not None:
+                self.close_client(evicted, ConnectionEnd.EVICTED)
             try:
                 client = Client(self._serving, self, sock)
             except OSError:  # gone before it was looked at
@@ -344,30 +357,30 @@
             self._serving.tasks.spawn("client", client.serve())
 
     @property
-    def short(self) -> bool:
+    def is_crowded(self) -> bool:
         """If so many clients have a connection that each answer had better be the last on its own.
 
         Guards against clients that ask once and keep the connection: all that others may open would stand idle
         for as long as such connections have to be left alone.
         """
-        return len(self.clients) - len(self.fresh) >= SHORT * self.served
+        return len(self.clients) - len(self.fresh) >= CLOSE_AFTER_ANSWER_FRACTION * self.max_served
 
     @property
-    def full(self) -> bool:
-        return len(self.clients) > self.served
+    def is_full(self) -> bool:
+        return len(self.clients) > self.max_served
 
-    def _spare(self) -> Client | None:
+    def _find_evictable(self) -> Client | None:
         """One that has said nothing for a while, else the one that has stood idle longest: its client opens another.
 
         Guards against connections by the hundred that say nothing and would push out those of usual clients, and
         against a request on its way on a connection that was opened for it just now.
         """
-        silent = self._serving.clock.now() - ON_ITS_WAY * 1000
-        said_nothing = takewhile(lambda client: client.since <= silent, self.fresh)
-        by_turn = chain(said_nothing, self.idle, self.fresh)
-        return next((client for client in by_turn if not client.channel.heard), None)
+        silent = self._serving.clock.now() - FIRST_REQUEST_GRACE_S * 1000
+        silent_clients = takewhile(lambda client: client.since <= silent, self.fresh)
+        candidates = chain(silent_clients, self.idle, self.fresh)
+        return next((client for client in candidates if not client.channel.has_unread_input), None)
 
-    def rests(self, client: Client) -> None:
+    def on_idle(self, client: Client) -> None:
         """A connection is between two requests: it could make room for another."""
         client.since = self._serving.clock.now()
         (self.fresh if client.fresh else self.idle)[client] = None
@@ -375,7 +388,7 @@
             self.changed.set()  # its last answer was under way and promised that it stays
         self._resume()
 
-    def stirs(self, client: Client) -> None:
+    def on_active(self, client: Client) -> None:
         """Something has come on it, or it has ended."""
         self.fresh.pop(client, None)
         self.idle.pop(client, None)
@@ -383,65 +396,70 @@
     async def sweep(self) -> None:
         """Close those that say nothing, don't come to an end, or stand idle where room is short."""
         while True:
-            await asyncio.sleep(SWEEP)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self._serving.clock.now()
-            for client, due in list(self.reading.items()):
+            for client, due in list(self.request_deadlines.items()):
                 if now >= due:
-                    client.turn_away(LATE, "the request did not come whole in time")
-                    self.closed(client, ConnectionEnd.TIMED_OUT)
+                    client.send_refusal(TIMED_OUT_STATUS, "the request did not come whole in time")
+                    self.close_client(client, ConnectionEnd.TIMED_OUT)
             for client in list(self.fresh):
-                if now < client.since + SILENT_FIRST * 1000:
+                if now < client.since + FIRST_BYTE_TIMEOUT_S * 1000:
                     break
-                if not client.channel.heard:
-                    self.closed(client, ConnectionEnd.TIMED_OUT)
+                if not client.channel.has_unread_input:
+                    self.close_client(client, ConnectionEnd.TIMED_OUT)
             if self._serving.standing.closes_idle(now):
                 self.close_idle()
             for client in list(self.idle):
-                if now < client.since + MAY_CLOSE * 1000 or len(self.clients) < CROWDED * self.served:
+                if (
+                    now < client.since + MIN_IDLE_S * 1000
+                    or len(self.clients) < CROWDED_FRACTION * self.max_served
+                ):
                     break
-                if not client.channel.heard:
-                    self.closed(client, ConnectionEnd.IDLE)
+                if not client.channel.has_unread_input:
+                    self.close_client(client, ConnectionEnd.IDLE)
 
     @asynccontextmanager
-    async def refusing(self) -> AsyncIterator[bool]:
+    async def refusal_slot(self) -> AsyncIterator[bool]:
         """Room for the end of a bad request; without it, and where such are many, the end is a plain close.
 
         Guards against a flood that comes again as soon as it is turned away: past so many a second each waits
         its time, which costs nothing, and so many at most hold a descriptor.
         """
         now = self._serving.clock.now()
-        self._refused = max(0.0, self._refused - (now - self._refused_at) / 1000 * REFUSALS) + 1
-        self._refused_at = now
-        room = self._lingering < max(1, int(LINGERING * self.most))
+        self._recent_refusals = (
+            max(0.0, self._recent_refusals - (now - self._refusals_updated_at) / 1000 * REFUSALS_PER_S) + 1
+        )
+        self._refusals_updated_at = now
+        has_slot = self._lingering < max(1, int(MAX_LINGERING_FRACTION * self.max_connections))
         self._lingering += 1
         try:
-            if room and self._refused > REFUSALS:
-                await asyncio.sleep(HELD_UP)
-            yield room
+            if has_slot and self._recent_refusals > REFUSALS_PER_S:
+                await asyncio.sleep(REFUSAL_DELAY_S)
+            yield has_slot
         finally:
             self._lingering -= 1
 
-    def closed(self, client: Client, end: ConnectionEnd) -> None:
+    def close_client(self, client: Client, end: ConnectionEnd) -> None:
         if client not in self.clients:
             return
         client.channel.close()
         self.clients.discard(client)
-        self.stirs(client)
+        self.on_active(client)
         self._serving.counters.connections[f"client {end.value}"] += 1
         self.changed.set()
-        if len(self.clients) < self.most:
+        if len(self.clients) < self.max_connections:
             self._resume()
 
     def close_idle(self) -> None:
         for client in [*self.fresh, *self.idle]:
-            if not client.channel.heard:
-                self.closed(client, ConnectionEnd.STOPPED)
+            if not client.channel.has_unread_input:
+                self.close_client(client, ConnectionEnd.STOPPED)
 
     def close(self, take_in: bool = True) -> None:
         """Accept no more; what has come is taken in first, unless another process will."""
         if self._socket is not None:
             if take_in:
-                self._accept(BACKLOG)
+                self._accept(ACCEPT_BACKLOG)
             self._pause()
             self._socket.close()
             self._socket = None
--- a/lupinreach/net/log.py
+++ b/lupinreach/net/log.py
@@ -10,8 +10,8 @@
 
 from lupinreach.net.clock import Clock
 
-MOST_LINE = 4000  # under what a pipe takes in one piece
-MOST_TEXT = 500
+MAX_LINE_BYTES = 4000  # under what a pipe takes in one piece
+MAX_TEXT_CHARS = 500
 
 
 class Log(logging.Handler):
@@ -28,12 +28,12 @@
 
     def event(self, event: str, **fields: object) -> None:
         """Write one event, or drop it: a log that nobody reads must not hold up API calls."""
-        fields = {k: v[:MOST_TEXT] if isinstance(v, str) else v for k, v in fields.items()}
+        fields = {k: v[:MAX_TEXT_CHARS] if isinstance(v, str) else v for k, v in fields.items()}
         head = {"at": round(self._clock.now(), 1), "agent": self._agent, "event": event}
         line = orjson.dumps(head | fields, default=str, option=orjson.OPT_APPEND_NEWLINE)
         try:
             writable = self._ready.poll(0)
-            if len(line) > MOST_LINE or not writable or not writable[0][1] & select.POLLOUT:
+            if len(line) > MAX_LINE_BYTES or not writable or not writable[0][1] & select.POLLOUT:
                 self.dropped += 1
             else:
                 os.write(self._descriptor, line)
--- a/lupinreach/net/peers.py
+++ b/lupinreach/net/peers.py
@@ -8,7 +8,7 @@
 
 from lupinreach.config import Address
 from lupinreach.net.counters import Counters
-from lupinreach.net.protocol import MOST_DATAGRAM
+from lupinreach.net.protocol import MAX_DATAGRAM_BYTES
 from lupinreach.net.sockets import Sockets
 
 
@@ -18,15 +18,15 @@
     def __init__(
         self,
         peers: tuple[Address, ...],
-        everybody: Address | None,
+        broadcast_address: Address | None,
         counters: Counters,
-        heard: Callable[[int, bytes], None],
+        on_message: Callable[[int, bytes], None],
     ) -> None:
         self._addresses = peers
-        self._numbers = {address: number for number, address in enumerate(peers)}
-        self._everybody = everybody
+        self._peer_numbers = {address: number for number, address in enumerate(peers)}
+        self._broadcast_address = broadcast_address
         self._counters = counters
-        self._heard = heard
+        self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self, sockets: Sockets, address: Address) -> None:
@@ -36,27 +36,31 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        number = self._numbers.get(addr[:2])
-        if number is None or len(data) > MOST_DATAGRAM:
+        number = self._peer_numbers.get(addr[:2])
+        if number is None or len(data) > MAX_DATAGRAM_BYTES:
             self._counters.others["datagrams ignored"] += 1
             return
         self._counters.others["datagrams heard"] += 1
-        self._heard(number, data)
+        self._on_message(number, data)
 
     def error_received(self, exc: Exception) -> None:
         self._counters.others["datagrams failed"] += 1
 
-    def tell(self, message: bytes) -> None:
+    def broadcast(self, message: bytes) -> None:
         """Send to all; a longer message than allowed is none."""
-        if self._transport is None or self._everybody is None or len(message) > MOST_DATAGRAM:
+        if self._transport is None or self._broadcast_address is None or len(message) > MAX_DATAGRAM_BYTES:
             self._counters.others["datagrams not sent"] += 1
             return
         self._counters.others["datagrams sent"] += 1
-        self._transport.sendto(message, self._everybody)
+        self._transport.sendto(message, self._broadcast_address)
 
     def send(self, number: int, message: bytes) -> None:
         """Send to one peer; to a number that there is none of, nothing goes."""
-        if self._transport is None or not 0 <= number < len(self._addresses) or len(message) > MOST_DATAGRAM:
+        if (
+            self._transport is None
+            or not 0 <= number < len(self._addresses)
+            or len(message) > MAX_DATAGRAM_BYTES
+        ):
             self._counters.others["datagrams not sent"] += 1
             return
         self._counters.others["datagrams sent"] += 1
--- a/lupinreach/net/port.py
+++ b/lupinreach/net/port.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Hashable
 
 from lupinreach.model import Limits
-from lupinreach.net.call import ApiCall, CallOff, GiveUp, Order, RateLimit, Send
+from lupinreach.net.call import ApiCall, CallEvent, CancelAttempt, FailCall, RateLimit, SendAttempt
 from lupinreach.net.clock import Clock
 from lupinreach.net.log import Log
 
@@ -19,41 +19,41 @@
         clock: Clock,
         log: Log,
         limits: Limits,
-        woke: Callable[[float, str], None],
-        ask: Callable[[bool], None],
+        on_timer: Callable[[float, str], None],
+        request_list: Callable[[bool], None],
         probe: Callable[[int], None],
-        tell: Callable[[bytes], None],
+        broadcast: Callable[[bytes], None],
     ) -> None:
         self._clock = clock
         self._log = log
         self._limits = limits
-        self._woke = woke
-        self._ask = ask
+        self._on_timer = on_timer
+        self._request_list = request_list
         self._probe = probe
-        self._tell = tell
+        self._broadcast = broadcast
 
     @staticmethod
-    def _order(token: Hashable, order: Order) -> None:
+    def _post(token: Hashable, event: CallEvent) -> None:
         assert isinstance(token, ApiCall)
-        token.orders.put_nowait(order)
+        token.events.put_nowait(event)
 
     def send(self, token: Hashable, backend: int, until: float) -> None:
-        self._order(token, Send(backend, until))
+        self._post(token, SendAttempt(backend, until))
 
-    def cancel(self, token: Hashable, shot: int) -> None:
-        self._order(token, CallOff(shot))
+    def cancel(self, token: Hashable, attempt: int) -> None:
+        self._post(token, CancelAttempt(attempt))
 
     def rate_limit(self, token: Hashable, retry_after: float) -> None:
-        self._order(token, RateLimit(retry_after))
+        self._post(token, RateLimit(retry_after))
 
     def error(self, token: Hashable) -> None:
-        self._order(token, GiveUp())
+        self._post(token, FailCall())
 
     def wake(self, at: float, mark: str) -> None:
-        asyncio.get_running_loop().call_at(self._clock.on_loop(at), self._woke, at, mark)
+        asyncio.get_running_loop().call_at(self._clock.on_loop(at), self._on_timer, at, mark)
 
     def directory(self, follow: bool) -> None:
-        self._ask(follow)
+        self._request_list(follow)
 
     def probe(self, backend: int) -> None:
         if self._limits.probes:
@@ -61,7 +61,7 @@
 
     def peers(self, message: bytes) -> None:
         if self._limits.peers:
-            self._tell(message)
+            self._broadcast(message)
 
     def log(self, text: str) -> None:
         self._log.event("module", text=text)
--- a/lupinreach/net/protocol.py
+++ b/lupinreach/net/protocol.py
@@ -12,7 +12,7 @@
 REQUEST_HEADERS = frozenset((ID, KIND, DEADLINE, RETRY, COST, EXTRA, CUSTOMER))
 KEY = re.compile(rb"/api/([^/?]+)")  # where requests have a key, it is the path's last part
 DEADLINE_LINE, RETRY_AFTER_LINE = b"Req-Deadline: %.3f\r\n", b"Retry-After: %.3f\r\n"
-LOAD, NEVER_RAN = b"srv-load", b"srv-declined"
+LOAD, DECLINED = b"srv-load", b"srv-declined"
 
 READY_PATH = b"/health/ready"
 LIVE_PATH, STATS_PATH = b"/health/live", b"/stats"
@@ -20,11 +20,11 @@
 
 # A backend's answers.
 SERVED = 200
-TURNED_AWAY = (503, 504)  # with NEVER_RAN: 1
+REJECTED_STATUSES = (503, 504)  # with NEVER_RAN: 1
 
 # A load report's fields, by the names that the settings give them or by the protocol's own.
 # Guards against reports that come under the one kind of name and are looked for under the other.
-LOADS = config.LOADS | {
+LOAD_FIELDS = config.LOAD_FIELDS | {
     "inflight": "in_flight",
     "queue": "waiting",
     "util": "busy",
@@ -34,15 +34,15 @@
 }
 
 # The directory's lists.
-VERSION, WHOLE, ENTRIES = "rev", "all", "targets"
+VERSION, FULL_LIST, ENTRIES = "rev", "all", "targets"
 UID, ENDPOINT, ZONE, CELL = "uid", "endpoint", "az", "pod_group"
 STATE, SIZE, BOOT_TIME = "state", "capacity_hint", "boot_ms"
 STATES = {"Ready": ListState.READY, "Terminating": ListState.DRAINING, "Gone": ListState.REMOVED}
 WATCH_HEARTBEAT_MS = 2000.0  # ms between two lines of a watch at most
 
-MOST_BODY = 40 << 20  # bytes of a body, either way
-MOST_DATAGRAM = 256
+MAX_BODY_BYTES = 40 << 20  # bytes of a body, either way
+MAX_DATAGRAM_BYTES = 256
 
 # Headers that are not passed on: what they say is between the agent and one side.
 BETWEEN_CLIENT_AND_AGENT = frozenset((DEADLINE,))
-BETWEEN_BACKEND_AND_AGENT = frozenset((LOAD, NEVER_RAN))
+BETWEEN_BACKEND_AND_AGENT = frozenset((LOAD, DECLINED))
--- a/lupinreach/net/reply.py
+++ b/lupinreach/net/reply.py
@@ -7,10 +7,10 @@
 from lupinreach.net import http
 from lupinreach.net.channel import Channel
 
-STALLS = 10.0  # s for which a client may take nothing of an answer
+CLIENT_STALL_TIMEOUT_S = 10.0  # s for which a client may take nothing of an answer
 
 
-class ClientGone(Exception):
+class ClientDisconnected(Exception):
     """The client's connection takes nothing more."""
 
 
@@ -23,18 +23,18 @@
         status: int,
         lines: list[http.Slice | bytes],
         length: int | None,
-        keeps: bool,
-        old: bool,
+        keep_alive: bool,
+        http10: bool,
     ) -> None:
         """`length` of the body, where it is known; `old`: the client knows no chunks, so it ends with its connection."""
         self._channel = channel
-        self._chunked = length is None and not old
+        self._chunked = length is None and not http10
         framing = (
             b"Transfer-Encoding: chunked\r\n"
             if self._chunked
             else (b"" if length is None else b"Content-Length: %d\r\n" % length)
         )
-        self._head = http.answer_head(status, lines, keeps, framing)
+        self._head = http.answer_head(status, lines, keep_alive, framing)
 
     async def write(self, piece: http.Slice | bytes) -> None:
         head, self._head = self._head, b""
@@ -42,18 +42,18 @@
             piece = b"".join((head, b"%x\r\n" % len(piece), piece, b"\r\n"))
         elif head:
             piece = head + piece
-        await self._hand_over(piece)
+        await self._write(piece)
 
     async def end(self) -> None:
         if self._chunked:
-            await self._hand_over(self._head + b"0\r\n\r\n")
+            await self._write(self._head + b"0\r\n\r\n")
 
-    async def _hand_over(self, data: http.Slice | bytes) -> None:
+    async def _write(self, data: http.Slice | bytes) -> None:
         writing = self._channel.write(data)
         try:
             if not writing.done():
-                async with asyncio.timeout(STALLS):
+                async with asyncio.timeout(CLIENT_STALL_TIMEOUT_S):
                     await writing
             await writing
         except (OSError, TimeoutError):
-            raise ClientGone from None
+            raise ClientDisconnected from None
--- a/lupinreach/net/tasks.py
+++ b/lupinreach/net/tasks.py
@@ -11,7 +11,7 @@
 from lupinreach.net.counters import Counters
 from lupinreach.net.log import Log
 
-FAULT_EVERY = 1000.0  # ms between two lines about one kind of fault
+FAULT_LOG_INTERVAL_MS = 1000.0  # ms between two lines about one kind of fault
 
 
 class Tasks:
@@ -21,7 +21,7 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._told: dict[str, float] = {}  # when each kind of fault was last logged; the kinds are few
+        self._logged_at: dict[str, float] = {}  # when each kind of fault was last logged; the kinds are few
         # Each leaves when it ends. No set: the order in which tasks are ended must not be chance.
         self.running: dict[asyncio.Task[Any], None] = {}
 
@@ -41,9 +41,9 @@
         """An exception that nobody expected: told, counted, and outlived."""
         self._counters.others[f"fault: {what}"] += 1
         now = self._clock.now()
-        if now >= self._told.get(what, 0.0) + FAULT_EVERY:
+        if now >= self._logged_at.get(what, 0.0) + FAULT_LOG_INTERVAL_MS:
             # Guards against a fault that comes with each API call and would fill the log.
-            self._told[what] = now
+            self._logged_at[what] = now
             where = traceback.format_exception(fault)[-3:]
             self._log.event("fault", what=what, why=repr(fault), where="".join(where))
 
--- a/lupinreach/net/upload.py
+++ b/lupinreach/net/upload.py
@@ -15,7 +15,7 @@
 from lupinreach.net.pool import Place, Pool
 
 
-class Stopped(Exception):
+class UploadStopped(Exception):
     """The backend takes no more of it. Nothing ran."""
 
 
@@ -32,44 +32,44 @@
     async def run(
         self,
         head: bytes,
-        begun: bytes | bytearray,
+        received: bytes | bytearray,
         body: http.Body,
-        came: Callable[[int], None],
-        within: float,
+        on_progress: Callable[[int], None],
+        timeout_s: float,
     ) -> None:
         """Send it ahead; each write may take so many s. Raises Stopped for the backend's end, Ended for the client's."""
         try:
             self._channel = await self._pool.acquire(self.place)
         except ConnectionEnded:
-            raise Stopped from None
-        await self._write(head, within)
-        last = bytes(begun)
-        del begun
+            raise UploadStopped from None
+        await self._write(head, timeout_s)
+        held_back = bytes(received)
+        del received
         while not body.done:
-            await body.more()
-            came(body.size)
-            for piece in body.here():
-                await self._write(self._framed(last), within)
-                last = bytes(piece)
-        self.tail = self._framed(last) + (b"0\r\n\r\n" if self._chunked else b"")
+            await body.wait_more()
+            on_progress(body.size)
+            for piece in body.take_available():
+                await self._write(self._frame(held_back), timeout_s)
+                held_back = bytes(piece)
+        self.tail = self._frame(held_back) + (b"0\r\n\r\n" if self._chunked else b"")
 
-    def _framed(self, piece: bytes) -> bytes:
+    def _frame(self, piece: bytes) -> bytes:
         return b"%x\r\n%s\r\n" % (len(piece), piece) if self._chunked and piece else piece
 
-    async def _write(self, data: bytes, within: float) -> None:
+    async def _write(self, data: bytes, timeout_s: float) -> None:
         assert self._channel is not None
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 await self._channel.write(data)
         except (OSError, TimeoutError):
-            raise Stopped from None
+            raise UploadStopped from None
 
-    def take(self) -> Channel | None:
+    def take_channel(self) -> Channel | None:
         """The connection, for the shot that ends it; None once it was taken."""
         channel, self._channel = self._channel, None
         return channel
 
-    def let_go(self) -> None:
+    def discard(self) -> None:
         """End what no shot took over."""
-        if (channel := self.take()) is not None:
+        if (channel := self.take_channel()) is not None:
             self._pool.discard(channel, ConnectionEnd.SEND_CANCELLED)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -13,7 +13,7 @@
 from helpers import AGENT_SETTINGS, OK, Peer, Site, full_list, look, read_http, run, says, target
 
 from lupinreach import logs
-from lupinreach.config import LOADS
+from lupinreach.config import LOAD_FIELDS
 from lupinreach.model import NEVER_RAN, AttemptEnd, Load
 from lupinreach.net import listener, protocol
 from lupinreach.net.connection_end import ATTEMPT_ENDS, ConnectionEnd
@@ -316,7 +316,7 @@
             while len(backend.requests) < 2:
                 await asyncio.sleep(0.001)
             assert status(await site.ask(look())) == 200 and agent.pool.open == 2  # one idle, one out
-            agent.directory._take_in(full_list(target("s-2", backend.address), rev=2), "list")
+            agent.directory._apply(full_list(target("s-2", backend.address), rev=2), "list")
             assert agent.pool.open == 1
             release.set()
             assert status(await read_http(client[0])) == 200
@@ -353,7 +353,7 @@
             told = []
             monkeypatch.setattr(site.agent.balancer, "on_timer", lambda now, mark: told.append((now, mark)))
             at = site.agent.clock.now() + 1e6
-            site.agent.woke(at, "look")
+            site.agent.on_timer(at, "look")
             assert told == [(at, "look")]
 
     run(work())
@@ -396,8 +396,8 @@
             await site.settled()
             assert status(await site.ask(raw)) == 409 and len(backend.requests) == 1
             assert not site.agent.serving.ids._open and site.agent.counters.taken == {"pay": 1}
-            site.agent.serving.ids.turn()
-            site.agent.serving.ids.turn()
+            site.agent.serving.ids.rotate()
+            site.agent.serving.ids.rotate()
             assert status(await site.ask(raw)) == 200  # forgotten, so nothing grows
 
     run(work())
@@ -415,9 +415,9 @@
 
 
 def test_a_client_that_says_nothing_or_half_a_request_is_shown_out(monkeypatch):
-    monkeypatch.setattr(listener, "SWEEP", 0.01)
-    monkeypatch.setattr(listener, "SILENT_FIRST", 0.05)
-    monkeypatch.setattr(listener, "WHOLE", 0.1)
+    monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.01)
+    monkeypatch.setattr(listener, "FIRST_BYTE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(listener, "REQUEST_TIMEOUT_S", 0.1)
 
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
@@ -429,18 +429,18 @@
             late[1].write(look(**PAY)[:-1])  # its body is not whole
             assert status(await late[0].read()) == 408
             assert status(await site.ask(look(), kept)) == 200  # stood idle, and there is room
-            assert len(site.agent.listener.clients) == 1 and not site.agent.listener.reading
+            assert len(site.agent.listener.clients) == 1 and not site.agent.listener.request_deadlines
 
     run(work())
 
 
 def test_where_room_is_short_idle_connections_are_closed_unless_a_request_has_come(monkeypatch):
-    monkeypatch.setattr(listener, "SWEEP", 0.01)
-    monkeypatch.setattr(listener, "MAY_CLOSE", 0.05)
+    monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.01)
+    monkeypatch.setattr(listener, "MIN_IDLE_S", 0.05)
 
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
-            site.agent.listener.served = 6
+            site.agent.listener.max_served = 6
             clients = [await site.client() for _ in range(3)]
             for client in clients:
                 assert status(await site.ask(look(), client)) == 200
@@ -455,7 +455,7 @@
 def test_where_many_ask_once_and_stay_an_answer_ends_its_connection():
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
-            site.agent.listener.served, site.agent.listener.most = 5, 8
+            site.agent.listener.max_served, site.agent.listener.max_connections = 5, 8
             clients = [await site.client() for _ in range(3)]
             answers = [await site.ask(look(), client) for client in clients]
             assert [b"Connection: close" in answer for answer in answers] == [False, False, True]
@@ -468,12 +468,12 @@
 
 
 def test_a_flood_of_bad_requests_waits_and_past_so_many_is_closed(monkeypatch):
-    monkeypatch.setattr(listener, "REFUSALS", 1.0)
-    monkeypatch.setattr(listener, "HELD_UP", 0.3)
+    monkeypatch.setattr(listener, "REFUSALS_PER_S", 1.0)
+    monkeypatch.setattr(listener, "REFUSAL_DELAY_S", 0.3)
 
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
-            site.agent.listener.most, loop = 16, asyncio.get_running_loop()
+            site.agent.listener.max_connections, loop = 16, asyncio.get_running_loop()
             first, *flood = [await site.client() for _ in range(4)]
             assert status(await site.ask(look(b"odd"), first)) == 400
             first[1].close()
@@ -508,11 +508,11 @@
 
 
 def test_a_full_agent_closes_what_is_idle_then_turns_away_then_stops_accepting(monkeypatch):
-    monkeypatch.setattr(listener, "SHORT", 9.0)
+    monkeypatch.setattr(listener, "CLOSE_AFTER_ANSWER_FRACTION", 9.0)
 
     async def work():
         async with Peer(silent) as backend, Site(target("s-1", backend.address)) as site:
-            site.agent.listener.served, site.agent.listener.most = 2, 3
+            site.agent.listener.max_served, site.agent.listener.max_connections = 2, 3
             first, second = await site.client(), await site.client()
             for client in (first, second):
                 assert status(await site.ask(READY, client)) == 200
@@ -541,12 +541,12 @@
 
 
 def test_a_connection_opened_just_now_makes_no_room_while_another_stands_idle_or_silent(monkeypatch):
-    monkeypatch.setattr(listener, "SHORT", 9.0)
+    monkeypatch.setattr(listener, "CLOSE_AFTER_ANSWER_FRACTION", 9.0)
 
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
             agent = site.agent
-            agent.listener.served = 3
+            agent.listener.max_served = 3
             silent, idle = await site.client(), await site.client()
             assert status(await site.ask(READY, idle)) == 200
             next(iter(agent.listener.fresh)).since -= 1000.0  # it has said nothing for a second
@@ -763,8 +763,8 @@
     async def work():
         async with Site(target("s-1", "127.0.0.1:9")) as site:
             directory = site.agent.directory
-            directory._keep = -1.0
-            directory._take_in(full_list(target("s-1", "127.0.0.1:9", "Gone"), rev=2, whole=False), "list")
+            directory._retention_ms = -1.0
+            directory._apply(full_list(target("s-1", "127.0.0.1:9", "Gone"), rev=2, whole=False), "list")
             assert not directory._entries and not directory._by_index and not site.agent.balancer._backends
 
     run(work())
@@ -1036,7 +1036,7 @@
 def test_load_reports():
     load = read_load(b"inflight=7, queue=2,util=0.61,novel=3")
     assert (load.in_flight, load.waiting, load.busy, load.latency) == (7.0, 2.0, 0.61, None)
-    for name, ours in LOADS.items():  # as the settings name them
+    for name, ours in LOAD_FIELDS.items():  # as the settings name them
         assert read_load(f"{name}=1.944".encode()) == Load(**{ours: 1.944})
     for text in (
         None,
@@ -1067,7 +1067,7 @@
 
 
 def test_the_counters_that_an_agent_writes_are_read_by_the_reader_of_logs(monkeypatch):
-    monkeypatch.setattr("lupinreach.net.agent.COUNTED_EVERY", 0.01)
+    monkeypatch.setattr("lupinreach.net.agent.COUNTERS_INTERVAL_S", 0.01)
 
     async def work():
         async with Site() as site:
@@ -1096,7 +1096,7 @@
 def test_a_listener_out_of_descriptors_waits(monkeypatch):
     async def work():
         async with Site() as site:
-            monkeypatch.setattr(listener, "PAUSE", 0.02)
+            monkeypatch.setattr(listener, "ACCEPT_RETRY_S", 0.02)
             real = site.agent.listener._socket
 
             class Full:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -21,7 +21,7 @@
     def end(self):
         return len(self.buffer)
 
-    def need(self, size):
+    def ensure_capacity(self, size):
         pass
 
     async def fill(self, begun=False):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -10,7 +10,7 @@
 from helpers import OK, Peer, Site, look, read_http, run, says, target
 
 from lupinreach.net import call, exchange, http, listener
-from lupinreach.net.channel import RESET
+from lupinreach.net.channel import RESET_ON_CLOSE
 from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.counters import Outcome
 
@@ -107,7 +107,7 @@
     def stand_still():
         time.sleep(0.25)
 
-    class Began(call.Began):
+    class Began(call.AnswerBegan):
         def __init__(self, number):
             super().__init__(number)
             stand_still()
@@ -129,11 +129,11 @@
             assert whole and (status(head) == 502 or len(got) == 200_000)
             await site.settled()
 
-    began = listener.Client.begin
+    began = listener.Client.begin_answer
     if busy == "after it":
-        monkeypatch.setattr(listener.Client, "begin", begin)
+        monkeypatch.setattr(listener.Client, "begin_answer", begin)
     else:
-        monkeypatch.setattr(call, "Began", Began)
+        monkeypatch.setattr(call, "AnswerBegan", Began)
     run(work())
 
 
@@ -153,7 +153,7 @@
         await asyncio.sleep(0.05)
         sock = writer.get_extra_info("socket")
         sock.setsockopt(
-            socket.SOL_SOCKET, socket.SO_LINGER, RESET
+            socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
         )  # a process that dies resets its connections
         writer.transport.abort()
 
@@ -205,7 +205,7 @@
             assert written < 24 << 20  # the rest waits in the two kernels' buffers or was never made
             (client,) = site.agent.listener.clients
             held = len(client.channel.buffer) + len(client.channel.stream._write_buffer)
-            assert held <= 4 * exchange.BUFFER
+            assert held <= 4 * exchange.STREAM_BUFFER_BYTES
             writer.transport.abort()
             await site.settled()
             assert site.agent.counters.open == 0 and site.agent.pool.open == 0
@@ -361,7 +361,7 @@
         nonlocal bodies
         if how == "breaks":
             await reader.readexactly(500_000)
-            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
             broken.set()
             return
@@ -441,7 +441,7 @@
         self.buffer = self.buffer[self.start : self.end] + self.pieces.pop(0)
         self.start, self.end = 0, len(self.buffer)
 
-    def need(self, size):
+    def ensure_capacity(self, size):
         pass
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -164,7 +164,8 @@
         async with Operated(target("s-1", "127.0.0.1:9"), **settings) as site:
             clients = [await site.client() for _ in range(30)]
             while (
-                site.agent.listener.clients and len(site.agent.listener.clients) < site.agent.listener.served
+                site.agent.listener.clients
+                and len(site.agent.listener.clients) < site.agent.listener.max_served
             ):
                 await asyncio.sleep(0)
             assert (await site.call(b"GET", b"/_ready"))[0] == 200
@@ -280,7 +281,7 @@
             site.door.close()
             site.door = Door(second, ("127.0.0.1", 0))
             site.door.open()
-            starting = asyncio.create_task(second.start(hear_first=0.2))  # the directory says nothing
+            starting = asyncio.create_task(second.start(directory_wait_s=0.2))  # the directory says nothing
             while not second.standing.listed:
                 await asyncio.sleep(0)
             assert (await site.call(b"GET", b"/_ready"))[0] == 503 and not starting.done()
