--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -75,7 +75,7 @@
     table = Table(box=None)
     for column in ("group", "what", "count", "share"):
         table.add_column(column, justify="left" if column in ("group", "what") else "right")
-    for group in (*logs.GROUPS, "events"):
+    for group in (*logs.COUNTER_GROUPS, "events"):
         whole = sum(found[group].values()) or 1
         for what, count in sorted(found[group].items(), key=lambda pair: -pair[1]):
             table.add_row(group, what, str(count), f"{count / whole:.1%}")
--- a/lupinreach/logs.py
+++ b/lupinreach/logs.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-GROUPS = (
+COUNTER_GROUPS = (
     "taken",
     "answered",
     "shots",
@@ -97,9 +97,9 @@
 
 def totals(fleet: Fleet) -> dict[str, Counter[str]]:
     """The counters of all lives together, by group; a figure that is none counts for nothing."""
-    summed = {group: Counter[str]() for group in GROUPS}
+    summed = {group: Counter[str]() for group in COUNTER_GROUPS}
     for life in fleet.runs:
-        for group in GROUPS:
+        for group in COUNTER_GROUPS:
             counts = life.counts.get(group)
             for name, count in counts.items() if isinstance(counts, dict) else ():
                 if isinstance(count, (int, float)) and not isinstance(count, bool) and count >= 0:
