--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -17,8 +17,8 @@
 from lupinreach.net.clock import Clock
 
 DOOR_DESCRIPTORS = 18  # for operators, where there is a door
-HEAR_FIRST = 1.5  # s for which a new process waits for the directory while the old one serves
-COLLECT_AFTER = 2000  # objects more than before: some hundred API calls under way
+DIRECTORY_WAIT_S = 1.5  # s for which a new process waits for the directory while the old one serves
+GC_THRESHOLD = 2000  # objects more than before: some hundred API calls under way
 
 
 async def run(agent: Agent) -> None:
@@ -51,13 +51,13 @@
         from lupinreach.ops.outlives import take_up  # nor one that hands nothing on
 
         carry = take_up(agent)
-    await agent.start(HEAR_FIRST if succession and succession.other() else 0.0)
+    await agent.start(DIRECTORY_WAIT_S if succession and succession.other() else 0.0)
     if succession is not None and not succession.take_over():
         agent.log.event("no succession", why="TMPDIR can't be written")
     # What is there now stays: guards against a collector that looks through all of it again and again.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 5, 5)
+    gc.set_threshold(GC_THRESHOLD, 5, 5)
     await stop.wait()
     succeeded = succession is not None and succession.other() is not None
     if carry is not None and not succeeded:
--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from lupinreach.balance import Balancer, Call
-from lupinreach.config import BadConfig, believed, read_settings
+from lupinreach.config import BadConfig, is_plausible_load, read_settings
 from lupinreach.model import AttemptEnd, Listing, ListState, Load, NewCall, UpdateKind
 
-ENDINGS = {
+ATTEMPT_ENDS = {
     "delivered": AttemptEnd.FULFILLED,
     "app_error": AttemptEnd.ERRORED,
     "shed": AttemptEnd.REJECTED,
@@ -23,18 +23,18 @@
     "revoked": AttemptEnd.CANCELLED,
     "unused": AttemptEnd.UNSENT,
 }
-HINTED, REPEATED, WRITES = 1, 2, 4
-MOST_LISTS = 16
-MOST_PEER_BYTES = 256
+COST_HINT_FLAG, RETRY_FLAG, WRITE_FLAG = 1, 2, 4
+MAX_LISTS = 16
+MAX_PEER_MESSAGE_BYTES = 256
 
 
 class BadInput(Exception):
     """The input is not what the wire's page says; the text names what is wrong."""
 
 
-def _of(words: dict[str, Any], word: Any, what: str) -> Any:
+def _lookup(table: dict[str, Any], word: Any, what: str) -> Any:
     try:
-        return words[word]
+        return table[word]
     except (KeyError, TypeError):
         raise BadInput(f"unknown {what} {word!r}") from None
 
@@ -49,44 +49,44 @@
         self._ids: list[int] = []
         self._calls: dict[Hashable, Call] = {}  # each leaves once nothing more can come for it
         settings = read_settings(raw)
-        self._fields = settings.load_fields
+        self._load_fields = settings.load_fields
         self._balancer = Balancer(settings, seed, self)
         self._balancer.start(now)
 
     # The port: what the module asks for.
 
-    def _act(self, name: str, **fields: Any) -> None:
+    def _add_action(self, name: str, **fields: Any) -> None:
         self.actions.append({"t": name, "i": self._number, **fields})
 
     def send(self, token: Hashable, backend: int, until: float) -> None:
-        self._act("try", tid=token, backend=self._ids[backend], try_until=until)
+        self._add_action("try", tid=token, backend=self._ids[backend], try_until=until)
 
-    def cancel(self, token: Hashable, shot: int) -> None:
-        self._act("undo_send", tid=token, **{"try": shot})
+    def cancel(self, token: Hashable, attempt: int) -> None:
+        self._add_action("undo_send", tid=token, **{"try": attempt})
 
     def rate_limit(self, token: Hashable, retry_after: float) -> None:
-        self._act("busy", tid=token, retry_after=retry_after)
+        self._add_action("busy", tid=token, retry_after=retry_after)
 
     def error(self, token: Hashable) -> None:
-        self._act("surrender", tid=token)
+        self._add_action("surrender", tid=token)
 
     def wake(self, at: float, mark: str) -> None:
-        self._act("wake_at", at=at, mark=mark)
+        self._add_action("wake_at", at=at, mark=mark)
 
     def directory(self, follow: bool) -> None:
         if follow:
-            self._act("track", enable=True)
+            self._add_action("track", enable=True)
         else:
-            self._act("list_all")
+            self._add_action("list_all")
 
     def probe(self, backend: int) -> None:
-        self._act("poll", backend=self._ids[backend])
+        self._add_action("poll", backend=self._ids[backend])
 
     def peers(self, message: bytes) -> None:
-        self._act("tell", dst="*", msg=base64.b64encode(message[:MOST_PEER_BYTES]).decode())
+        self._add_action("tell", dst="*", msg=base64.b64encode(message[:MAX_PEER_MESSAGE_BYTES]).decode())
 
     def log(self, text: str) -> None:
-        self._act("write_log", note_text=text)
+        self._add_action("write_log", note_text=text)
 
     # The wire's events.
 
@@ -98,9 +98,9 @@
         return index
 
     def _load(self, row: list[float] | None) -> Load | None:
-        if not row or not believed(row):
+        if not row or not is_plausible_load(row):
             return None
-        named = zip(self._fields, row, strict=False)
+        named = zip(self._load_fields, row, strict=False)
         return Load(**{k: v for k, v in named if k in Load.__dataclass_fields__})
 
     def req(self, now: float, e: dict[str, Any]) -> None:
@@ -114,9 +114,9 @@
                 until=e["valid_until"],
                 customer=e.get("project", 0),
                 key=e.get("resource"),
-                cost=e.get("cost") if flags & HINTED else None,
-                is_retry=bool(flags & REPEATED),
-                write=bool(flags & WRITES),
+                cost=e.get("cost") if flags & COST_HINT_FLAG else None,
+                is_retry=bool(flags & RETRY_FLAG),
+                write=bool(flags & WRITE_FLAG),
             ),
         )
         if not call.closed:
@@ -135,7 +135,7 @@
         call.on_attempt_ended(
             now,
             e.get("try", 0),
-            _of(ENDINGS, e.get("ending"), "ending"),
+            _lookup(ATTEMPT_ENDS, e.get("ending"), "ending"),
             e.get("rtt", 0.0),
             bool(e.get("complete")),
             self._load(e.get("metrics")),
@@ -158,7 +158,7 @@
         self._balancer.on_probe(
             now,
             self._index(e["backend"]),
-            _of(ENDINGS, e.get("ending"), "ending"),
+            _lookup(ATTEMPT_ENDS, e.get("ending"), "ending"),
             e.get("rtt", 0.0),
             self._load(e.get("metrics")),
         )
@@ -268,7 +268,7 @@
 
     def _inventory(self, e: dict[str, Any]) -> None:
         page = e.get("page", 0)
-        if not isinstance(page, int) or not 0 <= page < MOST_LISTS:
+        if not isinstance(page, int) or not 0 <= page < MAX_LISTS:
             raise BadInput(f"inventory: page {page!r} is no list number")
         hosts = e.get("hosts", [])
         if not isinstance(hosts, list) or not all(isinstance(h, dict) for h in hosts):
--- a/lupinreach/config.py
+++ b/lupinreach/config.py
@@ -14,12 +14,12 @@
 
 from lupinreach.model import Customer, DedupScope, Idempotency, Limits, Product, Rules, Settings
 
-KINDS = {
+IDEMPOTENCY_KINDS = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.DEDUPLICATED,
     "once": Idempotency.NON_IDEMPOTENT,
 }
-GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
+DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 LOAD_FIELDS = {
     "outstanding": "in_flight",
     "backlog": "waiting",
@@ -28,30 +28,35 @@
     "throughput": "calls_per_s",
     "errors_per_s": "errors_per_s",
 }
-WEIGHTS = {"off": False, "nominal": False, "rough": False, "live": True}  # if they move with what is held
-MOST_REPORTED = 1e5  # of anything in a load report: more than one address has ports for
-MOST_CONFIG_BYTES = 16 << 20
-LEAST_MEMORY = 32  # MB
-CARRY_AGE = 60.0  # s
+WEIGHT_KINDS = {
+    "off": False,
+    "nominal": False,
+    "rough": False,
+    "live": True,
+}  # if they move with what is held
+MAX_LOAD_VALUE = 1e5  # of anything in a load report: more than one address has ports for
+MAX_CONFIG_BYTES = 16 << 20
+MIN_MEMORY_MB = 32  # MB
+DEFAULT_CARRY_AGE_S = 60.0  # s
 FLEET_HEARTBEAT_MS, FLEET_QUERY_TIMEOUT_MS = (
     1000.0,
     300.0,
 )  # ms between two words of an agent to the fleet, and for which one that stands up asks it
-FEWEST_SOCKETS = 32  # below it there is no room for a client, a backend and the agent's own
+MIN_SOCKETS = 32  # below it there is no room for a client, a backend and the agent's own
 
-NEEDED: Any = object()  # in place of a default: the key must be there
+REQUIRED: Any = object()  # in place of a default: the key must be there
 
 
 class BadConfig(ValueError):
     """The input can't be used; the text names the key."""
 
 
-def believed(figures: Iterable[Any]) -> bool:
+def is_plausible_load(figures: Iterable[Any]) -> bool:
     """If a load report's figures are such as a backend can have.
 
     Guards against one that no backend can have, which would rest it for good and spoil the mean.
     """
-    return all(type(f) in (int, float) and 0 <= f <= MOST_REPORTED for f in figures)
+    return all(type(f) in (int, float) and 0 <= f <= MAX_LOAD_VALUE for f in figures)
 
 
 class Section:
@@ -68,11 +73,11 @@
 
     def _get(self, key: str, default: Any) -> Any:
         value = self._raw.get(key)
-        if value is None and default is NEEDED:
+        if value is None and default is REQUIRED:
             raise BadConfig(f"{self.at(key)}: missing")
         return value
 
-    def number(self, key: str, default: float = NEEDED, low: float = 0.0, high: float = inf) -> float:
+    def number(self, key: str, default: float = REQUIRED, low: float = 0.0, high: float = inf) -> float:
         value = self._get(key, default)
         if value is None:
             return default
@@ -82,7 +87,7 @@
             raise BadConfig(f"{self.at(key)}: {value!r} is out of range")
         return float(value)
 
-    def whole(self, key: str, default: int = NEEDED, low: int = 0, high: float = inf) -> int:
+    def whole(self, key: str, default: int = REQUIRED, low: int = 0, high: float = inf) -> int:
         return int(self.number(key, default, low, high))
 
     def flag(self, key: str, default: bool = False) -> bool:
@@ -93,7 +98,7 @@
             raise BadConfig(f"{self.at(key)}: {value!r} is neither true nor false")
         return bool(value)
 
-    def text(self, key: str, default: str = NEEDED) -> str:
+    def text(self, key: str, default: str = REQUIRED) -> str:
         value = self._get(key, default)
         if value is None:
             return default
@@ -101,13 +106,13 @@
             raise BadConfig(f"{self.at(key)}: {value!r} is no text")
         return value
 
-    def choice(self, key: str, words: Mapping[str, Any], default: str = NEEDED) -> Any:
+    def choice(self, key: str, choices: Mapping[str, Any], default: str = REQUIRED) -> Any:
         value = self.text(key, default)
-        if value not in words:
-            raise BadConfig(f"{self.at(key)}: unknown {value!r}; known are {', '.join(words)}")
-        return words[value]
+        if value not in choices:
+            raise BadConfig(f"{self.at(key)}: unknown {value!r}; known are {', '.join(choices)}")
+        return choices[value]
 
-    def address(self, key: str, default: str = NEEDED) -> Address:
+    def address(self, key: str, default: str = REQUIRED) -> Address:
         return _address(self.text(key, default), self.at(key))
 
     def mapping(self, key: str, default: Any = None) -> dict[str, Any]:
@@ -158,7 +163,7 @@
     """The settings in our words; absent keys get their default."""
     top = Section(raw, path)
     limits, rules, report = top.section("ceilings"), top.section("invariants"), top.section("report")
-    products = tuple(_product(p) for p in top.sections("categories", NEEDED))
+    products = tuple(_product(p) for p in top.sections("categories", REQUIRED))
     if not products:
         raise BadConfig(f"{top.at('categories')}: empty")
     return Settings(
@@ -194,7 +199,7 @@
         must_ask=top.text("discovery", "pushed") == "on_request",
         over_share_value=top.number("over_share_worth", 1.0),
         value_by_work=top.text("counted_by", "request") == "work",
-        live_weights=top.choice("weight_kind", WEIGHTS, "nominal"),
+        live_weights=top.choice("weight_kind", WEIGHT_KINDS, "nominal"),
         load_fields=tuple(LOAD_FIELDS.get(f, f) for f in report.texts("fields")),
         load_on_answers=report.text("how", "off") == "inline",
         warm_keys=top.section("family_info").flag("warm_keys"),
@@ -208,8 +213,8 @@
         slo=raw.number("aim", 0.0),
         timeout=raw.number("give_up"),
         billed_value=raw.number("credit", 1.0),
-        kind=raw.choice("semantics", KINDS, "once"),
-        group=raw.choice("group", GROUPS, "all"),
+        kind=raw.choice("semantics", IDEMPOTENCY_KINDS, "once"),
+        group=raw.choice("group", DEDUP_SCOPES, "all"),
         memory=raw.number("memory_span", 0.0),
         late_value=raw.number("late_worth", 0.0),
         slo_stretch=raw.number("aim_stretch", 0.0),
@@ -230,7 +235,7 @@
     """Off without its key; with it, what it can't be without has to be there."""
     if top._get("fleet", None) is None:
         return None
-    own = top.section("fleet")
+    fleet_section = top.section("fleet")
     if _store(top) is None:
         raise BadConfig("fleet: needs store.file")
     if not settings.limits.peers:
@@ -244,9 +249,9 @@
     if settings.me >= settings.agents:
         raise BadConfig(f"settings.me: {settings.me} is out of range")
     return FleetConfig(
-        own.number("beat_ms", FLEET_HEARTBEAT_MS, low=50.0, high=60_000.0),
-        own.number("ask_ms", FLEET_QUERY_TIMEOUT_MS, low=10.0, high=10_000.0),
-        own.number("share_ms", 0.0, high=60_000.0),
+        fleet_section.number("beat_ms", FLEET_HEARTBEAT_MS, low=50.0, high=60_000.0),
+        fleet_section.number("ask_ms", FLEET_QUERY_TIMEOUT_MS, low=10.0, high=10_000.0),
+        fleet_section.number("share_ms", 0.0, high=60_000.0),
     )
 
 
@@ -259,7 +264,7 @@
     return stored or carried
 
 
-def _ran(top: Section, settings: Settings) -> bool:
+def _persists_ids(top: Section, settings: Settings) -> bool:
     """If ids of what may have run are synced before it does."""
     if not top.mapping("store") or not top.section("store").flag("ran"):
         return False
@@ -301,14 +306,14 @@
         raise BadConfig("PROXY_CONFIG: missing")
     try:
         with open(path, "rb") as file:
-            raw = json.loads(file.read(MOST_CONFIG_BYTES))
-    except OSError as bad:
-        raise BadConfig(f"PROXY_CONFIG: {path}: {bad.strerror}") from None
-    except ValueError as bad:
-        raise BadConfig(f"PROXY_CONFIG: {path} is no JSON: {bad}") from None
+            raw = json.loads(file.read(MAX_CONFIG_BYTES))
+    except OSError as error:
+        raise BadConfig(f"PROXY_CONFIG: {path}: {error.strerror}") from None
+    except ValueError as error:
+        raise BadConfig(f"PROXY_CONFIG: {path} is no JSON: {error}") from None
     top = Section(raw)
 
-    def told(variable: str, key: str) -> Address:
+    def overridable_address(variable: str, key: str) -> Address:
         if variable in environment and not (again and top.text(key, "")):
             return _address(environment[variable], variable)
         return top.address(key)
@@ -320,22 +325,24 @@
         raise BadConfig(f"seed: {seed!r} is no hexadecimal number") from None
     return AgentConfig(
         name=environment.get("PROXY_NAME") or top.text("name"),
-        listen=told("PROXY_LISTEN", "listen"),
+        listen=overridable_address("PROXY_LISTEN", "listen"),
         inherited=_descriptor(environment["PROXY_FD"]) if "PROXY_FD" in environment else None,
-        mgmt=told("PROXY_MGMT", "mgmt") if "PROXY_MGMT" in environment or top.text("mgmt", "") else None,
-        directory=told("PROXY_DISCOVERY", "discovery"),
+        mgmt=overridable_address("PROXY_MGMT", "mgmt")
+        if "PROXY_MGMT" in environment or top.text("mgmt", "")
+        else None,
+        directory=overridable_address("PROXY_DISCOVERY", "discovery"),
         seed=number,
-        sockets=top.section("limits").whole("sockets", 1024, low=FEWEST_SOCKETS),
-        memory=top.section("limits").whole("memory_mb", 192, low=LEAST_MEMORY) << 20,
+        sockets=top.section("limits").whole("sockets", 1024, low=MIN_SOCKETS),
+        memory=top.section("limits").whole("memory_mb", 192, low=MIN_MEMORY_MB) << 20,
         peer_listen=top.address("peer_listen") if top.text("peer_listen", "") else None,
         peers=tuple(_address(text, f"peers[{i}]") for i, text in enumerate(top.texts("peers"))),
         peers_all=top.address("peers_all") if top.text("peers_all", "") else None,
         known=top.mapping("known"),
         store=_store(top),
-        carry_age=1000 * top.section("carry").number("most_age_s", CARRY_AGE, low=1.0)
+        carry_age=1000 * top.section("carry").number("most_age_s", DEFAULT_CARRY_AGE_S, low=1.0)
         if top.mapping("carry")
         else None,
-        settings=(settings := read_settings(top.mapping("settings", NEEDED), "settings")),
+        settings=(settings := read_settings(top.mapping("settings", REQUIRED), "settings")),
         fleet=_fleet(top, settings),
-        ran=_ran(top, settings),
+        ran=_persists_ids(top, settings),
     )
--- a/lupinreach/logs.py
+++ b/lupinreach/logs.py
@@ -19,9 +19,9 @@
     "others",
     "module",
 )  # of counters, all that grow
-BURST = 100.0  # ms: the window in which the most events of a kind are looked for
-TURN = re.compile(r"backend \d+ (ejected|restored) ")
-MOST_LINE = 1 << 16
+BURST_WINDOW_MS = 100.0  # ms: the window in which the most events of a kind are looked for
+POOL_CHANGE = re.compile(r"backend \d+ (ejected|restored) ")
+MAX_LINE_BYTES = 1 << 16
 
 
 @dataclass
@@ -29,7 +29,7 @@
     """One agent from a start to its end, by the last counters that it left."""
 
     agent: str
-    began: float | None  # Unix ms; None: its start is in no file
+    started_at: float | None  # Unix ms; None: its start is in no file
     counts: dict[str, Any] = field(default_factory=dict)
     stopped: bool = False  # it said so itself; else it was killed, or the file ends before
 
@@ -40,7 +40,7 @@
 
     runs: list[AgentRun] = field(default_factory=list)
     events: list[tuple[float, str, str]] = field(default_factory=list)  # at, what, agent; in order of time
-    no_event: int = 0  # lines that could not be read as an event
+    invalid_lines: int = 0  # lines that could not be read as an event
 
 
 def read(files: Iterable[Iterable[bytes]]) -> Fleet:
@@ -55,7 +55,7 @@
             if event is not None:
                 found.append(event)
             elif line.strip():
-                fleet.no_event += 1
+                fleet.invalid_lines += 1
     found.sort(key=lambda event: event["at"])
     current: dict[str, AgentRun] = {}
     for event in found:
@@ -63,9 +63,9 @@
         if what == "started" or agent not in current:
             current[agent] = AgentRun(agent, event["at"] if what == "started" else None)
             fleet.runs.append(current[agent])
-        life = current[agent]
+        run = current[agent]
         if what in ("counters", "stopped"):
-            life.counts, life.stopped = event, what == "stopped"
+            run.counts, run.stopped = event, what == "stopped"
         if what != "counters":
             fleet.events.append((event["at"], _name(event), agent))
     return fleet
@@ -73,7 +73,7 @@
 
 def _event(line: bytes) -> dict[str, Any] | None:
     begin = line.find(b"{")
-    if begin < 0 or len(line) > MOST_LINE:
+    if begin < 0 or len(line) > MAX_LINE_BYTES:
         return None
     try:
         event = orjson.loads(line[begin:])
@@ -88,8 +88,8 @@
 def _name(event: dict[str, Any]) -> str:
     """The event with what tells its kinds apart."""
     if event["event"] == "module":
-        turn = TURN.match(str(event.get("text")))
-        return f"backend {turn[1]}" if turn else "module"
+        change = POOL_CHANGE.match(str(event.get("text")))
+        return f"backend {change[1]}" if change else "module"
     if event["event"] == "directory failed":
         return f"directory failed: {event.get('why')}"
     return str(event["event"])
@@ -98,16 +98,16 @@
 def totals(fleet: Fleet) -> dict[str, Counter[str]]:
     """The counters of all lives together, by group; a figure that is none counts for nothing."""
     summed = {group: Counter[str]() for group in COUNTER_GROUPS}
-    for life in fleet.runs:
+    for run in fleet.runs:
         for group in COUNTER_GROUPS:
-            counts = life.counts.get(group)
+            counts = run.counts.get(group)
             for name, count in counts.items() if isinstance(counts, dict) else ():
                 if isinstance(count, (int, float)) and not isinstance(count, bool) and count >= 0:
                     summed[group][name] += count
     return summed
 
 
-def most_at_once(fleet: Fleet, within: float = BURST) -> dict[str, tuple[int, float]]:
+def most_at_once(fleet: Fleet, window_ms: float = BURST_WINDOW_MS) -> dict[str, tuple[int, float]]:
     """By event: the most of them in any so many ms over the fleet, and when that was (Unix ms)."""
     times: defaultdict[str, list[float]] = defaultdict(list)
     for at, what, _ in fleet.events:
@@ -116,7 +116,7 @@
     for what, at in times.items():
         first, best = 0, (0, at[0])
         for last, end in enumerate(at):
-            while at[first] < end - within:
+            while at[first] < end - window_ms:
                 first += 1
             best = max(best, (last - first + 1, at[first]), key=lambda pair: pair[0])
         found[what] = best
@@ -127,22 +127,20 @@
     """All figures as one JSON object; shares are of all API calls taken, ages in ms."""
     counts = totals(fleet)
     taken = sum(counts["taken"].values())
-    ages = sorted(
-        age for life in fleet.runs if isinstance(age := life.counts.get("list_age_ms"), (int, float))
-    )
-    cpu = sum(s for life in fleet.runs if isinstance(s := life.counts.get("cpu_s"), (int, float)))
+    ages = sorted(age for run in fleet.runs if isinstance(age := run.counts.get("list_age_ms"), (int, float)))
+    cpu = sum(s for run in fleet.runs if isinstance(s := run.counts.get("cpu_s"), (int, float)))
     return {
-        "agents": len({life.agent for life in fleet.runs}),
-        "starts": sum(life.began is not None for life in fleet.runs),
-        "without_counters": sum(not life.counts for life in fleet.runs),
+        "agents": len({run.agent for run in fleet.runs}),
+        "starts": sum(run.started_at is not None for run in fleet.runs),
+        "without_counters": sum(not run.counts for run in fleet.runs),
         "never_heard_from_directory": sum(
-            bool(life.counts) and life.counts.get("list_age_ms") is None for life in fleet.runs
+            bool(run.counts) and run.counts.get("list_age_ms") is None for run in fleet.runs
         ),
         "list_age_ms": {"median": ages[len(ages) // 2], "oldest": ages[-1]} if ages else None,
         "cpu_ms_an_api_call": round(cpu * 1000 / taken, 3) if taken else None,
         "rate_limited_share": round(counts["answered"]["rate-limited"] / taken, 4) if taken else None,
         "most_within_100_ms": {what: n for what, (n, _) in sorted(most_at_once(fleet).items())},
         "events": dict(sorted(Counter(what for _, what, _ in fleet.events).items())),
-        "no_event_lines": fleet.no_event,
+        "no_event_lines": fleet.invalid_lines,
         **{group: dict(sorted(counter.items())) for group, counter in counts.items()},
     }
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from lupinreach.config import NEEDED, Address, AgentConfig, BadConfig, Section
+from lupinreach.config import REQUIRED, Address, AgentConfig, BadConfig, Section
 from lupinreach.model import Listing, ListState, UpdateKind
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import Channel
@@ -246,7 +246,7 @@
             news = UpdateKind.FULL if top.flag(protocol.FULL_LIST) else UpdateKind.CHANGES
         if news is UpdateKind.CHANGES and self._version is not None and version < self._version:
             raise BadConfig(f"{top.at(protocol.VERSION)}: {version} comes after {self._version}")
-        read = [self._entry(e) for e in top.sections(protocol.ENTRIES, NEEDED)]
+        read = [self._entry(e) for e in top.sections(protocol.ENTRIES, REQUIRED)]
         older = (
             news is not UpdateKind.CACHED
             and self.is_stale_version is not None
--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from math import inf
 
-from lupinreach.config import believed
+from lupinreach.config import is_plausible_load
 from lupinreach.model import Load
 from lupinreach.net import http, protocol
 from lupinreach.net.channel import INITIAL_BUFFER_BYTES, Channel
@@ -198,4 +198,4 @@
                 figures[name_here] = float(value)
             except ValueError:
                 return None
-    return Load(**figures) if figures and believed(figures.values()) else None
+    return Load(**figures) if figures and is_plausible_load(figures.values()) else None
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1076,7 +1076,7 @@
                 text += await asyncio.to_thread(os.read, site.sink, 1 << 16)
             fleet = logs.read([text.splitlines()])
             counts = fleet.runs[0].counts
-            assert [life.agent for life in fleet.runs] == ["n"] and fleet.no_event == 0
+            assert [life.agent for life in fleet.runs] == ["n"] and fleet.invalid_lines == 0
             assert counts["module"]["bound full"] == 0 and counts["cpu_s"] > 0 and "list_age_ms" in counts
 
     run(work())
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -115,7 +115,7 @@
 )
 def test_what_is_no_event_is_counted_and_skipped(text):
     fleet = logs.read([[text, b"", line(1, "a", "started")]])
-    assert fleet.no_event == 1 and len(fleet.runs) == 1
+    assert fleet.invalid_lines == 1 and len(fleet.runs) == 1
 
 
 def test_figures_that_are_none_count_for_nothing():
