--- a/lupinreach/net/__init__.py
+++ b/lupinreach/net/__init__.py
@@ -1,1 +1,1 @@
-"""The agent on sockets: the network around the decision module. Nothing here decides."""
+"""The agent's network I/O around the decision module. All balancing decisions are made in the module."""
--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -1,4 +1,4 @@
-"""One agent: the decision module and the parts of the network around it, from start to stop."""
+"""The agent process: connects the decision module with the network I/O and manages start, reload and stop."""
 
 from __future__ import annotations
 
@@ -28,30 +28,30 @@
 from lupinreach.net.sockets import Sockets
 from lupinreach.net.tasks import Tasks
 
-RESERVED_DESCRIPTORS = 12  # standard streams, event loop, listener, directory, datagrams, and a few spare
-RESERVED_MEMORY_BYTES = 40 << 20  # bytes that the process needs with nothing kept, its buffers among them
+RESERVED_DESCRIPTORS = 12  # standard streams, event loop, listener, directory, datagrams and a margin
+RESERVED_MEMORY_BYTES = 40 << 20  # memory of the process, with its buffers, before it holds any long body
 MAX_BODY_MEMORY_FRACTION, MAX_TOTAL_BODY_MEMORY_FRACTION = (
     1 / 32,
     1 / 4,
-)  # of the memory that it may hold: long requests, each and together
-UNUSED_IDLE_SLOS = 4.0  # x longest SLO: how long a connection to a backend that is no longer used stands idle
-COUNTERS_INTERVAL_S = 10.0  # s between two lines of counters, so that one that is killed leaves some
-ACCEPT_AFTER_STOP_S = 0.5  # s for which a stopping agent goes on accepting
-PEER_SOCKET_RETRY_S = 0.5  # s until an address that another process holds is asked for again
-LAST_REQUEST_GRACE_S = 0.1  # s for which what was accepted last may still send its request
+)  # of the memory limit, for one long body and for all of them
+UNUSED_IDLE_SLOS = 4.0  # idle time, in longest SLOs, after which connections to unused backends close
+COUNTERS_INTERVAL_S = 10.0  # a killed agent leaves the counters of the last interval in its log
+ACCEPT_AFTER_STOP_S = 0.5  # how long a stopping agent still accepts connections
+PEER_SOCKET_RETRY_S = 0.5  # retry interval while another process holds the address
+LAST_REQUEST_GRACE_S = 0.1  # time for the connections accepted last to send a request
 NOT_COMPARED_ON_RELOAD = (
     "directory",
     "known",
     "seed",
-)  # parts of the configuration that may differ when it is read again
+)  # fields that a reload applies or that only matter at the start
 
-BalancerFactory = Callable[[Settings, int, Port], Balancer]  # from settings, seed and port
+BalancerFactory = Callable[[Settings, int, Port], Balancer]  # (settings, seed, port)
 
 
 class Agent:
-    """Owns everything that lives as long as the process.
+    """Creates and owns all components of the process.
 
-    Clock, log, sockets and the decision module can be handed in; the defaults are the system's and `Balancer`.
+    Clock, log, sockets and the factory of the decision module can be replaced.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         make_balancer: BalancerFactory = Balancer,
         reserved: int = 0,
     ) -> None:
-        """`reserved` descriptors are left to others."""
+        """`reserved` is the number of descriptors that other parts of the process use."""
         settings = config.settings
         self.config = config
         self.clock = clock or Clock()
@@ -73,7 +73,8 @@
         self.standing = Readiness()
         self._sockets = sockets or Sockets()
         available = _descriptor_limit(config.sockets) - RESERVED_DESCRIPTORS - reserved
-        # One for each side of an API call: with fewer to backends, a shot would fail for want of one.
+        # An API call needs a client and a backend connection. With fewer backend connections than client
+        # connections, attempts would fail for lack of a descriptor.
         self.pool = Pool(
             available // 2,
             settings.limits.connect_timeout,
@@ -96,9 +97,10 @@
             self.peers.broadcast,
         )
         self.balancer = make_balancer(settings, config.seed, port)
-        # Where agents of a fleet know of each other: who takes datagrams, and lists before the module does.
+        # Hooks of fleet mode: receive datagrams of peers, report the fleet's state, revise backend lists
+        # before the module gets them.
         self.on_peer_datagram: Callable[[int, bytes], None] | None = None
-        self.fleet_report: Callable[[], dict[str, object]] | None = None  # and what operators see of it
+        self.fleet_report: Callable[[], dict[str, object]] | None = None
         self.revise_listings: Callable[[UpdateKind, list[Listing], bool], list[Listing]] | None = None
         self.serving = Serving(
             settings,
@@ -124,10 +126,10 @@
             self.serving, self._sockets, config.listen, self.log, available // 2, config.inherited
         )
 
-    # From start to stop.
+    # Start, reload and stop.
 
     async def start(self, directory_wait_s: float = 0.0) -> None:
-        """Accept clients, after waiting for so many s at most until the directory has spoken."""
+        """Start all parts; accept clients once the directory has answered, or after `directory_wait_s` at most."""
         if self.config.peer_listen is not None and self.config.settings.limits.peers:
             if self.config.inherited is None:
                 await self.peers.open(self._sockets, self.config.peer_listen)
@@ -136,7 +138,8 @@
         self.balancer.start(self.clock.now())
         self.directory.start(self.config.known)
         if directory_wait_s:
-            # Guards against a list that has grown old while another process serves by a fresh one.
+            # Guards against serving from an outdated list while another process still serves from a current
+            # one.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(directory_wait_s):
                     await self.directory.list_received.wait()
@@ -155,17 +158,21 @@
         )
 
     async def stop(self, succeeded: bool = False) -> None:
-        """Answer all that was taken and end; go on accepting for a little while where no other process does."""
+        """Finish the open calls and stop.
+
+        Unless another process has taken over (`succeeded`), connections are accepted for a short time more.
+        """
         self.standing.succeeded = succeeded
         self.standing.stopping = True
         self.log.event("stopping", clients=len(self.listener.clients), succeeded=succeeded)
         if succeeded:
-            # What waits in the shared queue is the other's. Connections go with their answers, as far as they
-            # have any to come, and those left idle after that: few of these cross with a request.
+            # The other process accepts what waits in the shared queue. Busy connections close with their answer,
+            # the idle ones afterwards, when few of them can cross with a request.
             self.listener.close(take_in=False)
             await asyncio.sleep(ACCEPT_AFTER_STOP_S)
         else:
-            # Idle connections go first, while a client that crosses with that can still open another.
+            # Idle connections close first, while a client whose request crosses with the close can still open
+            # another one.
             self.listener.close_idle()
             await asyncio.sleep(ACCEPT_AFTER_STOP_S)
             self.listener.close()
@@ -184,11 +191,11 @@
         self.report("stopped")
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Read the configuration again; of what it says, the directory's address takes effect."""
+        """Read the configuration again and apply the directory's address; log what needs a restart."""
         try:
             reread = read_agent(environment, again=True)
         except BadConfig as bad:
-            # Guards against a file that is wrong or half written: the old configuration stays.
+            # The file may be wrong or half written: keep the old configuration.
             self.counters.others["reload refused"] += 1
             self.log.event("reload refused", why=str(bad))
             return
@@ -204,12 +211,13 @@
         self.directory.move(reread.directory)
 
     def drain(self, on: bool) -> None:
-        """Send clients away, or take them back; what is said again changes nothing."""
+        """Start or end the drain of clients. Idempotent."""
         if on is not (self.standing.drained_at is not None):
             self.log.event("drain on" if on else "drain off")
         self.standing.drain(self.clock.now()) if on else self.standing.resume()
 
     def report(self, event: str = "counters") -> None:
+        """Log all counters."""
         self.log.event(
             event,
             clients=len(self.listener.clients),
@@ -222,7 +230,7 @@
         )
 
     async def _open_peers(self, address: Address) -> None:
-        """Where the process before this one has not let go of the address yet, ask again until it has."""
+        """Bind the address for peer datagrams, retrying until the previous process has released it."""
         while True:
             try:
                 await self.peers.open(self._sockets, address)
@@ -241,7 +249,7 @@
             await asyncio.sleep(self.serving.longest_wait / 1000)
             self.serving.ids.rotate()
 
-    # News for the module that belongs to no API call.
+    # Events for the module that belong to no API call.
 
     def _on_list(self, news: UpdateKind, entries: list[Listing], older: bool) -> None:
         try:
@@ -265,15 +273,16 @@
             self.tasks.fault("heard", fault)
 
     def on_timer(self, at: float, mark: str) -> None:
+        """Pass an expired timer to the module."""
         try:
-            # Guards against a clock that rounds to just before the time asked for: the module would wait on.
+            # Rounding may fire the timer just before its time; with that time the module would keep waiting.
             self.balancer.on_timer(max(at, self.clock.now()), mark)
         except Exception as fault:
             self.tasks.fault("woke", fault)
 
 
 def _descriptor_limit(most: int) -> int:
-    """How many the process may hold: as many as it is told, as far as the system lets it."""
+    """Raise the soft limit of open files towards `most` and return the number that may be used."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= most:
         return most
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -1,4 +1,4 @@
-"""The life of one API call, from the client's request to the one final answer."""
+"""Handles one API call, from the client's request to its single final answer."""
 
 from __future__ import annotations
 
@@ -22,15 +22,13 @@
 
 RATE_LIMITED_STATUS, ERRORED_STATUS, FAULT_STATUS, DUPLICATE_STATUS = 429, 502, 500, 409
 MAX_ID_BYTES = 128
-MAX_SLACK_FRACTION = (
-    0.25  # of what the client waits: most that is kept back for timers and writes that run late
-)
+MAX_SLACK_FRACTION = 0.25  # of the client's timeout: limit of the slack reserved for late timers and writes
 NUMBER_PATTERN = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{0,12})?|\.[0-9]{1,12}")
 EXTRA_PATTERN = re.compile(rb"[^=,]+=[^=,]*(?:,[^=,]+=[^=,]*)*")
 
 
 class BadRequest(Exception):
-    """A request that goes on to no backend; the text says why."""
+    """A request that is refused without an attempt; the text says why."""
 
     def __init__(self, why: str, status: int = 400) -> None:
         super().__init__(why)
@@ -39,63 +37,71 @@
 
 @dataclass(slots=True)
 class CallEvent:
-    """What the module asks for, or what happened, in the order in which it did."""
+    """A command of the module for this call, or something that happened to it, in order of occurrence."""
 
 
 @dataclass(slots=True)
 class SendAttempt(CallEvent):
+    """The module sends an attempt to a backend."""
+
     backend: int
     until: float
 
 
 @dataclass(slots=True)
 class CancelAttempt(CallEvent):
+    """The module cancels an attempt."""
+
     number: int
 
 
 @dataclass(slots=True)
 class AnswerBegan(CallEvent):
-    """A long answer has begun to come."""
+    """The first bytes of a long answer have arrived."""
 
     number: int
 
 
 @dataclass(slots=True)
 class AttemptFinished(CallEvent):
+    """An attempt has ended, in whatever way."""
+
     number: int
 
 
 @dataclass(slots=True)
 class RateLimit(CallEvent):
+    """The module rejects the call as rate-limited."""
+
     retry_after: float
 
 
 @dataclass(slots=True)
 class FailCall(CallEvent):
-    pass
+    """The module answers the call with an error."""
 
 
 @dataclass(slots=True)
 class ClientLeft(CallEvent):
-    pass
+    """The client has closed its connection."""
 
 
 @dataclass(slots=True)
 class DeadlinePassed(CallEvent):
-    """The module's time is over, the client's not."""
+    """The module's deadline has passed; the client still waits."""
 
 
 @dataclass(slots=True)
 class InFlight:
-    """A shot that was ordered."""
+    """An attempt that was sent to a backend."""
 
-    shot: Shot
+    exchange: Shot
     task: asyncio.Task[None]
     sent: float
 
 
 class AnswerSink(Protocol):
-    """The client's side of one API call: one whole answer, or one that is passed on."""
+    """The client's side of one API call: `send_answer` writes a complete answer, `begin_answer` starts a streamed one."""
 
     def send_answer(
         self, status: int, lines: Sequence[http.Slice | bytes] = (), body: http.Slice | bytes = b""
@@ -104,11 +110,14 @@
     def begin_answer(self, status: int, lines: Sequence[http.Slice | bytes], length: int | None) -> Reply: ...
 
     def abort_answer(self) -> None:
-        """End the connection so that the client can tell that its answer is not whole."""
+        """Reset the connection, so that the client can tell that the answer is incomplete."""
 
 
 class ApiCall:
-    """One API call. It is the token that the module names it by; the port puts the module's orders here."""
+    """One API call.
+
+    The object is the call's token in the module; the port puts the module's commands into `events`.
+    """
 
     def __init__(
         self,
@@ -118,13 +127,13 @@
         answers: AnswerSink,
         upload: Upload | None = None,
     ) -> None:
-        """Raises BadRequest where the request is none of the protocol's."""
+        """Raises BadRequest if the request violates the protocol."""
         self._serving = serving
         self._request = request
         self._answers = answers
-        self._upload = upload  # the request went ahead
-        self._streaming: int | None = None  # the shot whose answer goes on while it comes
-        self.events: asyncio.Queue[CallEvent] = asyncio.Queue()  # a few for each shot; dies with the API call
+        self._upload = upload  # of a request that was forwarded while it was read
+        self._streaming: int | None = None  # number of the attempt whose answer is streamed
+        self.events: asyncio.Queue[CallEvent] = asyncio.Queue()  # a few for each attempt
         self.answered = asyncio.get_running_loop().create_future()
         self.new_call, until = parse_call(self, request, arrived, serving)
         if upload is not None:
@@ -138,11 +147,11 @@
             raise BadRequest("Req-Id is open already, or was a moment ago", DUPLICATE_STATUS)
 
     async def run(self) -> None:
-        """From top to bottom: taken, shots out as the module orders them, one final answer."""
+        """Submit the call to the module, carry out its commands and give one final answer."""
         serving, request = self._serving, self._request
         now, counters = serving.clock.now, serving.counters
         counters.taken[self._product] += 1
-        call, shots = None, list[InFlight]()
+        call, attempts = None, list[InFlight]()
         fallback_timer = asyncio.get_running_loop().call_at(
             serving.clock.on_loop(self._answer_by), self.events.put_nowait, DeadlinePassed()
         )
@@ -155,28 +164,32 @@
             while not (self.answered.done() and call.closed):
                 match await self.events.get():
                     case SendAttempt(backend, until):
-                        shots.append(self._start_attempt(len(shots), backend, until))
+                        attempts.append(self._start_attempt(len(attempts), backend, until))
                     case CancelAttempt(number):
-                        shots[number].task.cancel()
+                        attempts[number].task.cancel()
                     case AnswerBegan(number):
-                        if not shots[number].task.done() and self._start_streaming(
-                            call, number, shots[number]
+                        if not attempts[number].task.done() and self._start_streaming(
+                            call, number, attempts[number]
                         ):
                             fallback_timer.cancel()
                     case AttemptFinished(number) if number == self._streaming:
-                        end = shots[number].shot.end
+                        end = attempts[number].exchange.end
                         counters.shots[end.value] += 1
                         call.on_attempt_ended(
-                            now(), number, ATTEMPT_ENDS[end], now() - shots[number].sent, True
+                            now(), number, ATTEMPT_ENDS[end], now() - attempts[number].sent, True
                         )
                         self._on_stream_ended(end)
                     case AttemptFinished(number):
-                        shot = shots[number].shot
-                        counters.shots[shot.end.value] += 1
-                        answer, served = shot.answer, shot.end is ConnectionEnd.SERVED
+                        exchange = attempts[number].exchange
+                        counters.shots[exchange.end.value] += 1
+                        answer, served = exchange.answer, exchange.end is ConnectionEnd.SERVED
                         load = _record_load_report(counters, answer) if answer else None
-                        took = now() - shots[number].sent if shot.latency_ms is None else shot.latency_ms
-                        call.on_attempt_ended(now(), number, ATTEMPT_ENDS[shot.end], took, served, load)
+                        took = (
+                            now() - attempts[number].sent
+                            if exchange.latency_ms is None
+                            else exchange.latency_ms
+                        )
+                        call.on_attempt_ended(now(), number, ATTEMPT_ENDS[exchange.end], took, served, load)
                         if served and answer:
                             lines = http.passed_on(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
                             self._answer("fulfilled", protocol.SERVED, answer.body, lines)
@@ -188,13 +201,13 @@
                         call.on_client_left(now())
                         self._close("left")
                         if self._streaming is not None:
-                            shots[self._streaming].task.cancel()
+                            attempts[self._streaming].task.cancel()
                     case DeadlinePassed() if not self.answered.done() and self._streaming is None:
-                        # Guards against an order that comes too late for the client's deadline.
+                        # Guards against a command of the module that comes too late for the client's deadline.
                         call.on_client_left(now())
                         self._answer("errored", ERRORED_STATUS)
         except Exception as fault:
-            # Guards against a fault of our own that would leave a client without an answer: a 500.
+            # An internal fault must not leave the client without an answer: it gets a 500.
             serving.tasks.fault("api call", fault)
             if self._streaming is None:
                 self._answer("fault", FAULT_STATUS)
@@ -203,20 +216,20 @@
                 self._close("fault")
             if call is not None:
                 call.on_client_left(now())
-                await self._settle(call, shots)
+                await self._settle(call, attempts)
         finally:
             fallback_timer.cancel()
             serving.ids.end(self._id)
             serving.body_memory.release(len(request.body))
             if self._upload is not None:
                 self._upload.discard()
-            request.body = b""  # guards against a long one that lives until the collector comes by
+            request.body = b""  # a long body must not stay in memory until the next garbage collection
 
     async def _persist(self, write_id: Callable[[bytes], Awaitable[IdPersistence]]) -> bool:
-        """Have it known to the next life before anything of it runs; false if it was answered in place of that."""
+        """Persist the id before the call may run, so that it is known after a restart; false if it was answered instead."""
         persisting = self._serving.tasks.spawn("remember", write_id(self._id))
         event = asyncio.ensure_future(self.events.get())
-        # Guards against a disk that takes longer than this client still waits: an order that comes first decides.
+        # Guards against a disk that takes longer than the client still waits: an event that comes first decides.
         await asyncio.wait({persisting, event}, return_when=asyncio.FIRST_COMPLETED)
         if not event.done():
             event.cancel()
@@ -232,28 +245,28 @@
                 )
         return not self.answered.done()
 
-    async def _settle(self, call: Call, shots: list[InFlight]) -> None:
-        """After a fault: end what is out, so that the module's books stay right."""
+    async def _settle(self, call: Call, attempts: list[InFlight]) -> None:
+        """After a fault: end the attempts in flight, so that the module's counts stay correct."""
         for number in range(len(call.attempts)):
-            end = ConnectionEnd.SEND_CANCELLED  # if it was ordered and never begun
-            if number < len(shots):
-                shots[number].task.cancel()
-                await asyncio.wait([shots[number].task])
-                end = shots[number].shot.end
+            end = ConnectionEnd.SEND_CANCELLED  # the module sent it, but it was never started
+            if number < len(attempts):
+                attempts[number].task.cancel()
+                await asyncio.wait([attempts[number].task])
+                end = attempts[number].exchange.end
             call.on_attempt_ended(self._serving.clock.now(), number, ATTEMPT_ENDS[end], 0.0, False)
 
     def on_client_input(self, reading: asyncio.Future[int]) -> None:
-        """Something has come from the client, or it has closed its connection."""
+        """The client has sent something or closed its connection."""
         if not reading.cancelled() and reading.exception() is not None:
             self.events.put_nowait(ClientLeft())
 
     def _start_attempt(self, number: int, backend: int, until: float) -> InFlight:
-        """Begin a shot; its end comes back as an order."""
+        """Start an attempt; its end comes back as an event."""
         serving, request, upload = self._serving, self._request, self._upload
         sent = serving.clock.now()
         message = upload.tail if upload else compose(request, (until - sent) / 1000, len(request.body))
         place = serving.directory.place(backend)
-        shot = Shot(
+        exchange = Shot(
             serving.pool,
             place,
             message,
@@ -262,29 +275,32 @@
             lambda: self.events.put_nowait(AnswerBegan(number)),
             upload,
         )
-        task = serving.tasks.spawn("shot", shot.run())
+        task = serving.tasks.spawn("shot", exchange.run())
         task.add_done_callback(lambda _: self.events.put_nowait(AttemptFinished(number)))
-        return InFlight(shot, task, sent)
+        return InFlight(exchange, task, sent)
 
     def _start_streaming(self, call: Call, number: int, out: InFlight) -> bool:
-        """A long answer has begun: if true it is the client's from here on, and no other shot's can be."""
-        shot, serving = out.shot, self._serving
-        if self.answered.done() or self._streaming is not None or shot.answer is None:
+        """Start to stream a long answer to the client; false if that is no longer possible.
+
+        From here on no other attempt can answer the call.
+        """
+        exchange, serving = out.exchange, self._serving
+        if self.answered.done() or self._streaming is not None or exchange.answer is None:
             out.task.cancel()
             return False
-        lines = http.passed_on(shot.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
-        if not shot.stream_to(self._answers.begin_answer(protocol.SERVED, lines, shot.length)):
-            return False  # it lands like one that brought nothing
+        lines = http.passed_on(exchange.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
+        if not exchange.stream_to(self._answers.begin_answer(protocol.SERVED, lines, exchange.length)):
+            return False  # its end is handled as that of an attempt without an answer
         self._streaming = number
-        load = _record_load_report(serving.counters, shot.answer)
-        call.on_head(serving.clock.now(), number, shot.latency_ms or 0.0, load)
+        load = _record_load_report(serving.counters, exchange.answer)
+        call.on_head(serving.clock.now(), number, exchange.latency_ms or 0.0, load)
         return True
 
     def _on_stream_ended(self, end: ConnectionEnd) -> None:
         if end is ConnectionEnd.SERVED:
             self._close("fulfilled")
         elif not self.answered.done():
-            # Guards against a client that would take for whole what is not.
+            # The client must not take an incomplete answer for a complete one.
             self._answers.abort_answer()
             self._close("left" if end is ConnectionEnd.CANCELLED else "errored")
 
@@ -310,7 +326,7 @@
 
 
 def compose(request: http.Message, left: float, length: int | None) -> bytes:
-    """The head of a shot, with so many s left; `length` of the body, None where it comes in chunks."""
+    """The head of the forwarded request, with the deadline `left` in s; `length` of the body, None if chunked."""
     headers = http.passed_on(request, protocol.BETWEEN_CLIENT_AND_AGENT)
     headers.append(memoryview(protocol.DEADLINE_LINE % max(0.001, left)))
     return http.request(request.method, request.target, headers, request.headers.get(b"host", b""), length)
@@ -319,14 +335,17 @@
 def parse_call(
     token: ApiCall | None, request: http.Message, arrived: float, serving: Serving
 ) -> tuple[NewCall, float]:
-    """A request in our words, and when its client stops waiting."""
+    """Translate a request into the module's `NewCall`; also returns when its client stops waiting.
+
+    Raises BadRequest if the request violates the protocol.
+    """
     if request.method not in (b"GET", b"POST"):
         raise BadRequest("the method must be GET or POST")
     if not 0 < len(request.headers.get(protocol.ID, b"")) <= MAX_ID_BYTES:
         raise BadRequest("Req-Id is missing or too long")
     names = [name for name, _ in request.lines if name in protocol.REQUEST_HEADERS]
     if len(names) > len(set(names)) or request.options & protocol.REQUEST_HEADERS:
-        # Guards against a backend that reads another one of the two than we do, or gets none.
+        # The backend might use the other one of two headers, or get none.
         raise BadRequest("a Req header is given twice or named by Connection")
     kind = request.header(protocol.KIND)
     if kind not in serving.products:
@@ -341,7 +360,7 @@
     if extra and not EXTRA_PATTERN.fullmatch(extra):
         raise BadRequest("Req-Extra is malformed")
     cost = _number(request, protocol.COST) / 1000 if protocol.COST in request.headers else None
-    # The deadline counts from the client's sending, timers run late, and the answer has a way to go.
+    # Slack: the client's deadline counts from its sending, timers run late, and the answer needs time to arrive.
     until = arrived + wait_ms - min(serving.settings.rules.answer_slack, MAX_SLACK_FRACTION * wait_ms)
     key = protocol.KEY.fullmatch(request.target.partition(b"?")[0])
     return NewCall(
@@ -351,7 +370,7 @@
         cost=cost,
         is_retry=request.header(protocol.RETRY) == b"1",
         customer=serving.customers.get(request.header(protocol.CUSTOMER) or b"", 0),
-        key=crc32(key[1]) if key else None,  # the same at all agents
+        key=crc32(key[1]) if key else None,  # must be equal on all agents
     ), arrived + wait_ms
 
 
@@ -363,7 +382,7 @@
 
 
 def _record_load_report(counters: Counters, answer: http.Message) -> Load | None:
-    """The load that an answer reports; one that can't be believed is counted and no more."""
+    """The load report of an answer; an implausible one is counted and ignored."""
     text = answer.header(protocol.LOAD)
     load = read_load(text)
     counters.others["load reports"] += load is not None
--- a/lupinreach/net/channel.py
+++ b/lupinreach/net/channel.py
@@ -1,4 +1,4 @@
-"""One TCP connection and the buffer that its messages are read into."""
+"""A TCP connection and the buffer its messages are read into."""
 
 from __future__ import annotations
 
@@ -13,41 +13,46 @@
 from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 INITIAL_BUFFER_BYTES = 4096
-MIN_FREE_BUFFER_BYTES = 512  # bytes of free buffer below which a read gets a larger or a fresh one
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a close that drops what is unsent and resets
-TCPI_LAST_DATA_RECV = slice(52, 56)  # where Linux's tcp_info says how long ago data last came
+MIN_FREE_BUFFER_BYTES = 512  # with less free space the next read gets a larger or a new buffer
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: close drops unsent data and sends a reset
+TCPI_LAST_DATA_RECV = slice(52, 56)  # tcpi_last_data_recv (ms) in Linux's tcp_info
 
 
 class Channel:
     """Reads and writes one connection.
 
-    Messages are slices of `buffer[start:end]`. Bytes once read are never overwritten: a full buffer is
-    replaced by a new one, so a slice stays good for as long as somebody holds it.
+    Messages are slices of `buffer[start:end]`. Bytes that were read are never overwritten: a full buffer is
+    replaced by a new one, so slices stay valid for as long as they are referenced.
     """
 
     def __init__(self, sock: socket.socket, max_unread: int, stall_timeout: float = inf) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.stream = IOStream(sock, max_buffer_size=2 * max_unread)
-        self._max_unread = max_unread  # bytes that may stand unread
-        self.stall_timeout = stall_timeout  # s for which a message that has begun may stand still
-        self.min_buffer = INITIAL_BUFFER_BYTES  # bytes of a fresh buffer
+        self._max_unread = max_unread  # limit of the unread bytes
+        self.stall_timeout = stall_timeout  # s without new bytes after which a partial message is given up
+        self.min_buffer = INITIAL_BUFFER_BYTES  # bytes of a new buffer
         self.buffer = bytearray(INITIAL_BUFFER_BYTES)
         self.start = self.end = 0
         self._reading: asyncio.Future[int] | None = None
 
     def listen(self) -> asyncio.Future[int]:
-        """Go on reading; the future is done when something has come or the connection has ended."""
+        """Start or continue a read; the future is done when bytes have arrived or the connection has ended."""
         if self._reading is None:
             self._ensure_space()
             try:
-                target = cast(bytearray, memoryview(self.buffer)[self.end :])  # a slice serves as well
+                target = cast(
+                    bytearray, memoryview(self.buffer)[self.end :]
+                )  # Tornado accepts any writable buffer
                 self._reading = cast("asyncio.Future[int]", self.stream.read_into(target, partial=True))
             except StreamClosedError as closed:
                 self._reading = _failed(closed)
         return self._reading
 
     async def fill(self, begun: bool = False) -> None:
-        """Wait until more has been read; not for long where a message has begun."""
+        """Wait until more bytes have been read, for at most the stall timeout if a message has begun.
+
+        Raises ConnectionEnded.
+        """
         reading = self.listen()
         while begun and self.stall_timeout < inf and not reading.done():
             await asyncio.wait([reading], timeout=self.stall_timeout)
@@ -62,7 +67,7 @@
         self._reading = None
 
     def ensure_capacity(self, size: int) -> None:
-        """Make the next reads fit a message of that many bytes."""
+        """Make sure that the buffer can hold a message of that many bytes in one piece."""
         if size > self._max_unread:
             raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         if self._reading is None and len(self.buffer) - self.start < size:
@@ -75,7 +80,7 @@
         if len(self.buffer) - self.end < MIN_FREE_BUFFER_BYTES or (
             not unread and len(self.buffer) > self.min_buffer
         ):
-            # Guards against idle connections that keep the large buffer of one large message.
+            # Idle connections must not keep the large buffer of one large message.
             self._replace_buffer(max(self.min_buffer, 2 * unread))
 
     def _replace_buffer(self, size: int) -> None:
@@ -86,16 +91,16 @@
 
     @property
     def has_input(self) -> bool:
-        """If bytes, or the end of the connection, have come since the last message, as the event loop sees it."""
+        """If the event loop has seen bytes or the end of the connection since the last message."""
         return self.end > self.start or self.stream.closed() or self.listen().done()
 
     @property
     def has_unread_input(self) -> bool:
-        """If bytes, or the end of the connection, have come in that nobody has asked for yet."""
+        """If bytes or the end of the connection have arrived, seen by the event loop or still in the kernel."""
         return self.has_input or self._pending()
 
     def _pending(self) -> bool:
-        """What the kernel holds and the event loop has not seen, such as a close by the other side."""
+        """If the kernel holds input that the event loop has not seen, such as a close by the peer."""
         try:
             self.stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -106,9 +111,9 @@
 
     @property
     def ms_since_receive(self) -> float:
-        """Ms since the kernel took in the last bytes of this connection, 0 where it doesn't say.
+        """Ms since the kernel received the last bytes of this connection; 0 where it can't tell.
 
-        Guards against a late event loop, or a wait to be accepted, that would pass for time not yet used.
+        Time lost in a late event loop, or before the connection was accepted, counts towards the client's deadline.
         """
         if not hasattr(socket, "TCP_INFO") or self.stream.closed():
             return 0.0
@@ -120,16 +125,16 @@
         )
 
     def write(self, data: bytes | memoryview) -> asyncio.Future[None]:
-        """Hand all of it to the kernel, in one write if it takes it; the future is done once it has."""
+        """Write all data, in one system call if possible; the future is done once the kernel has taken it."""
         try:
             return self.stream.write(data)
         except StreamClosedError as closed:
             return _failed(closed)
 
     async def drain(self, max_bytes: int, within: float) -> None:
-        """End our side and drop what still comes, as far as that is little and soon over.
+        """Shut down our side and discard input, up to `max_bytes` and for up to `within` seconds.
 
-        Guards against a close with bytes unread, which would take the last answer away from the other side.
+        Closing with unread input would send a reset, which can destroy the last answer before the peer reads it.
         """
         try:
             async with asyncio.timeout(within):
@@ -142,10 +147,11 @@
             pass
 
     def close(self) -> None:
+        """Close the connection."""
         self.stream.close()
 
     def abort(self) -> None:
-        """End it so that the other side can tell that what came is not whole."""
+        """Reset the connection, so that the peer can tell that the message is incomplete."""
         if not self.stream.closed():
             self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.stream.close()
@@ -154,5 +160,5 @@
 def _failed(why: Exception) -> asyncio.Future[Any]:
     future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
     future.set_exception(why)
-    future.exception()  # counts as seen: whoever needs it asks again
+    future.exception()  # marks it as retrieved; whoever awaits the future still gets it
     return future
--- a/lupinreach/net/connection_end.py
+++ b/lupinreach/net/connection_end.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection can end, and what that means for the shot on it."""
+"""The ways in which a connection can end, and the end of the attempt on it that each one means."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class ConnectionEnd(Enum):
-    """How a connection, or one exchange on it, ended."""
+    """How a connection, or one exchange on it, ended. The texts are counter names and log fields."""
 
-    # A whole answer came.
+    # A complete answer was received.
     SERVED = "served"
     REJECTED = "turned away"
-    ERROR_STATUS = "fault"  # any other status
-    # The last byte of the message was never written.
-    NO_DESCRIPTOR = "no room"  # no descriptor left for it
+    ERROR_STATUS = "fault"  # any status but success and a rejection
+    # The last byte of the message was not written.
+    NO_DESCRIPTOR = "no room"  # no file descriptor left
     REFUSED = "refused"
     CONNECT_TIMED_OUT = "never up"
     SEND_FAILED = "broke while sending"
     SEND_TIMED_OUT = "out of time while sending"
     SEND_CANCELLED = "called off while sending"
-    # It was written.
+    # The message was written.
     CONNECTION_ERROR = "broke"
-    CLOSED_EARLY = "cut short"  # the other side ended it before the answer was whole
+    CLOSED_EARLY = "cut short"  # the peer closed the connection before the answer was complete
     MALFORMED = "malformed"
     TOO_LARGE = "too large"
-    STALLED = "stood still"  # an answer that had begun brought nothing more
+    STALLED = "stood still"  # an answer had begun, and no more bytes arrived
     TIMED_OUT = "silent"
     CANCELLED = "called off"
     # Between two messages.
-    CLOSED_BY_PEER = "left"  # the other side closed it
-    IDLE = "idle"  # stood idle for too long
-    EVICTED = "made room"  # closed for another
+    CLOSED_BY_PEER = "left"  # closed by the other side
+    IDLE = "idle"  # idle for too long
+    EVICTED = "made room"  # closed to free its descriptor for another connection
     STOPPED = "stopped"
 
 
-# Only what was never written whole is known not to have run: a break after that is a reset.
+# Only a request that was not written completely is known not to have run; a failure after that is a reset.
 ATTEMPT_ENDS = {
     ConnectionEnd.SERVED: AttemptEnd.FULFILLED,
     ConnectionEnd.REJECTED: AttemptEnd.REJECTED,
@@ -49,7 +49,7 @@
     ConnectionEnd.SEND_CANCELLED: AttemptEnd.UNSENT,
     ConnectionEnd.CONNECTION_ERROR: AttemptEnd.RESET,
     ConnectionEnd.CLOSED_EARLY: AttemptEnd.RESET,
-    # A spoilt answer says that something is wrong, as a 500 does, and not that too much is out.
+    # Like a 500, an invalid answer indicates a fault and not too many calls in flight.
     ConnectionEnd.MALFORMED: AttemptEnd.ERRORED,
     ConnectionEnd.TOO_LARGE: AttemptEnd.ERRORED,
     ConnectionEnd.STALLED: AttemptEnd.ERRORED,
@@ -63,7 +63,7 @@
 
 
 class ConnectionEnded(Exception):
-    """Raised to whoever uses a connection when it has ended."""
+    """The connection in use has ended; `end` says how."""
 
     def __init__(self, end: ConnectionEnd) -> None:
         super().__init__(end.value)
--- a/lupinreach/net/counters.py
+++ b/lupinreach/net/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the agent takes in, sends and answers; printed on SIGUSR1 and at exit."""
+"""Counters of calls, attempts and connections; logged periodically, on SIGUSR1 and at exit."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def peak_memory() -> float | None:
-    """MB of this program; what getrusage tells counts the one that started it as well."""
+    """Peak resident memory of this program in MB.
+
+    ru_maxrss of getrusage would include the program that executed this one.
+    """
     try:
         with open("/proc/self/status", "rb") as file:
             found = re.search(rb"VmHWM:\s+([0-9]+) kB", file.read())
@@ -20,14 +23,14 @@
 
 
 class Outcome(Enum):
-    """What an API call came to, for whoever counts them."""
+    """The outcome of an API call."""
 
     FULFILLED = "fulfilled"
     RATE_LIMITED = "rate-limited"
     ERRORED = "errored"
 
 
-# What the client was told, as `answered` counts it. One that left, or whose request was none, has no outcome.
+# Outcomes by the keys of `answered`. Calls whose client left and bad requests have no outcome.
 OUTCOMES = {
     "fulfilled": Outcome.FULFILLED,
     "rate-limited": Outcome.RATE_LIMITED,
@@ -38,26 +41,27 @@
 
 
 class Counters:
-    """Grows with the kinds of things counted and never with their number."""
+    """All counters. Memory grows with the kinds counted, not with their number."""
 
     def __init__(self) -> None:
-        self.taken: Counter[str] = Counter()  # API calls, by product
-        self.answered: Counter[str] = Counter()  # by what the client was told
-        self.shots: Counter[str] = Counter()  # by how they ended
-        self.connections: Counter[str] = Counter()  # opened, and closed by which end
-        self.directory: Counter[str] = Counter()
+        self.taken: Counter[str] = Counter()  # accepted API calls, by product
+        self.answered: Counter[str] = Counter()  # API calls, by the answer that the client got
+        self.shots: Counter[str] = Counter()  # attempts, by how they ended
+        self.connections: Counter[str] = Counter()  # opened and closed, by side and reason
+        self.directory: Counter[str] = Counter()  # requests, failures and updates
         self.others: Counter[str] = Counter()  # probes, messages between agents, faults
         self.outcomes: dict[Outcome, Counter[str]] = {outcome: Counter() for outcome in Outcome}  # by product
-        self.written = 0  # shots written whole
-        self.open = 0  # API calls taken and not ended
+        self.written = 0  # attempts written completely
+        self.open = 0  # API calls in progress
 
     def count_answer(self, what: str, product: str | None) -> None:
-        """An API call has ended for its client; a product that isn't known has no outcome."""
+        """Count the end of an API call for its client; with an unknown product it has no outcome."""
         self.answered[what] += 1
         if product is not None and what in OUTCOMES:
             self.outcomes[OUTCOMES[what]][product] += 1
 
     def snapshot(self) -> dict[str, Any]:
+        """All counters, and the process's open descriptors and peak memory."""
         groups = {name: dict(counts) for name, counts in vars(self).items() if isinstance(counts, Counter)}
         return groups | {
             "written": self.written,
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -1,4 +1,4 @@
-"""The directory: the list of backends, by watch or by call, and what each index of the module stands for."""
+"""Client of the directory: keeps the backend list up to date and maps the module's indices to addresses."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 from lupinreach.net.sockets import Sockets
 from lupinreach.net.tasks import Tasks
 
-WATCH_TIMEOUT_HEARTBEATS = 3  # so many beats without a line, and the watch has failed
+WATCH_TIMEOUT_HEARTBEATS = 3  # heartbeat intervals without a line after which a watch has failed
 MOVE_RETRY_HEARTBEATS = (
     1 / 20
-)  # x beat: a new directory that fails is asked again after that, or up to twice as long
-REMOVED_RETENTION_TIMEOUTS = 2.0  # x longest client timeout: how long a backend that is gone is remembered
-MAX_LIST_BYTES = 4 << 20  # bytes of one line, or of a whole list
+)  # heartbeat intervals until a failed move to a new directory is retried; up to twice that at random
+REMOVED_RETENTION_TIMEOUTS = 2.0  # longest client timeouts for which a removed backend is kept
+MAX_LIST_BYTES = 4 << 20  # of one line of a watch, or of a full list
 
 
 @dataclass(slots=True)
 class Entry:
-    """One backend as the list names it."""
+    """One backend of the list."""
 
     place: Place
     gone_at: float | None = None
 
 
 class Directory:
-    """Follows the directory and tells the module; holds the address of each backend."""
+    """Follows the directory, passes updates to the module and holds the address of each backend."""
 
     def __init__(
         self,
@@ -63,49 +63,52 @@
         settings = config.settings
         self._zones = {name: number for number, name in enumerate(settings.zones)}
         self._retention_ms = REMOVED_RETENTION_TIMEOUTS * settings.longest_wait
-        # Where the settings say that changes come unasked, the module asks for none.
+        # With pushed discovery the list is followed without a request of the module.
         self._pushed = not settings.must_ask
-        self._version: int | None = None  # of the list as held; None: no list to add changes to
-        self._entries: dict[str, Entry] = {}  # by uid; emptied some time after a backend is gone
-        self._by_index: dict[int, Place] = {}  # the same by index; an index is never used again
+        self._version: int | None = (
+            None  # of the current list; None: there is no list that changes could be applied to
+        )
+        self._entries: dict[str, Entry] = {}  # by uid; removed backends stay for `_retention_ms`
+        self._by_index: dict[int, Place] = {}  # by index; an index is never reused
         self._next = 0
-        self._last_message_at: float | None = None  # when the directory last said anything, a beat included
-        self.list_received = asyncio.Event()  # it has told its list at least once
-        # If what speaks with this version is older than what is known of it; without a fleet nothing is.
+        self._last_message_at: float | None = None  # time of the last line, heartbeats included
+        self.list_received = asyncio.Event()  # set by the first list from the directory
+        # Fleet mode: whether the fleet knows of a later version than the given one.
         self.is_stale_version: Callable[[int], bool] | None = None
-        self._address = config.directory  # the address of the directory that is followed
+        self._address = config.directory  # of the current directory
         self._task: asyncio.Task[None] | None = None
-        self._moving: asyncio.Task[None] | None = None  # to another directory, until its list has come
+        self._moving: asyncio.Task[None] | None = None  # to another directory, until its list has arrived
 
     def place(self, backend: int) -> Place:
+        """The address of a backend, by the module's index."""
         return self._by_index[backend]
 
     @property
     def version(self) -> int:
-        """Of the list as held; 0: there is none."""
+        """Version of the current list; 0: there is none."""
         return self._version or 0
 
     @property
     def listed(self) -> int:
-        """Backends in the list as it stands, draining ones too."""
+        """Number of backends in the current list, draining ones included."""
         return sum(entry.gone_at is None for entry in self._entries.values())
 
     @property
     def age(self) -> float | None:
-        """Ms since the directory last said anything, and so the age of the list; None: it has not since the start."""
+        """Age of the list: ms since the last line of the directory; None: none was received since the start."""
         return None if self._last_message_at is None else round(self._clock.now() - self._last_message_at, 1)
 
-    # Asking.
+    # Requests.
 
     def start(self, known: dict[str, Any]) -> None:
-        """Begin with the list as this agent last had it."""
+        """Start with the list that this agent last had."""
         if known:
             self._apply(known, "known", UpdateKind.CACHED)
         if self._pushed:
             self.request_list(True)
 
     def request_list(self, follow: bool) -> None:
-        """A call of the module's: the changes from now on, or the full list once."""
+        """Request the full list once or, with `follow`, follow the changes from now on."""
         if follow and self._task is not None:
             self._task.cancel()
         task = self._tasks.spawn("directory", self._run_request(follow))
@@ -113,7 +116,7 @@
             self._task = task
 
     def move(self, address: Address) -> None:
-        """Follow another directory. The old one counts until the list of the new one has come."""
+        """Follow another directory; the old one is followed until the list of the new one has arrived."""
         if self._moving is not None:
             self._moving.cancel()
             self._moving = None
@@ -124,7 +127,7 @@
         failures = 0
         while True:
             try:
-                # Guards against versions that two directories count each for itself: a whole list has no past.
+                # Two directories count versions independently, so the move starts with a full list.
                 self._on_line(await self._fetch_list(address, protocol.WATCH_HEARTBEAT_MS / 1000))
                 break
             except (ConnectionEnded, TimeoutError) as failed:
@@ -135,7 +138,7 @@
             except BadConfig as bad:
                 why, where = ConnectionEnd.MALFORMED, str(bad)
             self._failed(why, where)
-            # Guards against agents that all come back to a new directory at once.
+            # Spread the retries, so that the agents do not all return to a new directory at once.
             failures += 1
             chance = crc32(b"%d:%d" % (self._seed, failures)) / 2**32
             await asyncio.sleep(MOVE_RETRY_HEARTBEATS * protocol.WATCH_HEARTBEAT_MS / 1000 * (1 + chance))
@@ -151,7 +154,7 @@
         where = ""
         try:
             if not follow or self._version is None:
-                # After a gap there is nothing that changes could be added to.
+                # After a gap there is no list that changes could be applied to.
                 self._on_line(
                     await self._fetch_list(
                         self._address, WATCH_TIMEOUT_HEARTBEATS * protocol.WATCH_HEARTBEAT_MS / 1000
@@ -173,7 +176,7 @@
             self._on_list(UpdateKind.FAILED, [], False)
 
     async def _fetch_list(self, address: Address, within: float) -> http.Slice | bytes:
-        """The text of the whole list, in so many s."""
+        """Fetch the text of the full list, within so many seconds."""
         async with asyncio.timeout(within):
             channel = await self._connect(address, protocol.LIST_PATH)
             try:
@@ -185,7 +188,7 @@
         return answer.body
 
     async def _watch(self) -> None:
-        """Follow the changes until the watch ends."""
+        """Follow the changes until the watch ends; raises ConnectionEnded."""
         target = protocol.WATCH_PATH + protocol.WATCH_AFTER % (self._version or 0)
         channel = await self._connect(self._address, target)
         silence = WATCH_TIMEOUT_HEARTBEATS * protocol.WATCH_HEARTBEAT_MS / 1000
@@ -226,12 +229,12 @@
         channel.write(http.request(b"GET", target, (), host))
         return channel
 
-    # Taking in.
+    # Updates.
 
     def _on_line(self, text: bytes | bytearray | memoryview) -> None:
         self._last_message_at = self._clock.now()
         if not bytes(text).strip():
-            return  # a beat
+            return  # a heartbeat
         try:
             raw = orjson.loads(text)
         except orjson.JSONDecodeError:
@@ -239,7 +242,7 @@
         self._apply(raw, "list")
 
     def _apply(self, raw: Any, what: str, news: UpdateKind | None = None) -> None:
-        """One list or set of changes: read whole before any of it counts."""
+        """Apply a full list or a set of changes, after all of it has been validated."""
         top = Section(raw, what)
         version = top.whole(protocol.VERSION)
         if news is None:
@@ -255,7 +258,7 @@
         if older and news is UpdateKind.FULL:
             news = (
                 UpdateKind.CHANGES
-            )  # guards against backends that are given up since an old list doesn't name them yet
+            )  # an outdated list may lack newer backends, which must not be removed for that
         now, pool = self._clock.now(), self._pool
         for uid, address, listing in read:
             entry = self._entries.get(uid)
@@ -293,6 +296,6 @@
         state = raw.choice(protocol.STATE, protocol.STATES)
         size, boot_time = raw.number(protocol.SIZE, 1.0), raw.number(protocol.BOOT_TIME, 0.0)
         cell = raw.whole(protocol.CELL, 0)
-        # A zone that the settings don't name is one of its own. The name is alike at all agents.
+        # A zone that the settings do not name gets a number from its name, so that all agents agree on it.
         number = self._zones.get(zone, len(self._zones) + crc32(zone.encode()))
         return uid, address, Listing(-1, state, boot_time, size, number, cell, crc32(uid.encode()))
--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a backend: a connection, the message, the answer. Never sends anything again."""
+"""One exchange with a backend: takes a connection, writes the message and reads the answer. Never retries."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from lupinreach.net.reply import ClientDisconnected, Reply
 from lupinreach.net.upload import Upload
 
-MAX_JOINED_BODY_BYTES = 16 << 10  # bytes of a body up to which it is written in one piece with its head
+MAX_JOINED_BODY_BYTES = 16 << 10  # up to this size the body is written together with the head
 MAX_BUFFERED_BYTES = (
     64 << 10
-)  # bytes of an answer that is passed on whole, so that a spoilt one can be told from a good one;
-MAX_BUFFERED_BYTES_UNKNOWN_LENGTH = 16 << 10  # where it doesn't say how long it is
-STREAM_STALL_TIMEOUT_S = 10.0  # s in which a long answer must bring something
-STREAM_BUFFER_BYTES = 64 << 10  # bytes that are read of one at once
+)  # up to this size an answer is read completely before it is passed on, so that a broken one can be retried
+MAX_BUFFERED_BYTES_UNKNOWN_LENGTH = 16 << 10  # the same for answers of unknown length
+STREAM_STALL_TIMEOUT_S = 10.0  # without new bytes of a streamed answer
+STREAM_BUFFER_BYTES = 64 << 10  # buffer of a streamed answer
 
 
 class Shot:
-    """An exchange as it goes. `run` is a task of its own; to cancel it closes the connection."""
+    """An exchange in progress. `run` is executed as a task; cancelling it closes the connection."""
 
     def __init__(
         self,
@@ -37,32 +37,34 @@
         on_stream_begun: Callable[[], None] | None = None,
         upload: Upload | None = None,
     ) -> None:
-        """`began` is called when a long answer has begun, which then waits for `pass_on`; `upload` went ahead."""
+        """`on_stream_begun` is called when a long answer has begun, which then waits for `stream_to`.
+
+        `upload`: the request has been forwarded but for its last bytes, which are the `message`.
+        """
         self._pool = pool
         self._place = place
         self._message = message
         self._body = body
-        self._until = until  # on the event loop's clock
+        self._until = until  # deadline, on the event loop's clock
         self._timeout = asyncio.timeout_at(until)
         self._on_stream_begun = on_stream_begun
         self._upload = upload
         self._writing: asyncio.Future[None] | None = None
-        self._answer_complete = False  # nothing of the answer is left on the connection
+        self._answer_complete = False  # the answer was read to its end
         self._reply: asyncio.Future[Reply] | None = None
         self.answer: http.Message | None = None
-        self.length: int | None = None  # of the body of a long answer, where it says so
-        self.sent_at = 0.0  # when it was handed to the kernel, on the event loop's clock, and
-        self.answered_at = (
-            0.0  # when the kernel had the answer, of a long one its first bytes; 0 = it has none
-        )
-        self.end = ConnectionEnd.SEND_CANCELLED  # what it stays if the task is cancelled before it begins
+        self.length: int | None = None  # of the body of a long answer, if known
+        self.sent_at = 0.0  # event loop time at which the message was passed to the kernel
+        self.answered_at = 0.0  # event loop time at which the kernel had the answer, or the first bytes of a long one; 0: none
+        self.end = ConnectionEnd.SEND_CANCELLED  # holds if the task is cancelled before its start
 
     async def run(self) -> None:
+        """Perform the exchange; `end` and `answer` tell the outcome."""
         channel: Channel | None = None
         loop = asyncio.get_running_loop()
         try:
             if loop.time() >= self._until:
-                raise TimeoutError  # an idle connection would take the message before any timer runs
+                raise TimeoutError  # an idle connection would accept the message before the timer fires
             async with self._timeout:
                 channel = (
                     self._upload.take_channel() if self._upload else await self._pool.acquire(self._place)
@@ -78,7 +80,7 @@
                 self.answer = http.message(head, begun)
                 self.end = _classify(self.answer)
                 if not body.done and self.end is ConnectionEnd.SERVED:
-                    self.end, self.length = ConnectionEnd.TIMED_OUT, body.length  # until it is whole
+                    self.end, self.length = ConnectionEnd.TIMED_OUT, body.length  # until it is complete
                     await self._stream(channel, body)
         except TimeoutError:
             self.end = ConnectionEnd.TIMED_OUT if self._written else ConnectionEnd.SEND_TIMED_OUT
@@ -90,7 +92,7 @@
             self.end = ConnectionEnd.CANCELLED if self._written else ConnectionEnd.SEND_CANCELLED
             raise
         except BaseException:
-            # Guards against a fault of our own that would pass for a shot that never ran.
+            # An internal fault must not be taken for an attempt that never ran.
             self.end = ConnectionEnd.CONNECTION_ERROR if self._written else ConnectionEnd.SEND_FAILED
             raise
         finally:
@@ -107,23 +109,23 @@
         self._writing.add_done_callback(self._pool.on_written)
         try:
             await self._writing
-        except OSError:  # what Tornado raises for a closed stream is one
+        except OSError:  # StreamClosedError is a subclass
             raise ConnectionEnded(ConnectionEnd.SEND_FAILED) from None
-        self._body = b""  # guards against a long one held for as long as its answer takes
+        self._body = b""  # a long body must not stay in memory until the answer has arrived
 
     @property
     def latency_ms(self) -> float | None:
-        """Ms from handing the shot to the kernel until the kernel had its answer; None if there is none.
+        """Ms from passing the message to the kernel until the kernel had the answer; None without an answer.
 
-        Guards against an event loop that runs late: what waits in our own kernel is no backend's slowness.
+        A late event loop on our side must not count as latency of the backend.
         """
         return max(0.0, self.answered_at - self.sent_at) * 1000 if self.answered_at else None
 
     def stream_to(self, reply: Reply) -> bool:
-        """Where a long answer that has begun goes to; false if the shot has ended meanwhile: nothing of it will come.
+        """Stream the long answer that has begun to `reply`; false if the exchange has ended meanwhile.
 
-        From here on its time is over by no timer. Guards against one that runs out on the way to the task, and would
-        take an answer for broken of which the client has not had a byte.
+        From here on the deadline no longer applies. It could otherwise pass before the task resumes, and an answer of
+        which the client has not received a byte would count as broken.
         """
         if self._reply is None or self._reply.done():
             return False
@@ -132,7 +134,7 @@
         return True
 
     async def _stream(self, channel: Channel, body: http.Body) -> None:
-        """Hand an answer on as it comes; it belongs to the client now, and its time is that of its first bytes."""
+        """Pass on the answer while it arrives. The call is committed to it, and its latency is that of the first bytes."""
         assert self.answer is not None
         if self._on_stream_begun is None:
             raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
@@ -147,7 +149,7 @@
                 await reply.write(piece)
             if body.done:
                 break
-            # Guards against two fast sides that would hold up everybody else's API calls.
+            # With a fast backend and a fast client no await would block; yield to the other API calls.
             await asyncio.sleep(0)
             await body.wait_more()
             pieces = body.take_available()
@@ -157,15 +159,15 @@
 
     @property
     def _written(self) -> bool:
-        """If the last byte was written: from then on the shot may run.
+        """If the last byte was written: from then on the attempt may run.
 
-        Asked of the write itself, and not noted after it: a task may be cancelled between the two.
+        Read from the write's future, since the task may be cancelled between the write and the next statement.
         """
         writing = self._writing
         return bool(writing and writing.done() and not writing.cancelled() and not writing.exception())
 
     def _release(self, channel: Channel) -> None:
-        # A connection with a half-read answer, or with more than one, is never used again.
+        # A connection with a partly read answer or with unexpected input is not reused.
         if self._answer_complete and self.answer is not None and self.answer.keeps and not channel.has_input:
             self._pool.release(channel, self._place)
         else:
@@ -173,7 +175,7 @@
 
 
 def _buffer_limit(length: int | None) -> float:
-    """How much of an answer is waited for before it is passed on."""
+    """How many bytes of an answer are read before it is passed on."""
     if length is None:
         return MAX_BUFFERED_BYTES_UNKNOWN_LENGTH
     return inf if length <= MAX_BUFFERED_BYTES else 0
@@ -188,7 +190,7 @@
 
 
 def read_load(text: bytes | None) -> Load | None:
-    """A load report, such as `inflight=7,queue=2`; None if there is none that can be read or believed."""
+    """Parse a load report such as `inflight=7,queue=2`; None if it is missing, malformed or implausible."""
     figures: dict[str, float] = {}
     for part in (text or b"").decode("latin-1").split(","):
         name, _, value = part.strip().partition("=")
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages read from a channel: heads and bodies as they come."""
+"""Reads HTTP/1.1 heads and bodies from a channel."""
 
 from __future__ import annotations
 
@@ -43,17 +43,18 @@
     "request",
 ]
 
-SINGLE_BUFFER_BODY_BYTES = 64 << 10  # bytes of a body that is read into one buffer and is a slice of it
-MAX_INTERIM_ANSWERS = 8  # 1xx answers ahead of one
+SINGLE_BUFFER_BODY_BYTES = 64 << 10  # bodies up to this size are read into one buffer without a copy
+MAX_INTERIM_ANSWERS = 8  # 1xx answers before the final one
 
 OnProgress = Callable[[int], None]
 
 
 async def read_head(channel: Channel, answer: bool) -> Head:
+    """Read one head, of an answer or of a request."""
     while True:
         if not answer:
             while channel.buffer.startswith(b"\r\n", channel.start, channel.end):
-                channel.start += 2  # an empty line before a request says nothing
+                channel.start += 2  # empty lines before a request are ignored
         head = parse_head(channel.buffer, channel.start, channel.end, answer)
         if head is not None:
             channel.start += head.size
@@ -62,23 +63,23 @@
 
 
 class Body:
-    """The body of one message as it comes, its framing taken off.
+    """Reads the body of one message incrementally and removes its framing.
 
-    `until_close` is for an answer whose end is that of its connection.
+    `until_close`: the body of an answer that ends with its connection.
     """
 
     def __init__(self, channel: Channel, head: Head, max_bytes: int, until_close: bool = False) -> None:
         self.length = None if head.chunked else head.length if until_close else head.length or 0
         if (self.length or 0) > max_bytes:
             raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
-        self.size = 0  # bytes that were taken
+        self.size = 0  # bytes taken so far
         self.done = self.length == 0
         self._channel = channel
         self._max_bytes = max_bytes
         self._chunks = Chunks() if head.chunked else None
 
     def take_available(self) -> list[Slice]:
-        """What has come and was not taken yet."""
+        """The bytes that have arrived and were not taken yet."""
         channel = self._channel
         area = memoryview(channel.buffer)[channel.start : channel.end]
         if self._chunks is not None:
@@ -96,7 +97,7 @@
         return pieces
 
     async def wait_more(self) -> None:
-        """Wait until more has come; at the end of the connection, if that is the body's, it is done."""
+        """Wait until more bytes have arrived; a body that ends with its connection is done when it closes."""
         try:
             await self._channel.fill(begun=True)
         except ConnectionEnded as ended:
@@ -111,7 +112,7 @@
     async def read_all(
         self, on_progress: OnProgress = lambda size: None, stop_after: float = inf
     ) -> Slice | bytes:
-        """All of it, or as much as is there once it is more than that."""
+        """Read all of the body, or stop once more than `stop_after` bytes were read."""
         pieces = self.take_available()
         on_progress(self.size)
         if self.done or self.size > stop_after:
@@ -128,7 +129,7 @@
 async def read_body(
     channel: Channel, head: Head, max_bytes: int, on_progress: OnProgress = lambda size: None
 ) -> Slice | bytes:
-    """A whole body; `came` hears how much of it there is, and may raise."""
+    """Read a complete body; `on_progress` is called with the bytes read so far and may raise."""
     body = Body(channel, head, max_bytes)
     if body.length is None or body.length > SINGLE_BUFFER_BODY_BYTES:
         return await body.read_all(on_progress)
@@ -140,7 +141,7 @@
 
 
 async def read_answer_head(channel: Channel) -> Head:
-    """The head of one answer; interim ones are skipped, as far as there are few."""
+    """Read the head of the final answer; a limited number of interim answers is skipped."""
     for _ in range(MAX_INTERIM_ANSWERS + 1):
         head = await read_head(channel, answer=True)
         if head.first[2] >= 200:
@@ -149,16 +150,18 @@
 
 
 def answer_body(channel: Channel, head: Head, max_bytes: int) -> Body:
+    """The body of an answer, framed as its head says."""
     if head.first[2] in (204, 304):
         head.length, head.chunked = 0, False
     until_close = head.length is None and not head.chunked
     if until_close and head.keeps:
-        # Its end would be the connection's, which was to stay: nobody could tell whether it came whole.
+        # A body without a length ends with its connection, but the head announces keep-alive: whether it is
+        # complete could not be told.
         raise ConnectionEnded(ConnectionEnd.CLOSED_EARLY)
     return Body(channel, head, max_bytes, until_close)
 
 
 async def read_answer(channel: Channel, max_bytes: int) -> Message:
-    """One whole answer."""
+    """Read one complete answer."""
     head = await read_answer_head(channel)
     return message(head, await answer_body(channel, head, max_bytes).read_all())
--- a/lupinreach/net/ids.py
+++ b/lupinreach/net/ids.py
@@ -1,4 +1,4 @@
-"""The ids of API calls that are open, and of those that were a moment ago."""
+"""Ids of open and recently ended API calls, to detect duplicate requests."""
 
 from __future__ import annotations
 
@@ -7,39 +7,41 @@
 
 
 class IdPersistence(Enum):
-    """If an API call that may run once only will be known to the next life."""
+    """Whether the id of a non-idempotent API call has been made durable for the time after a restart."""
 
     PERSISTED = "kept"
-    UNAVAILABLE = "not now"  # nothing of it has run: rate-limited
-    OUTCOME_UNKNOWN = "unsure"  # a former life may have run it, and nobody remembers: errored
+    UNAVAILABLE = "not now"  # could not be persisted; the call has not run and is rate-limited
+    OUTCOME_UNKNOWN = "unsure"  # an earlier run may have executed it without a record; the call is errored
 
 
 class Ids:
-    """Guards against a copy of a request, which would run it once more.
+    """Guards against a duplicate of a request, which would run it once more.
 
-    An id stays for one to two turns after its end, so that a copy read just after the answer is known too.
+    An id is kept for one to two rotations after its call has ended, so that a duplicate read just after the answer
+    is detected too.
     """
 
     def __init__(self) -> None:
-        self._open: set[bytes] = set()  # each leaves with its API call
-        self._ended: set[bytes] = set()  # since the last turn; each leaves at the turn after the next
+        self._open: set[bytes] = set()  # removed when the API call ends
+        self._ended: set[bytes] = set()  # since the last rotation; forgotten two rotations later
         self._ended_earlier: set[bytes] = set()
 
     def begin(self, name: bytes) -> bool:
-        """Take an id; false if an API call has it, or had it lately."""
+        """Register an id; false if an open or recently ended API call has it."""
         if name in self._open or name in self._ended or name in self._ended_earlier:
             return False
         self._open.add(name)
         return True
 
     def recall(self, names: Iterable[bytes]) -> None:
-        """Know these of a life before, as if they had just ended."""
+        """Register ids of an earlier run of the process, as if they had just ended."""
         self._ended.update(names)
 
     def end(self, name: bytes) -> None:
+        """The API call of this id has ended."""
         self._open.discard(name)
         self._ended.add(name)
 
     def rotate(self) -> None:
-        """Forget what ended before the last turn."""
+        """Forget the ids that ended before the last rotation."""
         self._ended_earlier, self._ended = self._ended, set()
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -1,4 +1,4 @@
-"""The listener and the connections of clients: requests in, answers out, one at a time on each."""
+"""Accepts clients, reads their requests and writes the answers, one request at a time per connection."""
 
 from __future__ import annotations
 
@@ -20,44 +20,48 @@
 from lupinreach.net.upload import Upload, UploadStopped
 
 ACCEPT_BACKLOG = 512
-MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one turn of the event loop
-ACCEPT_RETRY_S = 0.1  # s without accepting when the process has run out of descriptors
-LINGER_S = 0.5  # s in which the rest of a refused request is read, so that its client gets to see the answer,
-MAX_DISCARDED_BYTES = 256 << 10  # bytes of it, and
-MAX_LINGERING_FRACTION = 1 / 8  # of the connections that may do so at once
-FIRST_REQUEST_GRACE_S = 0.25  # s for which the first request on a new connection may be on its way
-FIRST_BYTE_TIMEOUT_S = 2.0  # s from connecting for the first byte to come
-REQUEST_TIMEOUT_S = 2.5  # s from there, or from the first byte of a later request, for all of it
-MIN_BODY_BYTES_PER_MS = 32.0  # bytes a ms beside that: half of what a client is promised
-MIN_IDLE_S = 2.0  # s after which a connection between two requests may be closed,
-CROWDED_FRACTION = 1 / 2  # of those that are served: from there on it is
-CLOSE_AFTER_ANSWER_FRACTION = 0.6  # of those that are served: from there on an answer ends its connection
-SWEEP_INTERVAL_S = 0.25  # s between two looks for such connections
-REFUSALS_PER_S = 50.0  # bad requests a second that are answered at once; past that each waits
-REFUSAL_DELAY_S = 1.0  # s
+MAX_ACCEPTS_PER_TURN = 64  # per readiness event of the listening socket
+ACCEPT_RETRY_S = 0.1  # pause in accepting when the process has run out of descriptors
+# The rest of a refused request is read and discarded, so that its client gets to see the answer.
+LINGER_S = 0.5
+MAX_DISCARDED_BYTES = 256 << 10
+MAX_LINGERING_FRACTION = 1 / 8  # of all connections
+FIRST_REQUEST_GRACE_S = 0.25  # the first request on a new connection may still be on its way
+FIRST_BYTE_TIMEOUT_S = 2.0  # from the accept to the first byte
+REQUEST_TIMEOUT_S = 2.5  # from the accept, or from the first byte of a later request, to its last byte
+MIN_BODY_BYTES_PER_MS = (
+    32.0  # extends the request timeout for long bodies; half the rate guaranteed to clients
+)
+MIN_IDLE_S = 2.0  # idle connections may be closed after this, once the agent is crowded
+CROWDED_FRACTION = 1 / 2  # of `max_served`: from here on idle connections are closed
+CLOSE_AFTER_ANSWER_FRACTION = 0.6  # of `max_served`: from here on an answer closes its connection
+SWEEP_INTERVAL_S = 0.25
+REFUSALS_PER_S = 50.0  # bad requests that are refused at once; those beyond this rate are delayed
+REFUSAL_DELAY_S = 1.0
 RESERVED_FRACTION = (
     1 / 8
-)  # of the connections, 2 at least: kept to turn away those that come on top of the others
+)  # of all connections, at least 2: for rejecting clients beyond `max_served` with an answer
 OVERLOADED_STATUS, TIMED_OUT_STATUS = 503, 408
 REFUSAL_STATUSES = {ConnectionEnd.MALFORMED: 400, ConnectionEnd.TOO_LARGE: 413}
 
 
 class Client:
-    """One connection of a client."""
+    """A connection of a client."""
 
     def __init__(self, serving: Serving, listener: Listener, sock: socket.socket) -> None:
         self._serving = serving
         self._listener = listener
         self.channel = Channel(sock, http.MOST_HEAD + http.SINGLE_BUFFER_BODY_BYTES)
-        self.since = serving.clock.now()  # accepted, or free for the next request
-        self.fresh = True  # nothing has come yet
-        self._keep_alive = True  # as the last request said
+        self.since = serving.clock.now()  # ms; time of the accept or of the end of the last call
+        self.fresh = True  # nothing was received yet
+        self._keep_alive = True  # as the last request asked for
         self._writing: asyncio.Future[None] | None = None
-        self._held = 0  # bytes of a long body that is being read
+        self._held = 0  # bytes reserved in `body_memory` for the body that is being read
         self._body_since = 0.0
-        self._http10 = False  # what is being answered is HTTP/1.0
+        self._http10 = False  # the request is HTTP/1.0
 
     async def serve(self) -> None:
+        """Serve requests until the connection ends."""
         end = ConnectionEnd.CLOSED_BY_PEER
         try:
             while self._keep_alive:
@@ -74,7 +78,7 @@
             self._listener.close_client(self, end)
 
     async def _serve_request(self) -> None:
-        """One request and its answer."""
+        """Read one request and answer it."""
         channel, listener = self.channel, self._listener
         if channel.start == channel.end:
             listener.on_idle(self)
@@ -89,14 +93,14 @@
         self.fresh = False
         try:
             head = await http.read_head(channel, answer=False)
-            if b"expect" in head.headers and channel.start == channel.end:  # its body may wait for a word
+            if b"expect" in head.headers and channel.start == channel.end:  # the client may wait for a 100
                 channel.write(http.CONTINUE)
             self._http10 = head.old
             self._body_since = self._serving.clock.now()
             request = http.message(head, b"")
             upload = await self._read_body(head, request)
         except UploadStopped:
-            # Nothing ran, so trying again is harmless; what still comes of the request is dropped.
+            # The request has not run, so a retry is harmless. The rest of it is discarded.
             self._release()
             self._reject(head.headers)
             await channel.drain(MAX_DISCARDED_BYTES, LINGER_S)
@@ -108,10 +112,10 @@
             del listener.request_deadlines[self]
         if channel.end > channel.start:
             self._release(upload)
-            # Guards against requests by the hundred on one connection: the protocol has one at a time.
+            # The protocol allows one request at a time; guards against hundreds of pipelined requests.
             raise BadRequest("more has come than one request")
         self._keep_alive = request.keeps
-        arrived = self._serving.clock.now() - channel.ms_since_receive  # of its last byte
+        arrived = self._serving.clock.now() - channel.ms_since_receive  # time of its last byte
         if request.target == protocol.READY_PATH:
             self._release(upload)
             self.send_answer(200 if self._serving.standing.ready else 503)
@@ -125,7 +129,7 @@
                 self._serving.counters.open -= 1
 
     async def _wait_until_written(self) -> None:
-        """Wait until the kernel has the answer."""
+        """Wait until the kernel has taken the answer."""
         if self._writing is not None:
             try:
                 if not self._writing.done():
@@ -137,8 +141,8 @@
 
     async def _api_call(self, request: http.Message, arrived: float, upload: Upload | None) -> None:
         if self._listener.is_full:
-            # Turned away before it reaches the module, and harmless to repeat: nothing was sent for it.
-            # Guards against requests that the kernel has taken in and that nobody has a descriptor to read.
+            # Rejected before it reaches the module; no attempt was made, so a retry is harmless. Without this, the
+            # kernel would accept requests that the process has no descriptor to read.
             self._release(upload)
             self._reject(request.headers)
             return
@@ -147,8 +151,8 @@
         except BadRequest:
             self._release(upload)
             raise
-        self._held = 0  # the API call's now
-        # To go on reading is how a client is seen to leave while its shot is out.
+        self._held = 0  # the API call releases it
+        # Reading on detects a client that leaves while its attempt is in flight.
         reading = self.channel.listen()
         reading.add_done_callback(call.on_client_input)
         self._serving.tasks.spawn("api call", call.run())
@@ -156,7 +160,7 @@
         reading.remove_done_callback(call.on_client_input)
 
     def _decide_keep_alive(self) -> bool:
-        """What the answer says of the connection, and what then holds."""
+        """Decide if the connection stays open after the answer, which announces it."""
         if self._serving.standing.closes_after_answer or self._listener.is_crowded:
             self._keep_alive = False
         return self._keep_alive
@@ -164,21 +168,22 @@
     def send_answer(
         self, status: int, lines: Sequence[http.Slice | bytes] = (), body: http.Slice | bytes = b""
     ) -> None:
-        """Write an answer as one piece."""
+        """Write a complete answer."""
         self._writing = self.channel.write(http.answer(status, lines, body, self._decide_keep_alive()))
 
     def begin_answer(self, status: int, lines: Sequence[http.Slice | bytes], length: int | None) -> Reply:
-        """An answer that will be written as it comes."""
+        """Start an answer whose body is streamed."""
         if length is None and self._http10:
             self._keep_alive = False
         return Reply(self.channel, status, lines, length, self._decide_keep_alive(), self._http10)
 
     def abort_answer(self) -> None:
+        """Reset the connection, so that the client can tell that the answer is incomplete."""
         self._keep_alive = False
         self.channel.abort()
 
     async def _read_body(self, head: http.Head, request: http.Message) -> Upload | None:
-        """Read the body, whole if there is room to keep it; else it goes ahead to a backend."""
+        """Read the body into memory or, where the limits do not allow that, forward it to a backend while it is read."""
         if not head.chunked and (head.length or 0) <= http.SINGLE_BUFFER_BODY_BYTES:
             request.body = await http.read_body(
                 self.channel, head, http.SINGLE_BUFFER_BODY_BYTES, self._on_body_progress
@@ -199,7 +204,7 @@
             await body.wait_more()
 
     async def _send_ahead(self, request: http.Message, received: bytearray, body: http.Body) -> Upload:
-        """Guards against long requests that together don't fit: this one can have one shot only."""
+        """Forward a request whose body exceeds the memory limits while it is read; it can have one attempt only."""
         serving = self._serving
         new_call, _ = parse_call(None, request, serving.clock.now(), serving)
         if request.method == b"GET":
@@ -215,7 +220,7 @@
         serving.counters.others["requests sent ahead"] += 1
         self.channel.min_buffer = (
             http.SINGLE_BUFFER_BODY_BYTES
-        )  # guards against a long request that is read in thousands of pieces
+        )  # a long request would otherwise be read in thousands of pieces
         left = (new_call.until - serving.clock.now()) / 1000  # counts from the last byte
         try:
             await upload.run(
@@ -234,7 +239,7 @@
         return upload
 
     def _reject(self, headers: dict[bytes, bytes]) -> None:
-        """Refuse what no shot was sent for, and end the connection."""
+        """Answer 503 to a request for which no attempt was made, and close the connection."""
         kind = headers.get(protocol.KIND)
         self._serving.counters.count_answer(
             "no room", kind.decode() if kind in self._serving.products else None
@@ -243,7 +248,7 @@
         self.send_answer(OVERLOADED_STATUS)
 
     def _on_body_progress(self, size: int) -> None:
-        """So much of a body has come: it is owed time for the rest."""
+        """Extend the deadline of the request by the bytes of its body that have arrived."""
         self._listener.request_deadlines[self] = (
             self._body_since + REQUEST_TIMEOUT_S * 1000 + size / MIN_BODY_BYTES_PER_MS
         )
@@ -255,7 +260,7 @@
             upload.discard()
 
     async def _refuse(self, status: int, why: str) -> None:
-        """Answer what is no request, and end the connection: nobody knows what else is on it."""
+        """Refuse a bad request and close the connection, whose further content can't be interpreted."""
         self._serving.counters.answered["bad request"] += 1
         async with self._listener.refusal_slot() as first:
             if first:
@@ -263,11 +268,12 @@
                 await self.channel.drain(MAX_DISCARDED_BYTES, LINGER_S)
 
     def send_refusal(self, status: int, why: str) -> None:
+        """Write an error answer that closes the connection."""
         self.channel.write(http.answer(status, [b"Content-Type: text/plain\r\n"], why.encode(), keeps=False))
 
 
 class Listener:
-    """Accepts clients, as many as there are descriptors for."""
+    """Accepts as many clients as there are descriptors for."""
 
     def __init__(
         self,
@@ -281,24 +287,29 @@
         self._serving = serving
         self._sockets = sockets
         self._address = address
-        self._inherited = inherited  # a descriptor: its queue is shared, and not ours to size or to end
+        self._inherited = (
+            inherited  # listening descriptor shared with another process: its backlog must not be changed
+        )
         self._log = log
-        self.changed = asyncio.Event()  # a client has gone
+        self.changed = asyncio.Event()  # set when a client connection has closed
         self.max_connections = most
-        self.max_served = most - max(2, int(RESERVED_FRACTION * most))  # at most; the rest are turned away
+        self.max_served = most - max(2, int(RESERVED_FRACTION * most))  # clients beyond this are rejected
         self._socket: socket.socket | None = None
         self._accepting = False
-        self.clients: set[Client] = set()  # each leaves when its connection closes
-        self.idle: dict[Client, None] = {}  # those between two requests, longest first
-        self.fresh: dict[Client, None] = {}  # those that have sent nothing yet, longest first
-        self.request_deadlines: dict[Client, float] = {}  # those in a request, and when it must be whole
+        self.clients: set[Client] = set()  # open connections
+        self.idle: dict[Client, None] = {}  # between two requests, longest idle first
+        self.fresh: dict[Client, None] = {}  # have sent nothing yet, oldest first
+        self.request_deadlines: dict[
+            Client, float
+        ] = {}  # clients in a request, and when it must be complete (ms)
         self._recent_refusals, self._refusals_updated_at = (
             0.0,
             0.0,
-        )  # bad requests of late, drained at REFUSALS
-        self._lingering = 0  # those on which a refused request is held up or dropped
+        )  # leaky bucket of bad requests, drained at REFUSALS_PER_S
+        self._lingering = 0  # connections on which a refusal is delayed or input is discarded
 
     def open(self) -> None:
+        """Bind or take over the listening socket and start to accept."""
         if self._inherited is not None:
             self._socket = self._sockets.inherited(self._inherited)
         else:
@@ -307,6 +318,7 @@
 
     @property
     def address(self) -> Address:
+        """The bound address."""
         assert self._socket is not None
         host, port = self._socket.getsockname()[:2]
         return host, port
@@ -321,7 +333,7 @@
     def _pause(self) -> None:
         if self._socket is not None and self._accepting:
             self._accepting = False
-            # Guards against connections that the kernel would take for an agent with no room for them.
+            # Otherwise the kernel would accept connections that the agent has no descriptors for.
             if self._inherited is None:
                 self._socket.listen(0)
             asyncio.get_running_loop().remove_reader(self._socket)
@@ -339,7 +351,7 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failed:
-                # Guards against a process out of descriptors that would spin on its listener.
+                # Out of descriptors: without the pause the event loop would spin on the readable listener.
                 self._serving.counters.connections["accept failed"] += 1
                 self._log.event("accept failed", why=str(failed))
                 self._pause()
@@ -350,7 +362,7 @@
                 self.close_client(evicted, ConnectionEnd.EVICTED)
             try:
                 client = Client(self._serving, self, sock)
-            except OSError:  # gone before it was looked at
+            except OSError:  # the client has disconnected already
                 sock.close()
                 continue
             self.clients.add(client)
@@ -358,22 +370,23 @@
 
     @property
     def is_crowded(self) -> bool:
-        """If so many clients have a connection that each answer had better be the last on its own.
+        """If so many clients are connected that answers close their connections.
 
-        Guards against clients that ask once and keep the connection: all that others may open would stand idle
-        for as long as such connections have to be left alone.
+        Guards against clients that send one request and keep the connection: idle connections may not be closed
+        for some time, so these would use up the descriptors of other clients.
         """
         return len(self.clients) - len(self.fresh) >= CLOSE_AFTER_ANSWER_FRACTION * self.max_served
 
     @property
     def is_full(self) -> bool:
+        """If more clients are connected than are served."""
         return len(self.clients) > self.max_served
 
     def _find_evictable(self) -> Client | None:
-        """One that has said nothing for a while, else the one that has stood idle longest: its client opens another.
+        """The connection to close for a new one: one without a request for a while, else the one idle longest.
 
-        Guards against connections by the hundred that say nothing and would push out those of usual clients, and
-        against a request on its way on a connection that was opened for it just now.
+        Hundreds of connections without a request must not displace those of usual clients. A connection that was just
+        opened comes last, since its request may be on its way.
         """
         silent = self._serving.clock.now() - FIRST_REQUEST_GRACE_S * 1000
         silent_clients = takewhile(lambda client: client.since <= silent, self.fresh)
@@ -381,20 +394,20 @@
         return next((client for client in candidates if not client.channel.has_unread_input), None)
 
     def on_idle(self, client: Client) -> None:
-        """A connection is between two requests: it could make room for another."""
+        """The connection waits for a request and may be closed for another one."""
         client.since = self._serving.clock.now()
         (self.fresh if client.fresh else self.idle)[client] = None
         if self._serving.standing.stopping:
-            self.changed.set()  # its last answer was under way and promised that it stays
+            self.changed.set()  # its last answer had already announced keep-alive
         self._resume()
 
     def on_active(self, client: Client) -> None:
-        """Something has come on it, or it has ended."""
+        """Input has arrived on the connection, or it has ended."""
         self.fresh.pop(client, None)
         self.idle.pop(client, None)
 
     async def sweep(self) -> None:
-        """Close those that say nothing, don't come to an end, or stand idle where room is short."""
+        """Close connections whose request is late, and idle ones once the agent is crowded or drained."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self._serving.clock.now()
@@ -420,10 +433,10 @@
 
     @asynccontextmanager
     async def refusal_slot(self) -> AsyncIterator[bool]:
-        """Room for the end of a bad request; without it, and where such are many, the end is a plain close.
+        """Yields whether a bad request may be answered; otherwise its connection is just closed.
 
-        Guards against a flood that comes again as soon as it is turned away: past so many a second each waits
-        its time, which costs nothing, and so many at most hold a descriptor.
+        Guards against a flood of clients that return as soon as they are refused: beyond REFUSALS_PER_S each refusal is
+        delayed, and the number of connections that are held for it is limited.
         """
         now = self._serving.clock.now()
         self._recent_refusals = (
@@ -440,6 +453,7 @@
             self._lingering -= 1
 
     def close_client(self, client: Client, end: ConnectionEnd) -> None:
+        """Close a connection and count how it ended. Idempotent."""
         if client not in self.clients:
             return
         client.channel.close()
@@ -451,12 +465,13 @@
             self._resume()
 
     def close_idle(self) -> None:
+        """Close the connections between two requests, unless input has arrived."""
         for client in [*self.fresh, *self.idle]:
             if not client.channel.has_unread_input:
                 self.close_client(client, ConnectionEnd.STOPPED)
 
     def close(self, take_in: bool = True) -> None:
-        """Accept no more; what has come is taken in first, unless another process will."""
+        """Stop accepting; with `take_in`, what waits in the backlog is accepted first."""
         if self._socket is not None:
             if take_in:
                 self._accept(ACCEPT_BACKLOG)
--- a/lupinreach/net/peers.py
+++ b/lupinreach/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between agents, where the settings allow them. They may be late or lost."""
+"""Datagrams between agents, where the settings allow them. Delivery is not guaranteed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Peers(asyncio.DatagramProtocol):
-    """The agents of this tier, by number."""
+    """Sends to and receives from the other agents, which are numbered by their position in the configuration."""
 
     def __init__(
         self,
@@ -30,6 +30,7 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self, sockets: Sockets, address: Address) -> None:
+        """Bind the address; raises OSError."""
         await sockets.datagrams(lambda: self, address)
 
     def connection_made(self, transport: Any) -> None:
@@ -47,7 +48,7 @@
         self._counters.others["datagrams failed"] += 1
 
     def broadcast(self, message: bytes) -> None:
-        """Send to all; a longer message than allowed is none."""
+        """Send to all peers; a message over the size limit is dropped."""
         if self._transport is None or self._broadcast_address is None or len(message) > MAX_DATAGRAM_BYTES:
             self._counters.others["datagrams not sent"] += 1
             return
@@ -55,7 +56,7 @@
         self._transport.sendto(message, self._broadcast_address)
 
     def send(self, number: int, message: bytes) -> None:
-        """Send to one peer; to a number that there is none of, nothing goes."""
+        """Send to one peer; a message to an unknown number or over the size limit is dropped."""
         if (
             self._transport is None
             or not 0 <= number < len(self._addresses)
@@ -68,5 +69,6 @@
         self._transport.sendto(message, self._addresses[number])
 
     def close(self) -> None:
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
--- a/lupinreach/net/pool.py
+++ b/lupinreach/net/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backends: opened when needed, kept between shots, at most so many in all."""
+"""The pool of connections to backends: opened on demand, reused, limited in number."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from lupinreach.net.protocol import MAX_BODY_BYTES
 from lupinreach.net.sockets import Sockets
 
-IDLE_FRACTION = 0.5  # of the time after which a backend closes an idle connection: well before it does
-DEFAULT_IDLE_MS = 60_000.0  # ms, where that time is unknown
-SWEEP_FRACTION = 1 / 8  # of the time that a connection may stand idle: between two looks for such
+IDLE_FRACTION = 0.5  # of the backends' own idle timeout, to close before they do
+DEFAULT_IDLE_MS = 60_000.0  # idle timeout where the settings name none
+SWEEP_FRACTION = 1 / 8  # of the idle limit: interval between two sweeps
 STALL_FRACTION = (
-    0.4  # x the time to connect: an answer that has begun and brings nothing for longer won't end
+    0.4  # of the connect timeout: an answer that has begun and pauses for longer is taken for lost
 )
-DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # ms, where the settings name no time
+DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # where the settings name none
 NO_DESCRIPTOR_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
@@ -35,7 +35,7 @@
     most: int = http.MOST_HEAD + http.SINGLE_BUFFER_BODY_BYTES,
     stall_timeout: float = inf,
 ) -> Channel:
-    """A new connection, in `within` ms."""
+    """Open a connection within `timeout_ms`; raises ConnectionEnded."""
     try:
         channel = Channel(sockets.stream(address), most, stall_timeout)
     except OSError:
@@ -58,9 +58,10 @@
 
 
 class Place(NamedTuple):
-    """One backend at one address.
+    """A backend at its address.
 
-    Guards against an address that changes hands: what was connected to the one is never used for the other.
+    Connections are pooled by both: after an address has passed to another backend, the connections to the former one
+    are not used for it.
     """
 
     backend: int
@@ -68,7 +69,7 @@
 
 
 class Pool:
-    """All connections to backends. One in use belongs to its shot; the others stand idle here."""
+    """All connections to backends. One in use belongs to its attempt, idle ones are kept here."""
 
     def __init__(
         self,
@@ -84,22 +85,25 @@
         self._max_idle_s = (idle or DEFAULT_IDLE_MS) * IDLE_FRACTION / 1000
         self._counters = counters
         self._sockets = sockets or Sockets()
-        self.max_answer_bytes = max_answer_bytes  # bytes of a body
+        self.max_answer_bytes = max_answer_bytes  # limit of an answer's body
         self.open = 0
-        # Idle connections, oldest first, and since when; one leaves when it is used, ends, gets old or has to
-        # make room.
+        # Idle connections, oldest first, with their place and since when they are idle (s, loop time). One is removed
+        # when it is used, ends, expires or is evicted.
         self._idle: dict[Channel, tuple[Place, float]] = {}
-        self._by_place: dict[Place, list[Channel]] = {}  # the same; a place leaves with its last
-        self._kept_alive: set[Place] = set()  # to which idle connections are kept; `forget` takes them out
+        self._by_place: dict[Place, list[Channel]] = {}  # the idle connections of each place, oldest first
+        self._kept_alive: set[Place] = set()  # places whose connections are kept when idle
 
     async def acquire(self, place: Place) -> Channel:
-        """A connection to this place for one exchange: the one that was used last, else a new one."""
+        """A connection for one exchange: the most recently used idle one, else a new one.
+
+        Raises ConnectionEnded if none can be had.
+        """
         while place in self._by_place:
             channel = self._by_place[place][-1]
             self._remove(channel)
             if not channel.has_unread_input:
                 return channel
-            # Guards against a shot that is written to a connection that the backend has closed: a reset.
+            # The backend has closed it; an attempt written to it would end in a reset.
             self._close(channel, ConnectionEnd.CLOSED_BY_PEER)
         if self.open >= self._most:
             if not self._idle:
@@ -123,18 +127,18 @@
         return channel
 
     def on_written(self, writing: asyncio.Future[None]) -> None:
-        """A shot has been written, whole if the write has not failed."""
-        # Counted by the write itself, since a shot may be called off the moment after.
+        """Count an attempt as written unless the write has failed."""
+        # Called by the write's future, since the attempt may be cancelled right after the write.
         self._counters.written += not writing.cancelled() and writing.exception() is None
 
     def enable_keep_alive(self, place: Place) -> None:
-        """From now on connections to this place are worth keeping."""
+        """Keep idle connections to this place from now on."""
         self._kept_alive.add(place)
 
     def release(self, channel: Channel, place: Place) -> None:
-        """Keep a connection on which nothing is out; it is dropped as soon as anything comes on it."""
+        """Return a connection whose exchange is complete; it is closed as soon as it receives anything while idle."""
         if place not in self._kept_alive:
-            # Guards against a shot that ends after its backend has gone and would leave its connection here.
+            # The backend was removed while the attempt was in flight.
             self._close(channel, ConnectionEnd.IDLE)
             return
         self._idle[channel] = place, asyncio.get_running_loop().time()
@@ -146,15 +150,15 @@
         self._close(channel, end)
 
     def disable_keep_alive(self, place: Place) -> None:
-        """Close what stands idle to a place that gets nothing more."""
+        """Close the idle connections to a place that gets no more attempts."""
         self._kept_alive.discard(place)
         for channel in list(self._by_place.get(place, ())):
             self._drop(channel, ConnectionEnd.IDLE)
 
     def close_unused(self, used_backends: set[int], idle: float) -> int:
-        """Close what has stood idle for so many ms to any backend but these; how many that were.
+        """Close connections idle for `idle` ms to backends other than these; returns their number.
 
-        Guards against connections to backends that an agent has exchanged for others, where a backend holds only so many.
+        Backends accept a limited number of connections, so an agent must not keep those to backends outside its subset.
         """
         idle_since = asyncio.get_running_loop().time() - idle / 1000
         unused_channels = [
@@ -167,7 +171,10 @@
         return len(unused_channels)
 
     async def sweep(self, used: Callable[[], set[int] | None], unused: float) -> None:
-        """Close what has stood idle for too long: to a backend that is not `used` for `unused` ms, 0: as to any other."""
+        """Close expired idle connections periodically.
+
+        Connections to backends not in `used()` expire after `unused` ms; 0: after the usual time.
+        """
         interval = min(self._max_idle_s * SWEEP_FRACTION, unused / 1000 or inf)
         while True:
             await asyncio.sleep(interval)
--- a/lupinreach/net/port.py
+++ b/lupinreach/net/port.py
@@ -1,4 +1,4 @@
-"""What the module asks of the agent on sockets, handed on to the part that does it."""
+"""The decision module's port on sockets: passes its commands to the components that carry them out."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AgentPort:
-    """The module's port. Orders for an API call go to that API call, which carries them out in turn."""
+    """Implements `Port`. Commands for an API call go into its event queue and are carried out in order."""
 
     def __init__(
         self,
--- a/lupinreach/net/probes.py
+++ b/lupinreach/net/probes.py
@@ -1,4 +1,4 @@
-"""Probes of backends, where the settings allow them: is it there, and what does it report?"""
+"""Probes of backends, where the settings allow them: reachability and load report."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 
 
 async def probe(serving: Serving, backend: int) -> None:
-    """One probe, from the module's order to its outcome."""
+    """Probe one backend and report the outcome to the module."""
     settings, clock = serving.settings, serving.clock
     place = serving.directory.place(backend)
     path = protocol.STATS_PATH if settings.load_fields else protocol.LIVE_PATH
     message = http.request(b"GET", path, (), b"%s:%d" % (place.address[0].encode(), place.address[1]))
     sent = clock.now()
     until = sent + min(p.slo or p.timeout for p in settings.products)
-    shot = Shot(serving.pool, place, message, clock.on_loop(until))
-    await shot.run()
-    serving.counters.others[f"probe {shot.end.value}"] += 1
+    exchange = Shot(serving.pool, place, message, clock.on_loop(until))
+    await exchange.run()
+    serving.counters.others[f"probe {exchange.end.value}"] += 1
     load = None
-    if shot.answer is not None:
-        load = read_load(shot.answer.header(protocol.LOAD) or bytes(shot.answer.body))
-    ending = ATTEMPT_ENDS[shot.end if shot.end is not ConnectionEnd.REJECTED else ConnectionEnd.ERROR_STATUS]
+    if exchange.answer is not None:
+        load = read_load(exchange.answer.header(protocol.LOAD) or bytes(exchange.answer.body))
+    ending = ATTEMPT_ENDS[
+        exchange.end if exchange.end is not ConnectionEnd.REJECTED else ConnectionEnd.ERROR_STATUS
+    ]
     serving.balancer.on_probe(clock.now(), backend, ending, clock.now() - sent, load)
--- a/lupinreach/net/reply.py
+++ b/lupinreach/net/reply.py
@@ -1,4 +1,4 @@
-"""An answer that goes on to the client while it comes from the backend."""
+"""Streams an answer to the client while it arrives from the backend."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 from lupinreach.net import http
 from lupinreach.net.channel import Channel
 
-CLIENT_STALL_TIMEOUT_S = 10.0  # s for which a client may take nothing of an answer
+CLIENT_STALL_TIMEOUT_S = 10.0  # longest time in which a client may accept no byte of an answer
 
 
 class ClientDisconnected(Exception):
-    """The client's connection takes nothing more."""
+    """The client has disconnected or stalled."""
 
 
 class Reply:
-    """One answer, written piece by piece. Each write ends when the kernel has taken it, which holds the backend back."""
+    """One answer, written piece by piece.
+
+    Each write waits until the kernel has taken the piece, which applies backpressure to the backend.
+    """
 
     def __init__(
         self,
@@ -26,7 +29,7 @@
         keep_alive: bool,
         http10: bool,
     ) -> None:
-        """`length` of the body, where it is known; `old`: the client knows no chunks, so it ends with its connection."""
+        """`length` of the body if known; an HTTP/1.0 client does not know chunks, so without a length its connection closes at the end."""
         self._channel = channel
         self._chunked = length is None and not http10
         framing = (
@@ -37,6 +40,7 @@
         self._head = http.answer_head(status, lines, keep_alive, framing)
 
     async def write(self, piece: http.Slice | bytes) -> None:
+        """Write a piece of the body, the first one with the head; raises ClientDisconnected."""
         head, self._head = self._head, b""
         if self._chunked:
             piece = b"".join((head, b"%x\r\n" % len(piece), piece, b"\r\n"))
@@ -45,6 +49,7 @@
         await self._write(piece)
 
     async def end(self) -> None:
+        """Write the end of a chunked body."""
         if self._chunked:
             await self._write(self._head + b"0\r\n\r\n")
 
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -1,4 +1,4 @@
-"""What the parts that serve API calls share: the agent's own state, and the other parts they go through."""
+"""State and components shared by the parts that serve API calls."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Serving:
-    """Lives as long as the process. A second front gets the same one."""
+    """One instance per process; a second listener would share it."""
 
     settings: Settings
     clock: Clock
@@ -31,10 +31,11 @@
     balancer: Balancer
     body_memory: BodyMemory
     ids: Ids = field(default_factory=Ids)
-    # Where ids of what may have run outlive the process: awaited before the module has a non-idempotent API call.
+    # Makes the id of a non-idempotent API call durable; awaited before the module gets the call. None: ids do not
+    # outlive the process.
     persist_id: Callable[[bytes], Awaitable[IdPersistence]] | None = None
 
-    # Where agents share what customers ask: hears the customer of each API call that is taken.
+    # Called with the customer of each accepted API call, where agents share the demand of customers.
     on_call_accepted: Callable[[int], None] | None = None
 
     def __post_init__(self) -> None:
--- a/lupinreach/net/sockets.py
+++ b/lupinreach/net/sockets.py
@@ -1,4 +1,4 @@
-"""Where the agent's sockets come from: the system, unless another kind is handed in."""
+"""Creates the agent's sockets; replaced by another implementation in simulations."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Sockets:
-    """The system's own."""
+    """Sockets of the operating system."""
 
     def stream(self, address: Address) -> socket.socket:
-        """A socket that can be connected to this address; OSError where none is left."""
+        """A socket to connect to this address; OSError if no descriptor is left."""
         return socket.socket(_family(address))
 
     def listening(self, address: Address) -> socket.socket:
-        """A socket bound to this address, that doesn't listen yet; OSError where it can't be bound."""
+        """A socket bound to this address that does not listen yet; OSError if it can't be bound."""
         sock = socket.socket(_family(address))
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
@@ -25,7 +25,7 @@
         return sock
 
     def inherited(self, descriptor: int) -> socket.socket:
-        """The listening socket that this process was started with; BadConfig where it is none."""
+        """The listening socket passed to this process; BadConfig if the descriptor is not one."""
         try:
             sock = socket.socket(fileno=descriptor)
         except OSError as failed:
@@ -35,13 +35,13 @@
             or sock.type != socket.SOCK_STREAM
             or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
         ):
-            sock.detach()  # not ours to close
+            sock.detach()  # the descriptor belongs to the caller
             raise BadConfig(f"PROXY_FD: descriptor {descriptor} is no listening TCP socket")
         sock.setblocking(False)
         return sock
 
     async def datagrams(self, protocol: Callable[[], asyncio.DatagramProtocol], address: Address) -> None:
-        """Hand the datagrams that come to this address to a protocol."""
+        """Pass the datagrams that arrive at this address to a protocol."""
         await asyncio.get_running_loop().create_datagram_endpoint(protocol, local_addr=address)
 
 
--- a/lupinreach/net/tasks.py
+++ b/lupinreach/net/tasks.py
@@ -1,4 +1,4 @@
-"""The agent's tasks, and what becomes of an exception that nobody expected."""
+"""Runs the agent's tasks and reports unexpected exceptions."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 from lupinreach.net.counters import Counters
 from lupinreach.net.log import Log
 
-FAULT_LOG_INTERVAL_MS = 1000.0  # ms between two lines about one kind of fault
+FAULT_LOG_INTERVAL_MS = 1000.0  # between two log lines about one kind of fault
 
 
 class Tasks:
-    """Keeps each task until it ends, in the order in which they began."""
+    """Holds a reference to each running task, in the order of start."""
 
     def __init__(self, clock: Clock, log: Log, counters: Counters) -> None:
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._logged_at: dict[str, float] = {}  # when each kind of fault was last logged; the kinds are few
-        # Each leaves when it ends. No set: the order in which tasks are ended must not be chance.
+        self._logged_at: dict[str, float] = {}  # by kind of fault, of which there are few
+        # A dict and not a set: the order in which tasks are cancelled must be deterministic.
         self.running: dict[asyncio.Task[Any], None] = {}
 
     def spawn(self, what: str, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Start a task; an exception that ends it is reported as a fault named `what`."""
         task = asyncio.get_running_loop().create_task(work)
         self.running[task] = None
 
@@ -38,17 +39,17 @@
         return task
 
     def fault(self, what: str, fault: BaseException) -> None:
-        """An exception that nobody expected: told, counted, and outlived."""
+        """Count and log an unexpected exception; the agent goes on."""
         self._counters.others[f"fault: {what}"] += 1
         now = self._clock.now()
         if now >= self._logged_at.get(what, 0.0) + FAULT_LOG_INTERVAL_MS:
-            # Guards against a fault that comes with each API call and would fill the log.
+            # A fault that occurs with each API call must not fill the log.
             self._logged_at[what] = now
             where = traceback.format_exception(fault)[-3:]
             self._log.event("fault", what=what, why=repr(fault), where="".join(where))
 
     async def stop(self) -> None:
-        """End all of them."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = list(self.running)
         for task in tasks:
             task.cancel()
--- a/lupinreach/net/upload.py
+++ b/lupinreach/net/upload.py
@@ -1,7 +1,7 @@
-"""A request that is too long to be kept: it goes on to one backend while it comes, all but its last bytes.
+"""Forwards a request that is too long for the memory limits to one backend while it is read, but for its last bytes.
 
-A backend begins a request when its last byte has come. So what goes ahead is no shot yet, has never run, and ends
-for good with its connection; the shot is the last bytes, and begins when the module orders it.
+A backend starts a request when it has received the last byte. Until then there is no attempt, nothing has run, and
+closing the connection drops the request. The attempt consists of the last bytes and starts when the module sends it.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 
 class UploadStopped(Exception):
-    """The backend takes no more of it. Nothing ran."""
+    """The backend does not accept the rest of the upload. The request has not run."""
 
 
 class Upload:
-    """What went ahead, until the shot takes it over or it is let go."""
+    """A forwarded request, until the attempt takes over its connection or it is discarded."""
 
     def __init__(self, pool: Pool, place: Place, chunked: bool) -> None:
         self._pool = pool
         self._chunked = chunked
         self._channel: Channel | None = None
         self.place = place
-        self.tail: bytes = b""  # what makes it whole
+        self.tail: bytes = b""  # the last bytes, which complete the request
 
     async def run(
         self,
@@ -37,7 +37,10 @@
         on_progress: Callable[[int], None],
         timeout_s: float,
     ) -> None:
-        """Send it ahead; each write may take so many s. Raises Stopped for the backend's end, Ended for the client's."""
+        """Forward all but the last bytes; each write may take `timeout_s`.
+
+        Raises UploadStopped if the backend's connection ends, ConnectionEnded if the client's does.
+        """
         try:
             self._channel = await self._pool.acquire(self.place)
         except ConnectionEnded:
@@ -65,11 +68,11 @@
             raise UploadStopped from None
 
     def take_channel(self) -> Channel | None:
-        """The connection, for the shot that ends it; None once it was taken."""
+        """Hand the connection over to the attempt; None if it has been taken already."""
         channel, self._channel = self._channel, None
         return channel
 
     def discard(self) -> None:
-        """End what no shot took over."""
+        """Close the connection unless an attempt has taken it over."""
         if (channel := self.take_channel()) is not None:
             self._pool.discard(channel, ConnectionEnd.SEND_CANCELLED)
