--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the agent on sockets: start, signals, exit."""
+"""Entry point of the agent on sockets: start, signal handling and exit."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from lupinreach.net.agent import Agent, BalancerFactory
 from lupinreach.net.clock import Clock
 
-DOOR_DESCRIPTORS = 18  # for operators, where there is a door
-DIRECTORY_WAIT_S = 1.5  # s for which a new process waits for the directory while the old one serves
-GC_THRESHOLD = 2000  # objects more than before: some hundred API calls under way
+DOOR_DESCRIPTORS = 18  # of the operators' port, if it is configured
+DIRECTORY_WAIT_S = 1.5  # how long a new process waits for the directory while the old one serves
+GC_THRESHOLD = 2000  # new objects until a collection; some hundred API calls in progress
 
 
 async def run(agent: Agent) -> None:
-    """From start until a signal has stopped it."""
+    """Run the agent until a signal has stopped it."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -37,38 +37,39 @@
     logging.getLogger().addHandler(agent.log)
     door = None
     if agent.config.mgmt is not None:
-        from lupinreach.ops.door import Door  # an agent without a door doesn't load it
+        from lupinreach.ops.door import Door  # not loaded unless configured
 
         door = Door(agent, agent.config.mgmt)
-        door.open()  # before the agent: until it serves, the answer is no
+        door.open()  # before the agent starts: until then `/_ready` answers no
     succession = None
     if agent.config.inherited is not None:
-        from lupinreach.ops.succession import Succession  # nor one that has its address to itself this
+        from lupinreach.ops.succession import Succession  # not loaded unless needed
 
         succession = Succession(os.environ.get("TMPDIR"), agent.config.name)
     carry = None
     if agent.config.store is not None:
-        from lupinreach.ops.outlives import take_up  # nor one that hands nothing on
+        from lupinreach.ops.outlives import take_up  # not loaded unless needed
 
         carry = take_up(agent)
     await agent.start(DIRECTORY_WAIT_S if succession and succession.other() else 0.0)
     if succession is not None and not succession.take_over():
         agent.log.event("no succession", why="TMPDIR can't be written")
-    # What is there now stays: guards against a collector that looks through all of it again and again.
+    # The objects of the start live as long as the process; freezing them keeps the collector from scanning them.
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD, 5, 5)
     await stop.wait()
     succeeded = succession is not None and succession.other() is not None
     if carry is not None and not succeeded:
-        await carry.leave()  # with a successor the file is that one's
+        await carry.leave()  # with a successor the file belongs to that process
     await agent.stop(succeeded)
     if door is not None:
         door.close()
 
 
 async def main(make_balancer: BalancerFactory, clock: Clock | None) -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # guards against an end by one that comes before the start
+    """Read the configuration and run the agent; returns the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a SIGHUP before the handler is set would end the process
     try:
         config = read_agent(os.environ)
         agent = Agent(
@@ -92,7 +93,7 @@
 
 
 def serve(make_balancer: BalancerFactory = Balancer, clock: Clock | None = None) -> int:
-    """Run one agent to its end; the exit code. The clock is the system's unless another is handed in."""
+    """Run one agent until it stops; returns the exit code. Without `clock` the system's clock is used."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(main(make_balancer, clock))
 
--- a/lupinreach/adapter/__init__.py
+++ b/lupinreach/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire in front of the decision module."""
+"""Runs the decision module behind the simulator's JSON line protocol."""
--- a/lupinreach/adapter/__main__.py
+++ b/lupinreach/adapter/__main__.py
@@ -6,6 +6,7 @@
 
 
 def main() -> int:
+    """Answer each input line until the end of input; returns the exit code."""
     host = Host()
     out = sys.stdout
     try:
--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire in front of the decision module: its words to ours and back. Nothing here decides."""
+"""Translates between the simulator's JSON line protocol and the decision module. All decisions are made there."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class BadInput(Exception):
-    """The input is not what the wire's page says; the text names what is wrong."""
+    """The input violates the protocol; the text names the fault."""
 
 
 def _lookup(table: dict[str, Any], word: Any, what: str) -> Any:
@@ -40,20 +40,22 @@
 
 
 class Instance:
-    """One agent's balancer and the maps from the wire's ids to it; also the balancer's port."""
+    """One agent's balancer with the mapping of the protocol's ids; implements the balancer's port."""
 
     def __init__(self, number: int, actions: list[dict[str, Any]], now: float, raw: Any, seed: int) -> None:
         self._number = number
-        self.actions = actions  # of the reply that is being made
-        self._indices: dict[int, int] = {}  # wire id of a backend -> index; emptied when the instance ends
+        self.actions = actions  # of the current reply
+        self._indices: dict[
+            int, int
+        ] = {}  # backend id in the protocol -> index; grows until the instance ends
         self._ids: list[int] = []
-        self._calls: dict[Hashable, Call] = {}  # each leaves once nothing more can come for it
+        self._calls: dict[Hashable, Call] = {}  # removed once no more events can refer to them
         settings = read_settings(raw)
         self._load_fields = settings.load_fields
         self._balancer = Balancer(settings, seed, self)
         self._balancer.start(now)
 
-    # The port: what the module asks for.
+    # The module's port.
 
     def _add_action(self, name: str, **fields: Any) -> None:
         self.actions.append({"t": name, "i": self._number, **fields})
@@ -88,7 +90,7 @@
     def log(self, text: str) -> None:
         self._add_action("write_log", note_text=text)
 
-    # The wire's events.
+    # Events of the protocol; `EVENTS` names the handler of each one.
 
     def _index(self, wire_id: int) -> int:
         index = self._indices.get(wire_id)
@@ -202,14 +204,16 @@
 
 
 class Host:
-    """All instances of one process. They share the numbered lists of the wire and nothing else."""
+    """All instances of one process. They share nothing but the protocol's numbered backend lists."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance | None] = {}  # None: its settings were malformed
-        self._lists: dict[int, list[dict[str, Any]]] = {}  # at most MOST_LISTS; a new one replaces the old
+        self._lists: dict[
+            int, list[dict[str, Any]]
+        ] = {}  # by number, at most MAX_LISTS; a new list replaces the old one
 
     def batch(self, line: str) -> str:
-        """One line in, one line out."""
+        """Process the events of one input line; returns the reply line."""
         try:
             raw = json.loads(line)
         except ValueError:
@@ -263,7 +267,7 @@
             if missing.args and missing.args[0] in ("tid", "valid_until", "backend"):
                 raise
             self._fault(number, name, missing, actions)
-        except Exception as bad:  # whatever breaks in the module is the instance's fault, told to the host
+        except Exception as bad:  # an exception in the module is reported as a bug of the instance
             self._fault(number, name, bad, actions)
 
     def _inventory(self, e: dict[str, Any]) -> None:
--- a/lupinreach/cli.py
+++ b/lupinreach/cli.py
@@ -1,4 +1,4 @@
-"""The command line. `agent` loads nothing but the agent, `mesh` the extra `mesh`, everything else `bed`."""
+"""The command line. `agent` needs only the base package, `mesh` the extra `mesh`, all other commands the extra `bed`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Entry point of `lupinreach`."""
+    """Entry point of the command `lupinreach`."""
     if sys.argv[1:2] == ["agent"] and len(sys.argv) == 2:
         from lupinreach.__main__ import serve
 
@@ -26,7 +26,7 @@
     if sys.argv[1:2] == ["mesh"]:
         sys.exit(_mesh(sys.argv[2:]))
     try:
-        from lupinreach.trial.commands import lupinreach  # all of them: a trial's stand on the bed's
+        from lupinreach.trial.commands import lupinreach  # includes the commands of the bed
     except ModuleNotFoundError as missing:
         print(
             f"lupinreach: {missing.name} is not installed; `lupinreach agent` needs nothing more, the other "
--- a/lupinreach/config.py
+++ b/lupinreach/config.py
@@ -1,7 +1,7 @@
-"""Settings and agent configuration: the one place where they are read, checked and given their defaults.
+"""Reads and validates the settings and the agent configuration and sets their defaults.
 
-Both fronts read through it. The input keeps the words of its pages; what comes out has ours. Every complaint
-names the faulty key by its whole path. Unknown keys are skipped.
+Used by the agent on sockets and by the simulator's adapter. Input keys are those of the documented formats; the result
+uses the names of `model`. Errors name the faulty key by its full path. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -33,34 +33,34 @@
     "nominal": False,
     "rough": False,
     "live": True,
-}  # if they move with what is held
-MAX_LOAD_VALUE = 1e5  # of anything in a load report: more than one address has ports for
+}  # if the listed sizes fall with the load
+MAX_LOAD_VALUE = 1e5  # limit of each value of a load report; exceeds the number of ports of an address
 MAX_CONFIG_BYTES = 16 << 20
-MIN_MEMORY_MB = 32  # MB
-DEFAULT_CARRY_AGE_S = 60.0  # s
+MIN_MEMORY_MB = 32
+DEFAULT_CARRY_AGE_S = 60.0
 FLEET_HEARTBEAT_MS, FLEET_QUERY_TIMEOUT_MS = (
     1000.0,
     300.0,
-)  # ms between two words of an agent to the fleet, and for which one that stands up asks it
-MIN_SOCKETS = 32  # below it there is no room for a client, a backend and the agent's own
+)  # interval of an agent's messages to the fleet; how long a starting agent queries the fleet
+MIN_SOCKETS = 32  # fewer do not suffice for the agent's own descriptors, a client and a backend
 
-REQUIRED: Any = object()  # in place of a default: the key must be there
+REQUIRED: Any = object()  # passed as default: the key is required
 
 
 class BadConfig(ValueError):
-    """The input can't be used; the text names the key."""
+    """The input is invalid; the text names the key."""
 
 
 def is_plausible_load(figures: Iterable[Any]) -> bool:
-    """If a load report's figures are such as a backend can have.
+    """If all values of a load report are possible.
 
-    Guards against one that no backend can have, which would rest it for good and spoil the mean.
+    An impossible value would keep the backend from being used and distort the mean over all backends.
     """
     return all(type(f) in (int, float) and 0 <= f <= MAX_LOAD_VALUE for f in figures)
 
 
 class Section:
-    """One object of the input, read key by key."""
+    """One object of the input; each method reads a key, checks its type and range and raises BadConfig."""
 
     def __init__(self, raw: Any, path: str = "") -> None:
         if not isinstance(raw, dict):
@@ -69,6 +69,7 @@
         self._path = path
 
     def at(self, key: str) -> str:
+        """The full path of a key."""
         return f"{self._path}.{key}" if self._path else key
 
     def _get(self, key: str, default: Any) -> Any:
@@ -78,6 +79,7 @@
         return value
 
     def number(self, key: str, default: float = REQUIRED, low: float = 0.0, high: float = inf) -> float:
+        """A finite number in a range."""
         value = self._get(key, default)
         if value is None:
             return default
@@ -88,9 +90,11 @@
         return float(value)
 
     def whole(self, key: str, default: int = REQUIRED, low: int = 0, high: float = inf) -> int:
+        """An integer; fractions are cut off."""
         return int(self.number(key, default, low, high))
 
     def flag(self, key: str, default: bool = False) -> bool:
+        """True or false."""
         value = self._get(key, default)
         if value is None:
             return default
@@ -99,6 +103,7 @@
         return bool(value)
 
     def text(self, key: str, default: str = REQUIRED) -> str:
+        """A string."""
         value = self._get(key, default)
         if value is None:
             return default
@@ -107,24 +112,29 @@
         return value
 
     def choice(self, key: str, choices: Mapping[str, Any], default: str = REQUIRED) -> Any:
+        """The value that one of the given strings stands for."""
         value = self.text(key, default)
         if value not in choices:
             raise BadConfig(f"{self.at(key)}: unknown {value!r}; known are {', '.join(choices)}")
         return choices[value]
 
     def address(self, key: str, default: str = REQUIRED) -> Address:
+        """A `host:port`."""
         return _address(self.text(key, default), self.at(key))
 
     def mapping(self, key: str, default: Any = None) -> dict[str, Any]:
+        """An object as it is; empty if missing."""
         value = self._get(key, default)
         if not isinstance(value, (dict, type(None))):
             raise BadConfig(f"{self.at(key)}: must be an object")
         return value or {}
 
     def section(self, key: str) -> Section:
+        """An object as a section; empty if missing."""
         return Section(self.mapping(key), self.at(key))
 
     def items(self, key: str, default: Any = ()) -> list[Any]:
+        """An array as it is."""
         value = self._get(key, default)
         if value is None:
             return list(default)
@@ -133,9 +143,11 @@
         return value
 
     def sections(self, key: str, default: Any = ()) -> list[Section]:
+        """An array of objects."""
         return [Section(raw, f"{self.at(key)}[{i}]") for i, raw in enumerate(self.items(key, default))]
 
     def texts(self, key: str) -> list[str]:
+        """An array of strings."""
         values = self.items(key)
         for i, value in enumerate(values):
             if not isinstance(value, str):
@@ -160,7 +172,7 @@
 
 
 def read_settings(raw: Any, path: str = "") -> Settings:
-    """The settings in our words; absent keys get their default."""
+    """Read the settings; absent keys get their default. Raises BadConfig."""
     top = Section(raw, path)
     limits, rules, report = top.section("ceilings"), top.section("invariants"), top.section("report")
     products = tuple(_product(p) for p in top.sections("categories", REQUIRED))
@@ -224,15 +236,15 @@
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """How agents of one fleet keep in touch, in ms."""
+    """Intervals of the messages between the agents of a fleet, in ms."""
 
-    beat: float
-    ask: float
-    share: float = 0.0  # between two words of what is shared; 0: nothing is
+    beat: float  # between two heartbeats
+    ask: float  # how long a starting agent queries the others
+    share: float = 0.0  # between two messages with shared state; 0: no state is shared
 
 
 def _fleet(top: Section, settings: Settings) -> FleetConfig | None:
-    """Off without its key; with it, what it can't be without has to be there."""
+    """The fleet mode, None without its key; checks that everything it requires is configured."""
     if top._get("fleet", None) is None:
         return None
     fleet_section = top.section("fleet")
@@ -256,7 +268,7 @@
 
 
 def _store(top: Section) -> str | None:
-    """The one file; `carry` and `store` may both name it, but not two."""
+    """The path of the agent's single file; if both `carry` and `store` name it, they must name the same one."""
     carried = top.section("carry").text("file") if top.mapping("carry") else None
     stored = top.section("store").text("file") if top.mapping("store") else None
     if carried and stored and carried != stored:
@@ -265,7 +277,7 @@
 
 
 def _persists_ids(top: Section, settings: Settings) -> bool:
-    """If ids of what may have run are synced before it does."""
+    """If ids of non-idempotent API calls are synced to disk before the calls may run."""
     if not top.mapping("store") or not top.section("store").flag("ran"):
         return False
     if not any(p.kind is Idempotency.NON_IDEMPOTENT for p in settings.products):
@@ -275,31 +287,31 @@
 
 @dataclass(frozen=True)
 class AgentConfig:
-    """What one agent on sockets is told at its start."""
+    """The configuration of an agent on sockets."""
 
     name: str
     listen: Address
     directory: Address
     seed: int
-    sockets: int  # descriptors that the process may hold
-    memory: int  # bytes that it may hold
+    sockets: int  # limit of the process's descriptors
+    memory: int  # memory limit of the process in bytes
     peer_listen: Address | None
-    peers: tuple[Address, ...]  # by the agents' numbers, this one's own among them
+    peers: tuple[Address, ...]  # in the order of the agents' numbers, including this agent
     peers_all: Address | None
-    known: dict[str, Any]  # the list of backends as this agent last had it, in the directory's form
+    known: dict[str, Any]  # the backend list that this agent last had, in the directory's format
     settings: Settings
-    mgmt: Address | None = None  # where operators connect; None: nowhere
-    store: str | None = None  # file of what goes from one process to the next; None: by none
-    carry_age: float | None = None  # ms; what is older starts nobody. None: no clock is asked
-    fleet: FleetConfig | None = None  # None: the agent is alone
-    ran: bool = False  # ids of non-idempotent API calls outlive the process
-    inherited: int | None = None  # the descriptor on which clients connect, already listening; None: `listen`
+    mgmt: Address | None = None  # the operators' port; None: there is none
+    store: str | None = None  # file of the state that outlives the process; None: no state does
+    carry_age: float | None = None  # ms; older state is not used at a start. None: no limit
+    fleet: FleetConfig | None = None  # None: no fleet mode
+    ran: bool = False  # ids of non-idempotent API calls are made durable
+    inherited: int | None = None  # a listening descriptor passed to the process; None: bind `listen`
 
 
 def read_agent(environment: Mapping[str, str], again: bool = False) -> AgentConfig:
-    """The agent's configuration: the file that PROXY_CONFIG names; the other variables go before its keys.
+    """Read the agent's configuration from the file that PROXY_CONFIG names; other variables override its keys.
 
-    Read again, the file's keys go first: the variables are those of the start and can't have changed.
+    On a reload (`again`) the file's keys take precedence, since the variables can't have changed since the start.
     """
     path = environment.get("PROXY_CONFIG")
     if not path:
--- a/lupinreach/logs.py
+++ b/lupinreach/logs.py
@@ -1,4 +1,4 @@
-"""What a fleet of agents tells in its logs, counted: a reader of the agents' own JSON lines. Decides nothing."""
+"""Aggregates the JSON logs of a fleet of agents."""
 
 from __future__ import annotations
 
@@ -18,35 +18,37 @@
     "directory",
     "others",
     "module",
-)  # of counters, all that grow
-BURST_WINDOW_MS = 100.0  # ms: the window in which the most events of a kind are looked for
+)  # groups of monotonic counters
+BURST_WINDOW_MS = 100.0  # window of the burst statistics
 POOL_CHANGE = re.compile(r"backend \d+ (ejected|restored) ")
 MAX_LINE_BYTES = 1 << 16
 
 
 @dataclass
 class AgentRun:
-    """One agent from a start to its end, by the last counters that it left."""
+    """One run of an agent from its start, with the last counters that it logged."""
 
     agent: str
-    started_at: float | None  # Unix ms; None: its start is in no file
+    started_at: float | None  # Unix ms; None: the start is not in the logs
     counts: dict[str, Any] = field(default_factory=dict)
-    stopped: bool = False  # it said so itself; else it was killed, or the file ends before
+    stopped: bool = False  # it logged its stop; otherwise it was killed or the log ends earlier
 
 
 @dataclass
 class Fleet:
-    """What was read. Holds an entry for each life and each event that is not a line of counters."""
+    """The content of the logs: the runs of all agents, and all events but the counters."""
 
     runs: list[AgentRun] = field(default_factory=list)
-    events: list[tuple[float, str, str]] = field(default_factory=list)  # at, what, agent; in order of time
-    invalid_lines: int = 0  # lines that could not be read as an event
+    events: list[tuple[float, str, str]] = field(
+        default_factory=list
+    )  # (Unix ms, event, agent), in order of time
+    invalid_lines: int = 0  # lines that are no event
 
 
 def read(files: Iterable[Iterable[bytes]]) -> Fleet:
-    """Read the lines of any number of files, in any order, several agents to a file or one.
+    """Read the lines of any number of files, in any order, each with one or several agents.
 
-    A line may carry a collector's own text before its JSON. What is no event is counted and skipped, never guessed at.
+    A log collector's prefix before the JSON of a line is ignored. Lines that are no event are counted and skipped.
     """
     fleet, found = Fleet(), []
     for lines in files:
@@ -86,7 +88,7 @@
 
 
 def _name(event: dict[str, Any]) -> str:
-    """The event with what tells its kinds apart."""
+    """The event's name, with its kind where an event has several."""
     if event["event"] == "module":
         change = POOL_CHANGE.match(str(event.get("text")))
         return f"backend {change[1]}" if change else "module"
@@ -96,7 +98,7 @@
 
 
 def totals(fleet: Fleet) -> dict[str, Counter[str]]:
-    """The counters of all lives together, by group; a figure that is none counts for nothing."""
+    """The sums of the counters over all runs, by group; malformed values are ignored."""
     summed = {group: Counter[str]() for group in COUNTER_GROUPS}
     for run in fleet.runs:
         for group in COUNTER_GROUPS:
@@ -108,7 +110,7 @@
 
 
 def most_at_once(fleet: Fleet, window_ms: float = BURST_WINDOW_MS) -> dict[str, tuple[int, float]]:
-    """By event: the most of them in any so many ms over the fleet, and when that was (Unix ms)."""
+    """By event: the largest number within any window over the fleet, and the start of that window (Unix ms)."""
     times: defaultdict[str, list[float]] = defaultdict(list)
     for at, what, _ in fleet.events:
         times[what].append(at)
@@ -124,7 +126,7 @@
 
 
 def summary(fleet: Fleet) -> dict[str, Any]:
-    """All figures as one JSON object; shares are of all API calls taken, ages in ms."""
+    """All statistics as one JSON object; shares are of all accepted API calls, ages in ms."""
     counts = totals(fleet)
     taken = sum(counts["taken"].values())
     ages = sorted(age for run in fleet.runs if isinstance(age := run.counts.get("list_age_ms"), (int, float)))
