--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Small fleets of processes: those that the selected tests want are played beside each other, once, at the first that asks."""
+"""Runs the small fleets of processes that the selected tests need, in parallel and once, for the first test that needs one."""
 
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
@@ -8,10 +8,12 @@
 
 from lupinreach.trial import play, spec
 
-BESIDE = max(1, (cpu_count() or 1) // 2)  # each of them has some ten processes that mostly wait
+MAX_PARALLEL_RUNS = max(
+    1, (cpu_count() or 1) // 2
+)  # runs in parallel; each has some ten processes that mostly wait
 SEED = 3
-MORE = 2  # times that a run whose rig was late is played again, alone
-RIGS = pytest.StashKey()
+MAX_REPETITIONS = 2  # repetitions, alone, of a run whose rig was late
+RUNS_KEY = pytest.StashKey()
 
 
 def pytest_configure(config):
@@ -21,7 +23,7 @@
 
 
 def pytest_collection_finish(session):
-    session.config.stash[RIGS] = (
+    session.config.stash[RUNS_KEY] = (
         {
             item.nodeid: item.get_closest_marker("rig").args[0]
             for item in session.items
@@ -33,15 +35,15 @@
 
 @pytest.fixture
 def played(request):
-    """The run; one whose rig was in time if one of three is: on a busy machine the others say nothing."""
-    wanted, runs = request.config.stash[RIGS]
+    """The test's run, repeated if its rig was late: on a busy machine such a run proves nothing."""
+    wanted, runs = request.config.stash[RUNS_KEY]
     if not runs:
-        # Waited for as a whole: guards against tests of real time beside fleets of processes.
-        with ProcessPoolExecutor(BESIDE, get_context("spawn")) as pool:
+        # Waits for all runs: tests of real time must not run beside fleets of processes.
+        with ProcessPoolExecutor(MAX_PARALLEL_RUNS, get_context("spawn")) as pool:
             trials = [(spec.read(raw), SEED) for raw in wanted.values()]
             runs.update(zip(wanted, pool.map(play.run, *zip(*trials, strict=True)), strict=True))
     one = runs[request.node.nodeid]
-    for _ in range(MORE):
+    for _ in range(MAX_REPETITIONS):
         if one.unsure:
             one = play.run(spec.read(wanted[request.node.nodeid]), SEED)
     return one
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,3 +1,5 @@
+"""The adapter between the simulator's JSON line protocol and the decision module."""
+
 import json
 import subprocess
 import sys
@@ -22,7 +24,7 @@
     return json.dumps({"ts": ts, "news": list(news)})
 
 
-def acts(host, ts, *news):
+def actions_of(host, ts, *news):
     return json.loads(host.batch(batch(ts, *news)))["actions"]
 
 
@@ -40,10 +42,10 @@
 def started(*instances):
     host = Host()
     events = [e for i in instances or (0,) for e in attach(i)]
-    return host, acts(host, 1000.0, {"t": "inventory", "page": 0, "hosts": HOSTS}, *events)
+    return host, actions_of(host, 1000.0, {"t": "inventory", "page": 0, "hosts": HOSTS}, *events)
 
 
-def tries(actions):
+def sent_attempts(actions):
     return [a for a in actions if a["t"] == "try"]
 
 
@@ -51,10 +53,10 @@
     assert json.loads(Host().batch('{"ts":8412.25,"news":[]}')) == {"actions": []}
 
 
-def test_an_api_call_goes_out_and_its_end_is_taken_in():
+def test_call_is_sent_and_its_end_processed():
     host, first = started()
     assert {"t": "track", "i": 0, "enable": True} in first
-    sent = tries(acts(host, 1005.0, req(9)))
+    sent = sent_attempts(actions_of(host, 1005.0, req(9)))
     assert len(sent) == 1 and sent[0]["backend"] in (70, 71) and sent[0]["try_until"] == 3000.0
     reply = {
         "t": "reply",
@@ -67,33 +69,36 @@
         "complete": True,
         "metrics": [3, 1],
     }
-    assert acts(host, 1055.0, reply) == []
+    assert actions_of(host, 1055.0, reply) == []
     late = [reply, {"t": "cancelled_by_client", "i": 0, "tid": 9}, {"t": "head_received", "i": 0, "tid": 9}]
-    assert acts(host, 1060.0, *late) == []
+    assert actions_of(host, 1060.0, *late) == []
 
 
 @pytest.mark.parametrize(
     "metrics", [[-1, 0], [1e300, 0], ["many", 1], [True, 1], [None, 2], [float("nan"), 1]]
 )
-def test_a_report_that_no_backend_can_make_is_none(metrics, monkeypatch):
+def test_implausible_load_report_is_ignored(metrics, monkeypatch):
     host, _ = started()
-    told = []
-    monkeypatch.setattr("lupinreach.balance.Balancer.on_probe", lambda self, *what: told.append(what[-1]))
-    acts(
+    reported = []
+    monkeypatch.setattr("lupinreach.balance.Balancer.on_probe", lambda self, *what: reported.append(what[-1]))
+    actions_of(
         host, 1005.0, {"t": "check_result", "i": 0, "backend": 70, "ending": "delivered", "metrics": metrics}
     )
-    acts(
+    actions_of(
         host, 1005.0, {"t": "check_result", "i": 0, "backend": 4711, "ending": "delivered", "metrics": [3, 1]}
     )
-    assert told[0] is None and told[1] is not None
-    assert {a["backend"] for a in tries(acts(host, 1006.0, *(req(n) for n in range(20))))} <= {70, 71}
+    assert reported[0] is None and reported[1] is not None
+    assert {a["backend"] for a in sent_attempts(actions_of(host, 1006.0, *(req(n) for n in range(20))))} <= {
+        70,
+        71,
+    }
 
 
 @pytest.mark.parametrize("ending", ["app_error", "shed", "expired", "dial_failed", "dropped", "unused"])
-def test_every_failure_leads_to_another_shot_or_an_answer(ending):
+def test_every_failure_leads_to_another_attempt_or_an_answer(ending):
     host, _ = started()
-    backend = tries(acts(host, 1005.0, req(9)))[0]["backend"]
-    got = acts(
+    backend = sent_attempts(actions_of(host, 1005.0, req(9)))[0]["backend"]
+    got = actions_of(
         host,
         1010.0,
         {"t": "reply", "i": 0, "tid": 9, "try": 0, "backend": backend, "ending": ending, "rtt": 5.0},
@@ -103,7 +108,7 @@
 
 def test_list_numbers_are_resolved_in_event_order():
     host = Host()
-    got = acts(
+    got = actions_of(
         host,
         1000.0,
         {"t": "inventory", "page": 3, "hosts": HOSTS[:1]},
@@ -113,13 +118,13 @@
         req(1, 0),
         req(2, 1),
     )
-    assert {(a["i"], a["backend"]) for a in tries(got)} == {(0, 70), (1, 71)}
+    assert {(a["i"], a["backend"]) for a in sent_attempts(got)} == {(0, 70), (1, 71)}
 
 
-def test_stop_and_start_in_one_batch_forgets_all():
+def test_stop_and_start_in_one_batch_resets_the_instance():
     host, _ = started()
-    acts(host, 1005.0, req(9))
-    got = acts(
+    actions_of(host, 1005.0, req(9))
+    got = actions_of(
         host,
         1010.0,
         {"t": "power_off", "i": 0},
@@ -127,7 +132,7 @@
         req(10),
         {"t": "reply", "i": 0, "tid": 9, "try": 0, "backend": 70, "ending": "shed", "rtt": 5.0},
     )
-    assert [a["tid"] for a in tries(got)] == [10]
+    assert [a["tid"] for a in sent_attempts(got)] == [10]
 
 
 def test_instances_share_nothing():
@@ -135,14 +140,14 @@
     both, _ = started(0, 1)
     for n in range(40):
         ts = 1005.0 + 5 * n
-        together = acts(both, ts, req(n, 0), req(1000 + n, 1))
-        assert acts(alone, ts, req(1000 + n, 1)) == [a for a in together if a["i"] == 1]
+        together = actions_of(both, ts, req(n, 0), req(1000 + n, 1))
+        assert actions_of(alone, ts, req(1000 + n, 1)) == [a for a in together if a["i"] == 1]
 
 
-def test_a_fault_in_the_module_is_told(monkeypatch):
+def test_exception_in_the_module_is_reported(monkeypatch):
     host, _ = started()
     monkeypatch.setattr(Balancer, "submit", lambda *_: 1 / 0)
-    fault = acts(host, 1005.0, req(9))[0]
+    fault = actions_of(host, 1005.0, req(9))[0]
     assert fault["t"] == "bug" and "ZeroDivisionError on req" in fault["note_text"]
 
 
@@ -162,7 +167,7 @@
 def test_malformed_settings_are_reported_for_their_instance(change, text):
     host = Host()
     hosts = {"t": "inventory", "page": 0, "hosts": HOSTS}
-    got = acts(host, 1.0, hosts, *attach(4, SETTINGS | change), *attach(5))
+    got = actions_of(host, 1.0, hosts, *attach(4, SETTINGS | change), *attach(5))
     bugs = [a for a in got if a["t"] == "bug"]
     assert len(bugs) == 1 and bugs[0]["i"] == 4 and text in bugs[0]["note_text"]
 
@@ -186,7 +191,7 @@
         Host().batch(line)
 
 
-def test_a_field_that_is_missing_is_named():
+def test_missing_field_is_named():
     host, _ = started()
     with pytest.raises(BadInput, match="req: field 'valid_until' is missing"):
         host.batch(batch(1005.0, {"t": "req", "i": 0, "tid": 1, "cls": 0}))
@@ -197,11 +202,11 @@
     return subprocess.run(command, input=text, capture_output=True, text=True)
 
 
-def test_the_process_answers_each_line_and_exits_at_the_end_of_input():
+def test_process_answers_each_line_and_exits_at_the_end_of_input():
     done = run('{"ts":1,"news":[]}\n{"ts":2,"news":[]}\n')
     assert (done.returncode, done.stdout) == (0, '{"actions":[]}\n' * 2)
 
 
-def test_the_process_names_bad_input_without_a_traceback():
+def test_process_names_bad_input_without_a_traceback():
     done = run('{"ts":1,"news":[]}\nnonsense\n')
     assert done.returncode != 0 and done.stderr == "lupinreach: line 2: not JSON\n"
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent on loopback sockets beside scripted backends, directories and clients."""
+"""The agent on loopback sockets with scripted backends, directories and clients."""
 
 import asyncio
 import copy
@@ -24,22 +24,22 @@
 PAY = {"kind": b"pay", "method": b"POST", "body": b"sum=3"}
 
 
-def failed(code: int, more: bytes = b"") -> bytes:
+def error_answer(code: int, more: bytes = b"") -> bytes:
     return b"HTTP/1.1 %d No\r\n%sContent-Length: 0\r\n\r\n" % (code, more)
 
 
-DECLINED = failed(503, b"Srv-Declined: 1\r\n")
+DECLINED = error_answer(503, b"Srv-Declined: 1\r\n")
 
 
-async def silent(request, writer):
+async def no_answer(request, writer):
     await asyncio.Event().wait()
 
 
-async def breaks(request, writer):
+async def reset_connection(request, writer):
     writer.transport.abort()
 
 
-async def cut_short(request, writer):
+async def truncated_answer(request, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
     writer.close()
 
@@ -48,21 +48,21 @@
     return int(answer.split()[1])
 
 
-def place(pool, address, index=0) -> Place:
+def enabled_place(pool, address, index=0) -> Place:
     host, port = address.split(":")
     pool.enable_keep_alive(found := Place(index, (host, int(port))))
     return found
 
 
 async def one_call(script, raw, *more, **site):
-    """The answer to one API call, and the backend, with more targets beside it."""
+    """Send one API call to an agent with one backend and the given further targets; returns answer, backend and agent."""
     async with Peer(script) as backend, Site(target("s-1", backend.address), *more, **site) as agent:
         answer = await agent.ask(raw)
         await agent.settled()
         return answer, backend, agent.agent
 
 
-def test_an_api_call_goes_on_unchanged_and_its_answer_comes_back():
+def test_api_call_and_answer_are_passed_on_unchanged():
     head = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nSrv-Load: inflight=7,queue=2\r\n"
         b"Content-Type: text/x\r\nSet-Cookie: a=b\r\n\r\n"
@@ -81,28 +81,28 @@
     assert b"Content-Type: text/x\r\n" in answer and b"Set-Cookie: a=b\r\n" in answer
 
 
-def test_headers_and_path_become_an_ask(monkeypatch):
+def test_headers_and_path_are_translated_into_a_new_call(monkeypatch):
     async def work():
         settings = AGENT_SETTINGS | {"accounts": [{"name": "hill"}, {"name": "dale"}]}
         async with Site(settings=settings) as site:
-            asks, take = [], site.agent.balancer.submit
+            calls, take = [], site.agent.balancer.submit
             monkeypatch.setattr(
-                site.agent.balancer, "submit", lambda now, ask: asks.append(ask) or take(now, ask)
+                site.agent.balancer, "submit", lambda now, ask: calls.append(ask) or take(now, ask)
             )
             more = b"Req-Owner: dale\r\nReq-Cost: 1500.5\r\nReq-Retry: 1\r\nReq-Extra: a=1\r\n"
             await site.ask(look(b"pay", more=more, method=b"POST", path=b"/api/00fe?x=/y", deadline=b"9"))
             await site.ask(look(more=b"Req-Owner: nobody\r\n", deadline=b".5"))
-            first, second = asks
+            first, second = calls
             assert (first.product, first.customer, first.cost, first.is_retry) == (1, 1, 1.5005, True)
             assert (second.product, second.customer, second.cost, second.is_retry) == (0, 0, None, False)
             assert (first.key, second.key) == (crc32(b"00fe"), None)
-            now = site.agent.clock.now()  # no longer than the product's client timeout, less the margin
+            now = site.agent.clock.now()  # at most the product's client timeout, less the slack
             assert now + 1900 < first.until <= now + 1980 and now + 400 < second.until <= now + 480
 
     run(work())
 
 
-def test_connections_are_kept_on_both_sides():
+def test_client_and_backend_connections_are_reused():
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
             client = await site.client()
@@ -116,28 +116,31 @@
 @pytest.mark.parametrize(
     "script, most",
     [
-        (says(failed(500)), 3),
-        (says(failed(404)), 3),
-        (says(failed(503)), 3),  # it doesn't say that it never ran
-        (breaks, 3),
-        (cut_short, 3),
+        (says(error_answer(500)), 3),
+        (says(error_answer(404)), 3),
+        (says(error_answer(503)), 3),  # without the header that says it never ran
+        (reset_connection, 3),
+        (truncated_answer, 3),
         (says(b"nonsense\r\n\r\n"), 3),
-        (says(b"HTTP/1.1 100 Go on\r\n\r\n" * 20), 3),  # spoilt, by any backend
+        (says(b"HTTP/1.1 100 Go on\r\n\r\n" * 20), 3),  # malformed at any backend
     ],
 )
-def test_what_may_have_run_is_sent_again_only_if_idempotent(script, most):
+def test_call_that_may_have_run_is_retried_only_if_idempotent(script, most):
     async def work():
         async with Peer(script) as one, Peer(script) as two:
-            for raw, code, shots in ((look(**PAY), 502, 1), (look(), 429, most)):  # 429: again is harmless
+            for raw, code, attempts in (
+                (look(**PAY), 502, 1),
+                (look(), 429, most),
+            ):  # 429: a retry is harmless
                 async with Site(target("s-1", one.address), target("s-2", two.address)) as site:
                     assert status(await site.ask(raw)) == code
-                    assert sum(site.agent.counters.shots.values()) == shots
+                    assert sum(site.agent.counters.shots.values()) == attempts
             assert len(one.requests) + len(two.requests) == 1 + most
 
     run(work())
 
 
-def test_what_never_ran_goes_elsewhere_or_is_rate_limited():
+def test_call_that_never_ran_is_retried_elsewhere_or_rate_limited():
     async def work():
         async with Peer(says(OK)) as good, Peer(says(DECLINED)) as busy:
             async with Site(target("s-1", busy.address), target("s-2", good.address)) as site:
@@ -153,11 +156,14 @@
     assert status(answer) == 200 and len(backend.requests) == 1
 
 
-def test_no_answer_in_time_ends_before_the_client_gives_up_and_closes_the_connection():
-    settings = AGENT_SETTINGS | {"invariants": {"answer_slack": 400.0}}  # a wide margin, for a slow machine
+def test_missing_answer_is_errored_before_the_deadline_and_closes_the_connection():
+    settings = AGENT_SETTINGS | {"invariants": {"answer_slack": 400.0}}  # a wide margin for a slow machine
 
     async def work():
-        async with Peer(silent) as backend, Site(target("s-1", backend.address), settings=settings) as site:
+        async with (
+            Peer(no_answer) as backend,
+            Site(target("s-1", backend.address), settings=settings) as site,
+        ):
             now = asyncio.get_running_loop().time
             began = now()
             answer = await site.ask(look(**PAY, deadline=b"1.0"))
@@ -168,13 +174,13 @@
     run(work())
 
 
-def test_a_client_that_leaves_takes_its_shot_with_it():
+def test_attempt_is_cancelled_when_its_client_disconnects():
     async def work():
         arrived = asyncio.Event()
 
         async def script(request, writer):
             arrived.set()
-            await writer.wait_closed()  # until the agent closes
+            await writer.wait_closed()  # until the agent closes the connection
 
         async with Peer(script) as backend, Site(target("s-1", backend.address)) as site:
             reader, writer = await site.client()
@@ -213,13 +219,13 @@
         (look(more=b"A: " + b"x" * 20000 + b"\r\n"), 413, b"too large"),
     ],
 )
-def test_what_is_no_request_is_refused_and_goes_nowhere(raw, code, why):
+def test_bad_request_is_refused_without_an_attempt(raw, code, why):
     answer, backend, agent = run(one_call(says(OK), raw))
     assert status(answer) == code and why in answer and not backend.requests
     assert agent.counters.answered["bad request"] == 1 and not agent.counters.taken
 
 
-def test_a_request_in_pieces_and_one_with_optional_headers_are_taken():
+def test_fragmented_request_and_optional_headers_are_accepted():
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
             reader, writer = await site.client()
@@ -242,11 +248,11 @@
     run(work())
 
 
-def test_a_connection_that_the_backend_closed_or_spoke_on_is_not_used_again():
-    async def work(last_words):
+def test_connection_closed_or_written_to_by_the_backend_is_not_reused():
+    async def work(after_answer):
         async def script(request, writer):
-            writer.write(OK + last_words)
-            if not last_words:
+            writer.write(OK + after_answer)
+            if not after_answer:
                 writer.close()
 
         async with Peer(script) as backend, Site(target("s-1", backend.address)) as site:
@@ -255,7 +261,7 @@
             assert backend.connections == 6 and site.agent.counters.shots == {"served": 6}
 
     run(work(b""))
-    run(work(failed(500)))
+    run(work(error_answer(500)))
 
 
 @pytest.mark.parametrize(
@@ -266,7 +272,7 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nfi",
     ],
 )
-def test_an_answer_that_stands_still_ends_long_before_the_deadline(begun):
+def test_stalled_answer_ends_long_before_the_deadline(begun):
     async def work():
         async with Peer(says(begun)) as backend, Site(target("s-1", backend.address)) as site:
             loop = asyncio.get_running_loop()
@@ -278,7 +284,7 @@
     run(work())
 
 
-def test_an_answer_of_some_hundred_kilobytes_is_passed_on_and_one_without_end_is_not():
+def test_answer_of_hundreds_of_kilobytes_is_passed_on_and_one_of_gigabytes_refused():
     body = bytes(range(256)) * 1300
     answer, _, agent = run(
         one_call(
@@ -294,12 +300,12 @@
     assert status(answer) == 502 and agent.counters.shots == {"too large": 1} and agent.pool.open == 0
 
 
-def test_spoilt_answers_leave_the_bound_alone():
+def test_malformed_answers_do_not_count_as_slow():
     answer, _, agent = run(one_call(says(b"HTTP/1.1 2x0 OK\r\n\r\n"), look(**PAY)))
     assert status(answer) == 502 and agent.balancer._slow_share == 0.0 and agent.balancer._inflight == 0
 
 
-def test_an_address_that_changes_hands_takes_no_connection_with_it():
+def test_connections_are_not_reused_when_an_address_passes_to_another_backend():
     async def work():
         release = asyncio.Event()
 
@@ -315,19 +321,21 @@
             client[1].write(look(name=b"aa"))
             while len(backend.requests) < 2:
                 await asyncio.sleep(0.001)
-            assert status(await site.ask(look())) == 200 and agent.pool.open == 2  # one idle, one out
+            assert status(await site.ask(look())) == 200 and agent.pool.open == 2  # one idle, one in use
             agent.directory._apply(full_list(target("s-2", backend.address), rev=2), "list")
             assert agent.pool.open == 1
             release.set()
             assert status(await read_http(client[0])) == 200
             await site.settled()
-            assert agent.pool.open == 0 and not agent.pool._by_place  # the late one is not kept either
+            assert (
+                agent.pool.open == 0 and not agent.pool._by_place
+            )  # the connection that was in use is closed too
             assert status(await site.ask(look())) == 200 and backend.connections == 3
 
     run(work())
 
 
-def test_a_fault_of_our_own_answers_500_and_leaves_the_books_right(monkeypatch):
+def test_internal_fault_answers_500_and_keeps_the_counts_correct(monkeypatch):
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
             agent = site.agent
@@ -336,7 +344,7 @@
                 assert status(await site.ask(look())) == 500
                 await site.settled()
             assert agent.counters.others["fault: api call"] == 1 and agent.balancer._inflight == 0
-            with monkeypatch.context() as patch:  # before the shot has begun
+            with monkeypatch.context() as patch:  # before the attempt has begun
                 patch.setattr(agent.directory, "place", lambda _: 1 / 0)
                 assert status(await site.ask(look())) == 500
                 await site.settled()
@@ -347,21 +355,23 @@
     run(work())
 
 
-def test_a_timer_that_rounds_to_early_is_told_the_time_it_was_set_for(monkeypatch):
+def test_timer_that_fires_early_by_rounding_reports_its_set_time(monkeypatch):
     async def work():
         async with Site() as site:
-            told = []
-            monkeypatch.setattr(site.agent.balancer, "on_timer", lambda now, mark: told.append((now, mark)))
+            reported = []
+            monkeypatch.setattr(
+                site.agent.balancer, "on_timer", lambda now, mark: reported.append((now, mark))
+            )
             at = site.agent.clock.now() + 1e6
             site.agent.on_timer(at, "look")
-            assert told == [(at, "look")]
+            assert reported == [(at, "look")]
 
     run(work())
 
 
-def test_the_deadline_counts_from_the_kernels_receipt_and_not_from_a_late_read():
+def test_deadline_counts_from_receipt_by_the_kernel():
     async def work():
-        async with Peer(silent) as backend, Site(target("s-1", backend.address)) as site:
+        async with Peer(no_answer) as backend, Site(target("s-1", backend.address)) as site:
             asyncio.get_running_loop().remove_reader(site.agent.listener._socket)
             reader, writer = await site.client()
             began = asyncio.get_running_loop().time()
@@ -374,10 +384,10 @@
     run(work())
 
 
-# Clients that send nonsense, too much or nothing.
+# Clients that send malformed or too large requests, or nothing.
 
 
-def test_a_copy_of_a_request_is_refused_while_it_is_open_and_just_after():
+def test_duplicate_request_is_refused_while_open_and_shortly_after():
     async def work():
         release = asyncio.Event()
 
@@ -398,12 +408,12 @@
             assert not site.agent.serving.ids._open and site.agent.counters.taken == {"pay": 1}
             site.agent.serving.ids.rotate()
             site.agent.serving.ids.rotate()
-            assert status(await site.ask(raw)) == 200  # forgotten, so nothing grows
+            assert status(await site.ask(raw)) == 200  # forgotten, so that memory does not grow
 
     run(work())
 
 
-def test_more_than_one_request_at_a_time_on_a_connection_is_refused():
+def test_pipelined_requests_are_refused():
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
             reader, writer = await site.client()
@@ -414,7 +424,7 @@
     run(work())
 
 
-def test_a_client_that_says_nothing_or_half_a_request_is_shown_out(monkeypatch):
+def test_silent_clients_and_incomplete_requests_time_out(monkeypatch):
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.01)
     monkeypatch.setattr(listener, "FIRST_BYTE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_S", 0.1)
@@ -426,15 +436,17 @@
             half[1].write(look()[:-2])
             assert await silent[0].read() == b"" and status(await half[0].read()) == 408
             late = await site.client()
-            late[1].write(look(**PAY)[:-1])  # its body is not whole
+            late[1].write(look(**PAY)[:-1])  # its body is incomplete
             assert status(await late[0].read()) == 408
-            assert status(await site.ask(look(), kept)) == 200  # stood idle, and there is room
+            assert (
+                status(await site.ask(look(), kept)) == 200
+            )  # idle connections stay while the agent is not crowded
             assert len(site.agent.listener.clients) == 1 and not site.agent.listener.request_deadlines
 
     run(work())
 
 
-def test_where_room_is_short_idle_connections_are_closed_unless_a_request_has_come(monkeypatch):
+def test_crowded_agent_closes_idle_connections_without_a_request(monkeypatch):
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.01)
     monkeypatch.setattr(listener, "MIN_IDLE_S", 0.05)
 
@@ -446,13 +458,13 @@
                 assert status(await site.ask(look(), client)) == 200
             assert await clients[0][0].read() == b""
             for client in clients[1:]:
-                assert status(await site.ask(look(), client)) == 200  # two of six are not many
+                assert status(await site.ask(look(), client)) == 200  # two of six are not crowded
             assert site.agent.counters.connections["client idle"] == 1
 
     run(work())
 
 
-def test_where_many_ask_once_and_stay_an_answer_ends_its_connection():
+def test_crowded_agent_closes_connections_after_their_answer():
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
             site.agent.listener.max_served, site.agent.listener.max_connections = 5, 8
@@ -462,12 +474,12 @@
             assert await clients[2][0].read() == b""
             assert (
                 status(await site.ask(look(), clients[0])) == 200
-            )  # the others were told that they may stay
+            )  # the others were announced as keep-alive
 
     run(work())
 
 
-def test_a_flood_of_bad_requests_waits_and_past_so_many_is_closed(monkeypatch):
+def test_flood_of_bad_requests_is_delayed_and_beyond_a_limit_closed(monkeypatch):
     monkeypatch.setattr(listener, "REFUSALS_PER_S", 1.0)
     monkeypatch.setattr(listener, "REFUSAL_DELAY_S", 0.3)
 
@@ -483,14 +495,14 @@
             for client in flood:
                 client[1].write(look(b"odd"))
             answers = sorted(await asyncio.gather(*(client[0].read() for client in flood)))
-            assert answers[0] == b"" and [status(a) for a in answers[1:]] == [400, 400]  # two are held up
+            assert answers[0] == b"" and [status(a) for a in answers[1:]] == [400, 400]  # two are delayed
             assert loop.time() - began >= 0.3 and not backend.requests
             assert status(await site.ask(look())) == 200
 
     run(work())
 
 
-def test_a_body_without_end_is_refused_at_once_and_read_no_further_than_some_way(monkeypatch):
+def test_too_large_body_is_refused_at_once_and_discarded_up_to_a_limit(monkeypatch):
     async def work():
         async with Site() as site:
             reader, writer = await site.client()
@@ -507,11 +519,11 @@
 # Descriptors.
 
 
-def test_a_full_agent_closes_what_is_idle_then_turns_away_then_stops_accepting(monkeypatch):
+def test_full_agent_evicts_idle_clients_then_rejects_then_stops_accepting(monkeypatch):
     monkeypatch.setattr(listener, "CLOSE_AFTER_ANSWER_FRACTION", 9.0)
 
     async def work():
-        async with Peer(silent) as backend, Site(target("s-1", backend.address)) as site:
+        async with Peer(no_answer) as backend, Site(target("s-1", backend.address)) as site:
             site.agent.listener.max_served, site.agent.listener.max_connections = 2, 3
             first, second = await site.client(), await site.client()
             for client in (first, second):
@@ -522,25 +534,25 @@
                 client[1].write(look(**PAY, deadline=b"1.0"))
             while len(backend.requests) < 2:
                 await asyncio.sleep(0.001)
-            fourth = await site.client()  # one more than are served
+            fourth = await site.client()  # one more than is served
             answer = await site.ask(look(**PAY), fourth)
             assert status(answer) == 503 and b"Connection: close" in answer and await fourth[0].read() == b""
             fifth = await site.client()
             fifth[1].write(b"GET /hea")
             while site.agent.listener.idle or len(site.agent.listener.clients) < 3:
                 await asyncio.sleep(0.001)
-            sixth = await site.client()  # as far as the kernel's queue
+            sixth = await site.client()  # waits in the kernel's backlog
             sixth[1].write(READY)
             while not site.agent.counters.connections["accept paused"]:
                 await asyncio.sleep(0.001)
             assert status(await read_http(second[0])) == 502 and len(backend.requests) == 2
-            assert status(await read_http(sixth[0])) == 200  # a connection that fell idle made room
+            assert status(await read_http(sixth[0])) == 200  # an idle connection was evicted
             assert site.agent.counters.answered["no room"] == 1 and not fifth[0].at_eof()
 
     run(work())
 
 
-def test_a_connection_opened_just_now_makes_no_room_while_another_stands_idle_or_silent(monkeypatch):
+def test_new_connection_is_not_evicted_while_another_is_idle(monkeypatch):
     monkeypatch.setattr(listener, "CLOSE_AFTER_ANSWER_FRACTION", 9.0)
 
     async def work():
@@ -549,7 +561,7 @@
             agent.listener.max_served = 3
             silent, idle = await site.client(), await site.client()
             assert status(await site.ask(READY, idle)) == 200
-            next(iter(agent.listener.fresh)).since -= 1000.0  # it has said nothing for a second
+            next(iter(agent.listener.fresh)).since -= 1000.0  # without a request for a second
             clients = [await site.client() for _ in range(3)]
             assert await silent[0].read() == b"" and await idle[0].read() == b""
             for client in clients:
@@ -559,38 +571,38 @@
     run(work())
 
 
-def test_a_full_pool_closes_what_is_idle_and_else_has_no_room():
+def test_full_pool_evicts_idle_connections_and_otherwise_refuses():
     async def work():
-        async with Peer(says(OK)) as one, Peer(silent) as two, Site() as site:
+        async with Peer(says(OK)) as one, Peer(no_answer) as two, Site() as site:
             agent = site.agent
             agent.pool = pool = Pool(1, 200.0, 60_000.0, agent.counters)
-            places = [place(pool, p.address, n) for n, p in enumerate((one, two))]
+            places = [enabled_place(pool, p.address, n) for n, p in enumerate((one, two))]
             soon = asyncio.get_running_loop().time() + 5
-            shots = [Shot(pool, places[n], look(), soon) for n in (0, 1, 0)]
-            await shots[0].run()
-            assert shots[0].end is ConnectionEnd.SERVED and pool.open == 1
-            held = agent.tasks.spawn("shot", shots[1].run())
+            attempts = [Shot(pool, places[n], look(), soon) for n in (0, 1, 0)]
+            await attempts[0].run()
+            assert attempts[0].end is ConnectionEnd.SERVED and pool.open == 1
+            held = agent.tasks.spawn("shot", attempts[1].run())
             while not two.requests:
                 await asyncio.sleep(0.001)
-            await shots[2].run()
+            await attempts[2].run()
             assert (
-                shots[2].end is ConnectionEnd.NO_DESCRIPTOR
+                attempts[2].end is ConnectionEnd.NO_DESCRIPTOR
                 and agent.counters.connections["backend made room"] == 1
             )
             held.cancel()
             await asyncio.wait([held])
-            assert shots[1].end is ConnectionEnd.CANCELLED and pool.open == 0
+            assert attempts[1].end is ConnectionEnd.CANCELLED and pool.open == 0
 
     run(work())
 
 
-def test_idle_connections_to_backends_are_closed_in_time():
+def test_idle_backend_connections_expire():
     async def work():
         async with Peer(says(OK)) as backend, Site() as site:
             pool = Pool(9, 200.0, 40.0, site.agent.counters)
             site.agent.tasks.spawn("idle backends", pool.sweep(lambda: None, 0.0))
             await Shot(
-                pool, place(pool, backend.address), look(), asyncio.get_running_loop().time() + 5
+                pool, enabled_place(pool, backend.address), look(), asyncio.get_running_loop().time() + 5
             ).run()
             await asyncio.wait_for(backend.gone.wait(), 1)
             assert pool.open == 0 and site.agent.counters.connections["backend idle"] == 1
@@ -598,12 +610,12 @@
     run(work())
 
 
-def test_a_shot_is_unreachable_only_if_its_last_byte_was_never_written():
+def test_attempt_is_unreachable_only_if_its_last_byte_was_not_written():
     async def work():
-        async with Peer(silent) as backend, Site() as site:
+        async with Peer(no_answer) as backend, Site() as site:
             loop, pool = asyncio.get_running_loop(), site.agent.pool
-            address = place(pool, backend.address)
-            refused = Shot(pool, place(pool, "127.0.0.1:9"), look(), loop.time() + 5)
+            address = enabled_place(pool, backend.address)
+            refused = Shot(pool, enabled_place(pool, "127.0.0.1:9"), look(), loop.time() + 5)
             await refused.run()
             late = Shot(pool, address, look(), loop.time() - 1)
             await late.run()
@@ -632,7 +644,7 @@
     run(work())
 
 
-def test_every_end_has_its_meaning():
+def test_every_connection_end_maps_to_an_attempt_end():
     assert set(ATTEMPT_ENDS) == set(ConnectionEnd)
     assert {e for e, ending in ATTEMPT_ENDS.items() if ending in NEVER_RAN} == {
         ConnectionEnd.REJECTED,
@@ -649,7 +661,7 @@
 
 
 class Registry:
-    """A scripted directory: `lines` go out on a watch as they are put."""
+    """A scripted directory: lines put into `lines` are sent on its watch."""
 
     def __init__(self) -> None:
         self.lines: asyncio.Queue[bytes | None] = asyncio.Queue()
@@ -666,22 +678,22 @@
                 writer.write(b"%x\r\n" % len(part) + part + b"\r\n" if part else b"")
         writer.close()
 
-    def tell(self, raw):
+    def send_update(self, raw):
         self.lines.put_nowait(json.dumps(raw).encode() if raw is not None else None)
 
 
-async def counted(site, key, times=1):
+async def wait_for_counter(site, key, times=1):
     while site.agent.counters.directory[key] < times:
         await asyncio.sleep(0.001)
 
 
-def test_the_list_is_held_at_start_then_followed_and_after_a_gap_taken_whole():
+def test_list_is_restored_at_start_then_followed_and_reloaded_after_a_gap():
     async def work():
         registry = Registry()
         async with Peer(registry.script) as directory, Peer(says(OK)) as old, Peer(says(OK)) as new:
             async with Site(target("s-1", old.address), directory=directory.address) as site:
                 assert status(await site.ask(look())) == 200
-                registry.tell(
+                registry.send_update(
                     full_list(
                         target("s-1", old.address, "Terminating"),
                         target("s-2", new.address, az="elsewhere"),
@@ -690,30 +702,32 @@
                     )
                 )
                 registry.lines.put_nowait(b"")
-                await counted(site, "news: changes")
+                await wait_for_counter(site, "news: changes")
                 for _ in range(3):
                     assert status(await site.ask(look())) == 200
                 assert len(old.requests) == 1 and len(new.requests) == 3
                 assert b"watch=1&after=1 " in directory.requests[0]
-                registry.tell(full_list(rev=2, whole=False))  # older than what is held: a gap
+                registry.send_update(full_list(rev=2, whole=False))  # older than the current list: a gap
                 registry.list = json.dumps(full_list(target("s-1", old.address), rev=9)).encode()
-                await counted(site, "news: full")
+                await wait_for_counter(site, "news: full")
                 for _ in range(3):
                     assert status(await site.ask(look())) == 200
-                assert len(old.requests) == 4 and len(new.requests) == 3  # s-2 is missing, so it is gone
-                await counted(site, "called", 3)
+                assert (
+                    len(old.requests) == 4 and len(new.requests) == 3
+                )  # s-2 is missing in the list, so it is removed
+                await wait_for_counter(site, "called", 3)
 
     run(work())
 
 
-def test_a_failed_directory_is_asked_again_and_the_list_kept(monkeypatch):
+def test_failed_directory_request_is_retried_and_the_list_kept(monkeypatch):
     monkeypatch.setattr(protocol, "WATCH_HEARTBEAT_MS", 30.0)
-    for script in (says(failed(503)), breaks, silent):
+    for script in (says(error_answer(503)), reset_connection, no_answer):
 
         async def work(script=script):
             async with Peer(script) as directory, Peer(says(OK)) as backend:
                 async with Site(target("s-1", backend.address), directory=directory.address) as site:
-                    await counted(site, "called", 2)
+                    await wait_for_counter(site, "called", 2)
                     assert status(await site.ask(look())) == 200
 
         run(work())
@@ -729,37 +743,37 @@
         (full_list(target("s", "127.0.0.1:1"), target("t", "127.0.0.1:1", "Odd")), "[1].state: unknown"),
     ],
 )
-def test_a_malformed_list_changes_nothing_and_is_named(line, why):
+def test_malformed_list_is_ignored_and_logged(line, why):
     async def work():
         registry = Registry()
         async with Peer(registry.script) as directory, Peer(says(OK)) as backend:
             async with Site(target("s-1", backend.address), directory=directory.address) as site:
                 registry.lines.put_nowait(line if isinstance(line, bytes) else json.dumps(line).encode())
-                await counted(site, "failed: malformed")
-                told = [json.loads(text) for text in os.read(site.sink, 65536).splitlines()]
-                assert any(e["event"] == "directory failed" and why in e["where"] for e in told)
+                await wait_for_counter(site, "failed: malformed")
+                reported = [json.loads(text) for text in os.read(site.sink, 65536).splitlines()]
+                assert any(e["event"] == "directory failed" and why in e["where"] for e in reported)
                 assert status(await site.ask(look())) == 200
 
     run(work())
 
 
-def test_one_index_for_a_uid_and_a_new_address_for_it_is_used_at_once():
+def test_uid_keeps_its_index_and_uses_a_new_address_at_once():
     async def work():
         registry = Registry()
         async with Peer(registry.script) as directory, Peer(says(OK)) as old, Peer(says(OK)) as new:
             async with Site(target("s-1", old.address), directory=directory.address) as site:
                 await site.ask(look())
-                registry.tell(full_list(target("s-1", new.address), rev=4))
-                await counted(site, "news: full")
+                registry.send_update(full_list(target("s-1", new.address), rev=4))
+                await wait_for_counter(site, "news: full")
                 await site.ask(look())
                 assert len(new.requests) == 1 and list(site.agent.balancer._backends) == [0]
-                assert site.agent.directory._by_index == {0: place(site.agent.pool, new.address)}
-                assert site.agent.pool.open == 1  # the idle one to the old address is closed
+                assert site.agent.directory._by_index == {0: enabled_place(site.agent.pool, new.address)}
+                assert site.agent.pool.open == 1  # the idle connection to the old address is closed
 
     run(work())
 
 
-def test_backends_that_are_gone_are_forgotten_in_time():
+def test_removed_backends_are_forgotten_after_retention():
     async def work():
         async with Site(target("s-1", "127.0.0.1:9")) as site:
             directory = site.agent.directory
@@ -773,19 +787,19 @@
 # Ready, start and stop.
 
 
-def test_ready_only_with_a_list():
+def test_agent_is_ready_only_with_a_backend_list():
     async def work():
         registry = Registry()
         async with Peer(registry.script) as directory, Site(directory=directory.address) as site:
             assert status(await site.ask(READY)) == 503
-            registry.tell(full_list(target("s-1", "127.0.0.1:9"), rev=2))
-            await counted(site, "news: full")
+            registry.send_update(full_list(target("s-1", "127.0.0.1:9"), rev=2))
+            await wait_for_counter(site, "news: full")
             assert status(await site.ask(READY)) == 200
 
     run(work())
 
 
-def test_a_stopping_agent_takes_what_comes_answers_all_and_ends():
+def test_stopping_agent_accepts_for_a_time_answers_all_calls_and_ends():
     async def work():
         release = asyncio.Event()
 
@@ -820,8 +834,8 @@
     run(work())
 
 
-def test_a_stop_under_traffic_loses_nothing():
-    """Clients as the protocol has them: kept connections, and once more on a new one if one closes."""
+def test_stop_under_traffic_loses_no_call():
+    """Clients reuse their connections and retry on a new one if an idle one closes, as the protocol allows."""
 
     async def work():
         loop, codes = asyncio.get_running_loop(), []
@@ -853,7 +867,7 @@
     run(work())
 
 
-async def process(tmp_path, config):
+async def start_process(tmp_path, config):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     return await asyncio.create_subprocess_exec(
@@ -866,39 +880,39 @@
     )
 
 
-async def event(agent, name):
+async def wait_for_event(agent, name):
     while (line := json.loads(await agent.stdout.readline()))["event"] != name:
         pass
     return line
 
 
-def test_the_process_starts_tells_its_counters_and_exits_0_on_a_signal(tmp_path):
+def test_process_starts_logs_counters_and_exits_0_on_a_signal(tmp_path):
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
-            agent = await process(tmp_path, site.raw)
-            started = await event(agent, "started")
+            agent = await start_process(tmp_path, site.raw)
+            started = await wait_for_event(agent, "started")
             assert started["agent"] == "n" and started["loop"] == "uvloop"
             reader, writer = await asyncio.open_connection(*started["listen"])
             writer.write(look())
             assert status(await read_http(reader)) == 200
             agent.send_signal(signal.SIGUSR1)
-            counters = await event(agent, "counters")
+            counters = await wait_for_event(agent, "counters")
             assert counters["taken"] == {"look": 1}
             assert counters["shots"] == {"served": 1} and counters["answered"] == {"fulfilled": 1}
             assert counters["descriptors"] > 5 and counters["peak_memory_mb"] < 50
             agent.terminate()
-            await event(agent, "stopping")
-            assert (await event(agent, "stopped"))["answered"] == {"fulfilled": 1}
+            await wait_for_event(agent, "stopping")
+            assert (await wait_for_event(agent, "stopped"))["answered"] == {"fulfilled": 1}
             assert await agent.communicate() == (b"", b"") and agent.returncode == 0
 
     run(work())
 
 
-def test_a_new_configuration_moves_the_agent_to_another_directory(tmp_path):
-    """Under traffic: a bad file is refused, versions start anew, a failure is tried again, the old one goes."""
+def test_reload_moves_the_agent_to_another_directory(tmp_path):
+    """A bad file is refused, the new directory's versions are independent, failures are retried, the old watch ends."""
 
     async def work():
-        first, second, fails = Registry(), Registry(), [failed(503), b"HTTP/1.1 200 OK\r\n\r\n"]
+        first, second, fails = Registry(), Registry(), [error_answer(503), b"HTTP/1.1 200 OK\r\n\r\n"]
 
         async def script(request, writer):
             if fails:
@@ -925,20 +939,20 @@
             second.list = json.dumps(full_list(target("s-2", two.address), rev=3)).encode()
             os.environ["PROXY_DISCOVERY"] = (
                 old.address
-            )  # of the start; the file that is read again goes first
+            )  # the reloaded file takes precedence over the variable of the start
             try:
-                agent = await process(tmp_path, raw)
+                agent = await start_process(tmp_path, raw)
             finally:
                 del os.environ["PROXY_DISCOVERY"]
-            started = await event(agent, "started")
+            started = await wait_for_event(agent, "started")
             (tmp_path / "config.json").write_text(json.dumps(raw | {"discovery": "nowhere"}))
             agent.send_signal(signal.SIGHUP)
-            assert "discovery: 'nowhere'" in (await event(agent, "reload refused"))["why"]
+            assert "discovery: 'nowhere'" in (await wait_for_event(agent, "reload refused"))["why"]
             (tmp_path / "config.json").write_text(json.dumps(raw | {"discovery": new.address, "name": "m"}))
             agent.send_signal(signal.SIGHUP)
-            assert (await event(agent, "reloaded"))["needs_a_restart"] == ["name"]
-            first.tell(None)  # the old directory ends its watch
-            await event(agent, "directory moved")
+            assert (await wait_for_event(agent, "reloaded"))["needs_a_restart"] == ["name"]
+            first.send_update(None)  # the old directory closes its watch
+            await wait_for_event(agent, "directory moved")
             reader, writer = await asyncio.open_connection(*started["listen"])
             for _ in range(3):
                 writer.write(look())
@@ -953,33 +967,33 @@
     run(work())
 
 
-def test_the_process_names_a_faulty_key_and_exits(tmp_path):
+def test_process_names_a_faulty_key_and_exits(tmp_path):
     async def work():
-        agent = await process(tmp_path, {"name": "n", "listen": "here", "seed": "1"})
+        agent = await start_process(tmp_path, {"name": "n", "listen": "here", "seed": "1"})
         _, err = await agent.communicate()
         assert (agent.returncode, err) == (2, b"lupinreach: listen: 'here' is no address (host:port)\n")
 
     run(work())
 
 
-# Probes, datagrams, reports, log.
+# Probes, datagrams, load reports, log.
 
 
-def test_a_probe_asks_for_the_report_and_tells_the_module(monkeypatch):
+def test_probe_fetches_the_load_report_for_the_module(monkeypatch):
     async def work(body, ending, load):
         async with Peer(says(body)) as backend, Site(target("s-1", backend.address)) as site:
-            told = asyncio.get_running_loop().create_future()
-            monkeypatch.setattr(site.agent.balancer, "on_probe", lambda *news: told.set_result(news))
+            reported = asyncio.get_running_loop().create_future()
+            monkeypatch.setattr(site.agent.balancer, "on_probe", lambda *news: reported.set_result(news))
             site.agent.balancer._port.probe(0)
-            _, index, got, _, report = await told
+            _, index, got, _, report = await reported
             assert (index, got) == (0, ending) and (report.in_flight if report else None) == load
             assert backend.requests[0].startswith(b"GET /stats HTTP/1.1\r\n")
 
     run(work(b"HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\ninflight=7,queue=2", AttemptEnd.FULFILLED, 7.0))
-    run(work(failed(503), AttemptEnd.ERRORED, None))
+    run(work(error_answer(503), AttemptEnd.ERRORED, None))
 
 
-def test_datagrams_go_to_all_and_come_from_peers_only(monkeypatch):
+def test_datagrams_are_broadcast_and_accepted_from_peers_only(monkeypatch):
     async def work():
         loop = asyncio.get_running_loop()
         heard: asyncio.Queue[tuple] = asyncio.Queue()
@@ -1013,7 +1027,7 @@
     run(work())
 
 
-def test_reports_that_cannot_be_believed_are_counted_and_heeded_by_nobody():
+def test_implausible_load_reports_are_counted_and_ignored():
     async def work():
         heads = iter([b"inflight=-3", b"inflight=many", b"queue=1e300", b"inflight=2", b""])
 
@@ -1033,10 +1047,10 @@
     run(work())
 
 
-def test_load_reports():
+def test_load_reports_are_parsed():
     load = read_load(b"inflight=7, queue=2,util=0.61,novel=3")
     assert (load.in_flight, load.waiting, load.busy, load.latency) == (7.0, 2.0, 0.61, None)
-    for name, ours in LOAD_FIELDS.items():  # as the settings name them
+    for name, ours in LOAD_FIELDS.items():  # by the names of the settings
         assert read_load(f"{name}=1.944".encode()) == Load(**{ours: 1.944})
     for text in (
         None,
@@ -1051,7 +1065,7 @@
         assert read_load(text) is None
 
 
-def test_a_log_that_nobody_reads_holds_up_nothing():
+def test_unread_log_drops_lines_and_does_not_block():
     async def work():
         async with Site() as site:
             log = site.agent.log
@@ -1066,7 +1080,7 @@
     run(work())
 
 
-def test_the_counters_that_an_agent_writes_are_read_by_the_reader_of_logs(monkeypatch):
+def test_log_reader_reads_the_counters_of_an_agent(monkeypatch):
     monkeypatch.setattr("lupinreach.net.agent.COUNTERS_INTERVAL_S", 0.01)
 
     async def work():
@@ -1076,24 +1090,27 @@
                 text += await asyncio.to_thread(os.read, site.sink, 1 << 16)
             fleet = logs.read([text.splitlines()])
             counts = fleet.runs[0].counts
-            assert [life.agent for life in fleet.runs] == ["n"] and fleet.invalid_lines == 0
+            assert [one.agent for one in fleet.runs] == ["n"] and fleet.invalid_lines == 0
             assert counts["module"]["bound full"] == 0 and counts["cpu_s"] > 0 and "list_age_ms" in counts
 
     run(work())
 
 
-def test_where_changes_come_unasked_the_agent_follows_by_itself(monkeypatch):
+def test_pushed_discovery_is_followed_without_a_request_of_the_module(monkeypatch):
     monkeypatch.setattr(protocol, "WATCH_HEARTBEAT_MS", 30.0)
     pushed = copy.deepcopy(AGENT_SETTINGS) | {"discovery": "pushed"}
 
     async def work():
-        async with Peer(breaks) as directory, Site(directory=directory.address, settings=pushed) as site:
-            await counted(site, "called", 3)
+        async with (
+            Peer(reset_connection) as directory,
+            Site(directory=directory.address, settings=pushed) as site,
+        ):
+            await wait_for_counter(site, "called", 3)
 
     run(work())
 
 
-def test_a_listener_out_of_descriptors_waits(monkeypatch):
+def test_listener_out_of_descriptors_retries(monkeypatch):
     async def work():
         async with Site() as site:
             monkeypatch.setattr(listener, "ACCEPT_RETRY_S", 0.02)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: what is read, its defaults, and messages that name the faulty key."""
+"""Configuration: keys, defaults, and error messages that name the faulty key."""
 
 import json
 
@@ -23,7 +23,7 @@
     return read_agent({"PROXY_CONFIG": str(path)} | variables)
 
 
-def test_all_keys_are_read_and_variables_go_first(tmp_path):
+def test_all_keys_are_read_and_variables_take_precedence(tmp_path):
     more = {
         "limits": {"sockets": 77, "memory_mb": 64},
         "peer_listen": "10.0.0.4:1",
@@ -74,13 +74,13 @@
         (RAW | {"settings": AGENT_SETTINGS | {"fleet_size": 0}}, "settings.fleet_size: 0 is out of range"),
     ],
 )
-def test_a_faulty_key_is_named(tmp_path, raw, message):
+def test_faulty_key_is_named(tmp_path, raw, message):
     with pytest.raises(BadConfig) as bad:
         read(tmp_path, raw)
     assert str(bad.value).startswith(message)
 
 
-def test_a_missing_file_is_named(tmp_path):
+def test_missing_file_is_named(tmp_path):
     with pytest.raises(BadConfig, match="PROXY_CONFIG: missing"):
         read_agent({})
     with pytest.raises(BadConfig, match="PROXY_CONFIG: .*none.json: No such file"):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP parser, fed whole, split and malformed messages; generated messages against a plain reader."""
+"""The HTTP parser with complete, fragmented, malformed and generated messages."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 class Feed:
-    """Stands in for a channel: hands out its bytes in the given pieces, then ends."""
+    """Stands in for a channel: delivers the given pieces, then ends."""
 
     def __init__(self, *pieces: bytes) -> None:
         self.pieces = list(pieces)
@@ -27,7 +27,9 @@
     async def fill(self, begun=False):
         if not self.pieces:
             raise ConnectionEnded(ConnectionEnd.CLOSED_EARLY)
-        self.buffer = self.buffer + self.pieces.pop(0)  # a new one: the slices of the old stay good
+        self.buffer = self.buffer + self.pieces.pop(
+            0
+        )  # a new buffer, so that slices of the old one stay valid
 
 
 async def request(feed):
@@ -39,7 +41,7 @@
     return run(http.read_answer(Feed(*pieces), most))
 
 
-def ends(work) -> ConnectionEnd:
+def end_of(work) -> ConnectionEnd:
     with pytest.raises(ConnectionEnded) as ended:
         run(work)
     return ended.value.end
@@ -50,7 +52,7 @@
     return [raw[a:b] for a, b in zip([0, *cuts], [*cuts, len(raw)], strict=True)]
 
 
-def test_generated_requests_come_out_the_same_however_they_are_split():
+def test_generated_requests_are_parsed_in_any_fragmentation():
     rng = random.Random(5)
     for _ in range(300):
         body = rng.randbytes(rng.randrange(60))
@@ -74,10 +76,10 @@
         assert (got.method, got.target, bytes(got.body)) == (b"POST", b"/a?b", body)
         assert {k: bytes(got.headers[k]) for k in headers} == headers and got.keeps
         left = bytes(feed.buffer[feed.start :]) + b"".join(feed.pieces)
-        assert left == b"GET"  # what follows is not touched
+        assert left == b"GET"  # the bytes after the message are not consumed
 
 
-def test_a_body_is_a_slice_of_the_buffer_it_was_read_into():
+def test_body_is_a_slice_of_its_read_buffer():
     feed = Feed(b"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc")
     body = run(request(feed)).body
     assert isinstance(body, memoryview) and body.obj is feed.buffer
@@ -113,7 +115,7 @@
     ],
 )
 def test_malformed_requests_are_refused(first, line):
-    assert ends(request(Feed(first + b"\r\n" + line + b"\r\n\r\n"))) is ConnectionEnd.MALFORMED
+    assert end_of(request(Feed(first + b"\r\n" + line + b"\r\n\r\n"))) is ConnectionEnd.MALFORMED
 
 
 @pytest.mark.parametrize(
@@ -129,10 +131,10 @@
 )
 def test_malformed_chunks_are_refused(chunks):
     raw = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
-    assert ends(request(Feed(raw))) is ConnectionEnd.MALFORMED
+    assert end_of(request(Feed(raw))) is ConnectionEnd.MALFORMED
 
 
-def test_header_values_come_without_the_blanks_around_them_and_lines_as_they_came():
+def test_header_values_are_stripped_and_lines_are_unchanged():
     read = run(request(Feed(b"GET / HTTP/1.1\r\nA: \t b c \t\r\nB:\r\na:d\r\n\r\n")))
     assert read.headers == {b"a": b"d", b"b": b""} and all(type(v) is bytes for v in read.headers.values())
     assert [(n, bytes(line)) for n, line in read.lines] == [
@@ -142,17 +144,19 @@
     ]
 
 
-def test_sizes_are_bounded():
+def test_sizes_are_limited():
     post = b"POST / HTTP/1.1\r\n"
-    assert ends(request(Feed(post + b"A: " + b"x" * http.MOST_HEAD))) is ConnectionEnd.TOO_LARGE
-    assert ends(request(Feed(post + b"Content-Length: 101\r\n\r\n"))) is ConnectionEnd.TOO_LARGE
+    assert end_of(request(Feed(post + b"A: " + b"x" * http.MOST_HEAD))) is ConnectionEnd.TOO_LARGE
+    assert end_of(request(Feed(post + b"Content-Length: 101\r\n\r\n"))) is ConnectionEnd.TOO_LARGE
     endless = post + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"A: trailer\r\n" * http.MOST_HEAD
-    assert ends(request(Feed(endless))) is ConnectionEnd.TOO_LARGE
+    assert end_of(request(Feed(endless))) is ConnectionEnd.TOO_LARGE
     many = b"".join(b"1\r\nx\r\n" for _ in range(101))
-    assert ends(request(Feed(post + b"Transfer-Encoding: chunked\r\n\r\n" + many))) is ConnectionEnd.TOO_LARGE
+    assert (
+        end_of(request(Feed(post + b"Transfer-Encoding: chunked\r\n\r\n" + many))) is ConnectionEnd.TOO_LARGE
+    )
 
 
-def test_random_bytes_end_in_a_message_or_in_a_named_end():
+def test_corrupted_answers_are_parsed_or_refused_with_a_reason():
     rng = random.Random(9)
     whole = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: b\r\n\r\n4\r\nfine\r\n0\r\n\r\n"
     for _ in range(2000):
@@ -165,17 +169,17 @@
             assert ended.end in (ConnectionEnd.MALFORMED, ConnectionEnd.TOO_LARGE, ConnectionEnd.CLOSED_EARLY)
 
 
-def test_answers():
+def test_answers_are_parsed():
     interim = b"HTTP/1.1 100 Continue\r\n\r\n"
     assert answer(interim + b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").body == b"ok"
     assert answer(b"HTTP/1.1 204\r\n\r\n").body == b""
     assert not answer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: Close\r\n\r\n").keeps
     assert not answer(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").keeps
     for cut in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b"HTTP/1.1 200 OK\r\n\r\nno end told"):
-        assert ends(http.read_answer(Feed(cut), 100)) is ConnectionEnd.CLOSED_EARLY
+        assert end_of(http.read_answer(Feed(cut), 100)) is ConnectionEnd.CLOSED_EARLY
 
 
-def test_what_belongs_to_one_connection_is_not_passed_on():
+def test_hop_by_hop_headers_are_not_passed_on():
     got = answer(
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: 5\r\nA: 1\r\nB: 2\r\nC: 3\r\n"
         b"Connection: keep-alive, c\r\n\r\n"
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -1,4 +1,4 @@
-"""Long messages and the forms of HTTP/1.1, on loopback with scripted peers."""
+"""Long messages and all framings of HTTP/1.1, on loopback with scripted peers."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
     return int(answer.split()[1])
 
 
-def noise(size: int, seed: int = 7) -> bytes:
+def random_bytes(size: int, seed: int = 7) -> bytes:
     return random.Random(seed).randbytes(size)
 
 
@@ -31,7 +31,7 @@
 
 
 async def read_any(reader) -> tuple[bytes, bytes, bool]:
-    """Head, body and if it came whole, of any framing."""
+    """Read a message of any framing; returns its head, body and whether it is complete."""
     head = await reader.readuntil(b"\r\n\r\n")
     low, body = head.lower(), bytearray()
     try:
@@ -52,7 +52,7 @@
         return head, bytes(body) + getattr(broken, "partial", b""), False
 
 
-async def asked(site, raw):
+async def ask_once(site, raw):
     reader, writer = await site.client()
     writer.write(raw)
     try:
@@ -66,8 +66,8 @@
 
 @pytest.mark.parametrize("size", [0, 1, 16_384, 16_385, 65_536, 65_537, 3_000_000])
 @pytest.mark.parametrize("form", ["length", "chunked", "extensions", "closes", "closes, HTTP/1.0"])
-def test_an_answer_of_any_size_and_form_comes_through_unchanged(size, form):
-    body = noise(size)
+def test_answers_of_any_size_and_framing_are_passed_on_unchanged(size, form):
+    body = random_bytes(size)
     answer = {
         "length": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + body,
         "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body, 1000),
@@ -87,7 +87,7 @@
         async with Peer(script) as backend, Site(target("s-1", backend.address)) as site:
             for old in (False, True):
                 raw = look(**PAY, body=b"x")
-                head, got, whole = await asked(site, raw.replace(b"HTTP/1.1", b"HTTP/1.0") if old else raw)
+                head, got, whole = await ask_once(site, raw.replace(b"HTTP/1.1", b"HTTP/1.0") if old else raw)
                 assert status(head) == 200 and got == body and whole
                 assert not (old and b"chunked" in head.lower())
             await site.settled()
@@ -95,37 +95,40 @@
             assert counters.outcomes[Outcome.FULFILLED]["pay"] == 2 and counters.shots == {"served": 2}
             assert backend.connections == (
                 2 if "closes" in form else 1
-            )  # a connection read to its end is kept
+            )  # a connection whose answer was read completely is reused
 
     run(work())
 
 
 @pytest.mark.parametrize("busy", ["before it is passed on", "after it"])
-def test_a_long_answer_that_begins_as_its_time_is_up_leaves_no_client_without_an_answer(monkeypatch, busy):
-    """The event loop stands still past the shot's time between its first bytes and their way to the client."""
+def test_long_answer_that_begins_at_its_deadline_still_answers_the_client(monkeypatch, busy):
+    """The event loop blocks past the attempt's deadline between the first bytes and their way to the client.
 
-    def stand_still():
+    Guards against a timer that ends the attempt in between and leaves the client without an answer.
+    """
+
+    def block_event_loop():
         time.sleep(0.25)
 
     class Began(call.AnswerBegan):
         def __init__(self, number):
             super().__init__(number)
-            stand_still()
+            block_event_loop()
 
     def begin(client, *what):
-        stand_still()
+        block_event_loop()
         return began(client, *what)
 
     async def script(request, writer):
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n")
-        writer.write(noise(100_000))
+        writer.write(random_bytes(100_000))
         await writer.drain()
         await asyncio.sleep(0.4)
-        writer.write(noise(100_000))
+        writer.write(random_bytes(100_000))
 
     async def work():
         async with Peer(script) as backend, Site(target("s-1", backend.address)) as site:
-            head, got, whole = await asked(site, look(**PAY, body=b"x", deadline=b"0.2"))
+            head, got, whole = await ask_once(site, look(**PAY, body=b"x", deadline=b"0.2"))
             assert whole and (status(head) == 502 or len(got) == 200_000)
             await site.settled()
 
@@ -139,7 +142,7 @@
 
 @pytest.mark.parametrize("form", ["length", "chunked", "closes"])
 @pytest.mark.parametrize("sent", [100_000, 2_000_000])
-def test_an_answer_that_breaks_under_way_shows_as_not_whole_and_nothing_follows(form, sent):
+def test_interrupted_streamed_answer_is_recognizably_incomplete_and_not_retried(form, sent):
     head = {
         "length": b"Content-Length: 4000000\r\n",
         "chunked": b"Transfer-Encoding: chunked\r\n",
@@ -148,28 +151,28 @@
 
     async def script(request, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n")
-        writer.write(chunked(noise(sent), 1000)[:-5] if form == "chunked" else noise(sent))
+        writer.write(chunked(random_bytes(sent), 1000)[:-5] if form == "chunked" else random_bytes(sent))
         await writer.drain()
         await asyncio.sleep(0.05)
         sock = writer.get_extra_info("socket")
-        sock.setsockopt(
-            socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
-        )  # a process that dies resets its connections
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)  # as a process that dies does
         writer.transport.abort()
 
     async def work():
         async with Peer(script) as backend, Site(target("s-1", backend.address)) as site:
-            head, got, whole = await asked(site, look())
-            assert status(head) == 200 and not whole and noise(sent).startswith(got)
+            head, got, whole = await ask_once(site, look())
+            assert status(head) == 200 and not whole and random_bytes(sent).startswith(got)
             await site.settled()
-            assert len(backend.requests) == 1  # idempotent, and yet no other shot may follow
+            assert (
+                len(backend.requests) == 1
+            )  # idempotent, but no further attempt may follow a streamed answer
             assert site.agent.counters.outcomes[Outcome.ERRORED]["look"] == 1
             assert site.agent.counters.open == 0
 
     run(work())
 
 
-def test_a_spoilt_small_answer_is_still_sent_again_and_a_too_long_one_is_errored():
+def test_truncated_small_answer_and_too_long_answer_are_errored():
     async def work():
         for answer in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nnoise",
@@ -181,7 +184,7 @@
     run(work())
 
 
-def test_a_client_that_stops_reading_holds_its_backend_back_and_little_memory():
+def test_client_that_stops_reading_throttles_its_backend_and_uses_little_memory():
     written = 0
 
     async def script(request, writer):
@@ -199,10 +202,10 @@
             writer.write(look())
             await reader.readuntil(b"\r\n\r\n")
             before = -1
-            while before != written:  # until nothing moves
+            while before != written:  # until the transfer stalls
                 before = written
                 await asyncio.sleep(0.1)
-            assert written < 24 << 20  # the rest waits in the two kernels' buffers or was never made
+            assert written < 24 << 20  # the rest is in the buffers of both kernels or was not produced
             (client,) = site.agent.listener.clients
             held = len(client.channel.buffer) + len(client.channel.stream._write_buffer)
             assert held <= 4 * exchange.STREAM_BUFFER_BYTES
@@ -213,13 +216,13 @@
     run(work())
 
 
-def test_the_first_bytes_are_the_latency_of_a_long_answer_and_its_transfer_ejects_nobody(monkeypatch):
+def test_latency_of_a_long_answer_is_that_of_its_first_bytes(monkeypatch):
     async def script(request, writer):
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n")
         for _ in range(8):
             writer.write(bytes(50_000))
             await writer.drain()
-            await asyncio.sleep(0.07)  # in all longer than the SLO of 400 ms
+            await asyncio.sleep(0.07)  # in total longer than the SLO of 400 ms
 
     async def work():
         async with Peer(script) as backend, Site(target("s-1", backend.address)) as site:
@@ -230,7 +233,7 @@
             (b,) = balancer._backends.values()
             assert (
                 b.inflight == 0 and b.latency_ms[0] is not None and b.latency_ms[0] < 200
-            )  # booked, and still under way
+            )  # recorded, and still in transfer
             assert site.agent.counters.open == 1
             assert len(await reader.readexactly(400_000)) == 400_000
             await site.settled()
@@ -246,8 +249,8 @@
 
 @pytest.mark.parametrize("size", [65_536, 65_537, 700_000])
 @pytest.mark.parametrize("form", ["length", "chunked", "pieces", "expect"])
-def test_a_long_request_goes_on_unchanged_and_can_be_sent_again(size, form):
-    body, seen = noise(size), []
+def test_long_request_is_passed_on_unchanged_and_can_be_retried(size, form):
+    body, seen = random_bytes(size), []
 
     async def script(request, writer):
         seen.append(request.partition(b"\r\n\r\n")[2])
@@ -273,7 +276,7 @@
                     writer.write(raw[i : i + step])
                     await asyncio.sleep(0)
             head, _, whole = await asyncio.wait_for(read_any(reader), 5)
-            assert status(head) == 200 and whole and seen == [body, body]  # never ran, so again
+            assert status(head) == 200 and whole and seen == [body, body]  # it never ran, so it is retried
             await site.settled()
             assert site.agent.serving.body_memory.held == 0
             writer.close()
@@ -281,7 +284,7 @@
     run(work())
 
 
-def test_a_head_split_at_any_byte_and_a_body_at_any_byte_are_as_good_as_whole():
+def test_request_split_at_any_byte_is_read():
     raw = look(**PAY, more=b"Transfer-Encoding: chunked\r\n", name=b"XX") + chunked(b"some body", 4, b";q")
 
     async def work():
@@ -302,7 +305,7 @@
     run(work())
 
 
-def test_the_time_of_a_request_counts_from_its_last_byte():
+def test_deadline_of_a_request_counts_from_its_last_byte():
     async def work():
         async with Peer(says(OK)) as backend, Site(target("s-1", backend.address)) as site:
             reader, writer = await site.client()
@@ -319,13 +322,13 @@
     run(work())
 
 
-SMALL = {"limits": {"memory_mb": 32, "sockets": 256}}  # keeps 1 MB of a request, and 8 MB in all
+SMALL_LIMITS = {"limits": {"memory_mb": 32, "sockets": 256}}  # 1 MB for one body, 8 MB in total
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
 @pytest.mark.parametrize("size", [1_200_000, 6_000_000])
-def test_a_request_too_long_to_be_kept_goes_ahead_and_is_one_shot(size, form):
-    body, seen = noise(size), []
+def test_request_over_the_memory_limit_is_forwarded_while_read_in_one_attempt(size, form):
+    body, seen = random_bytes(size), []
 
     async def script(reader, writer):
         head, got, whole = await read_any(reader)
@@ -335,10 +338,10 @@
     async def work():
         server = await asyncio.start_server(script, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        async with server, Site(target("s-1", f"{host}:{port}"), **SMALL) as site:
+        async with server, Site(target("s-1", f"{host}:{port}"), **SMALL_LIMITS) as site:
             more = b"Content-Length: %d\r\n" % size if form == "length" else b"Transfer-Encoding: chunked\r\n"
             raw = look(**PAY, more=more) + (body if form == "length" else chunked(body, 4000))
-            head, _, whole = await asked(site, raw)
+            head, _, whole = await ask_once(site, raw)
             assert status(head) == 200 and whole
             await site.settled()
             ((head, got, whole),) = seen
@@ -354,7 +357,7 @@
 
 
 @pytest.mark.parametrize("how, code", [("breaks", 503), ("declines", 429), ("fails", 502)])
-def test_what_went_ahead_and_never_ran_is_a_refusal_and_what_may_have_run_is_not_sent_again(how, code):
+def test_forwarded_request_that_never_ran_is_rejected_and_one_that_may_have_run_errored(how, code):
     bodies, broken = 0, asyncio.Event()
 
     async def script(reader, writer):
@@ -378,10 +381,10 @@
         host, port = server.sockets[0].getsockname()
         async with (
             server,
-            Site(target("s-1", f"{host}:{port}"), target("s-2", f"{host}:{port}"), **SMALL) as site,
+            Site(target("s-1", f"{host}:{port}"), target("s-2", f"{host}:{port}"), **SMALL_LIMITS) as site,
         ):
             reader, writer = await site.client()
-            raw = look(**PAY, body=noise(3_000_000))
+            raw = look(**PAY, body=random_bytes(3_000_000))
             writer.write(raw[:-100_000])
             if how == "breaks":
                 await asyncio.wait_for(broken.wait(), 5)
@@ -397,7 +400,7 @@
     run(work())
 
 
-def test_a_client_that_leaves_while_its_request_goes_ahead_leaves_nothing_behind():
+def test_disconnect_during_forwarding_releases_all_resources():
     ended = asyncio.Event()
 
     async def script(reader, writer):
@@ -409,9 +412,9 @@
     async def work():
         server = await asyncio.start_server(script, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        async with server, Site(target("s-1", f"{host}:{port}"), **SMALL) as site:
+        async with server, Site(target("s-1", f"{host}:{port}"), **SMALL_LIMITS) as site:
             _, writer = await site.client()
-            writer.write(look(**PAY, body=noise(3_000_000))[:2_000_000])
+            writer.write(look(**PAY, body=random_bytes(3_000_000))[:2_000_000])
             await writer.drain()
             while not site.agent.counters.others["requests sent ahead"]:
                 await asyncio.sleep(0)
@@ -425,11 +428,11 @@
     run(work())
 
 
-# Framing beside a plain model.
+# Framing, compared with the generated input.
 
 
 class Feed:
-    """A channel that brings given pieces."""
+    """Stands in for a channel: delivers the given pieces, then ends."""
 
     def __init__(self, pieces) -> None:
         self.pieces = list(pieces)
@@ -459,7 +462,7 @@
     return http.Head(**given | more)
 
 
-def test_any_body_in_any_chunks_and_any_pieces_reads_as_the_plain_model_says():
+def test_generated_chunked_bodies_are_read_in_any_fragmentation():
     chance = random.Random(11)
     for _ in range(400):
         body = chance.randbytes(chance.choice((0, 1, 5, 300, 5000)))
@@ -493,7 +496,7 @@
             run(http.read_body(Feed([bytes(text[:cut])]), head_of(chunked=True), 10_000))
 
 
-def test_framing_without_end_is_refused_and_small_chunks_of_a_large_body_are_not():
+def test_endless_framing_is_refused_and_many_small_chunks_are_accepted():
     many = chunked(bytes(100_000), 1)
     assert len(run(http.read_body(Feed([many]), head_of(chunked=True), 1 << 20))) == 100_000
     endless = b"1" + b";x=" + b"y" * 100 + b"\r\nx\r\n"
@@ -505,7 +508,7 @@
     assert refused.value.end is ConnectionEnd.TOO_LARGE
 
 
-def test_a_late_event_loop_passes_for_no_backends_slowness():
+def test_late_event_loop_does_not_count_as_backend_latency():
     listening = socket.create_server(("127.0.0.1", 0))
     asked_for, go = threading.Event(), threading.Event()
 
@@ -524,7 +527,7 @@
             while not asked_for.is_set():
                 await asyncio.sleep(0)
             go.set()
-            time.sleep(0.3)  # the answer is there, and the event loop is not
+            time.sleep(0.3)  # the answer arrives while the event loop is blocked
             assert status(await answer) == 200
             (b,) = site.agent.balancer._backends.values()
             assert b.latency_ms[0] < 200
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The reader of agents' logs: restarts, killed agents, bursts, lines that are none."""
+"""The reader of agents' logs: restarts, killed agents, bursts, malformed lines."""
 
 import json
 import subprocess
@@ -27,7 +27,7 @@
     )
 
 
-def test_counters_are_summed_over_lives_by_the_last_line_of_each():
+def test_counters_are_summed_over_runs_by_the_last_line_of_each():
     fleet = logs.read(
         [
             [
@@ -40,25 +40,25 @@
             [line(1, "b", "started"), counters(25, "b", 10)],
         ]
     )
-    assert [(life.agent, life.stopped) for life in fleet.runs] == [("a", False), ("b", False), ("a", True)]
+    assert [(one.agent, one.stopped) for one in fleet.runs] == [("a", False), ("b", False), ("a", True)]
     found = logs.summary(fleet)
     assert found["taken"] == {"pay": 360} and found["answered"]["rate-limited"] == 3
     assert found["agents"] == 2 and found["starts"] == 3 and found["without_counters"] == 0
     assert found["cpu_ms_an_api_call"] == 1.0
 
 
-def test_files_in_any_order_give_the_same():
+def test_order_of_files_does_not_matter():
     one = [line(0, "a", "started"), counters(10, "a", 5)]
     two = [line(20, "a", "started"), counters(30, "a", 7)]
     assert logs.summary(logs.read([one, two])) == logs.summary(logs.read([two, one]))
 
 
-def test_an_agent_killed_before_its_first_counters_is_told():
+def test_agent_killed_before_its_first_counters_is_reported():
     found = logs.summary(logs.read([[line(0, "a", "started"), line(5, "a", "started"), counters(9, "a", 4)]]))
     assert found["without_counters"] == 1 and found["taken"] == {"pay": 4}
 
 
-def test_an_agent_that_never_heard_from_the_directory_is_told():
+def test_agent_that_never_heard_from_the_directory_is_reported():
     text = json.loads(counters(9, "a", 4)) | {"list_age_ms": None}
     found = logs.summary(
         logs.read([[line(0, "a", "started"), json.dumps(text).encode()], [counters(9, "b", 4)]])
@@ -69,13 +69,13 @@
     }
 
 
-def test_the_most_within_a_tenth_of_a_second_over_all_agents():
+def test_largest_burst_within_100_ms_over_all_agents():
     times = [0, 50, 90, 100, 101, 500, 900]
     fleet = logs.read([[line(at, f"a{n}", "directory failed", why="fault")] for n, at in enumerate(times)])
     assert logs.most_at_once(fleet) == {"directory failed: fault": (4, 0)}
 
 
-def test_turns_in_the_pools_and_failures_are_told_apart():
+def test_ejections_restorations_and_failures_are_counted_separately():
     fleet = logs.read(
         [
             [
@@ -94,7 +94,7 @@
     }
 
 
-def test_a_collectors_text_before_the_json_is_skipped():
+def test_prefix_of_a_log_collector_is_skipped():
     assert logs.summary(logs.read([[line(1, "a", "started", before="12:00:01.5 host a | ")]]))["starts"] == 1
 
 
@@ -113,12 +113,12 @@
         b'{"at":1,"agent":"a","event":"x"',
     ],
 )
-def test_what_is_no_event_is_counted_and_skipped(text):
+def test_lines_that_are_no_event_are_counted_and_skipped(text):
     fleet = logs.read([[text, b"", line(1, "a", "started")]])
     assert fleet.invalid_lines == 1 and len(fleet.runs) == 1
 
 
-def test_figures_that_are_none_count_for_nothing():
+def test_malformed_counters_are_ignored():
     found = logs.summary(
         logs.read(
             [
@@ -150,7 +150,7 @@
     return done.returncode, done.stdout, done.stderr
 
 
-def test_the_command_prints_one_object_and_names_a_file_that_is_not_there(tmp_path):
+def test_command_prints_one_object_and_names_a_missing_file(tmp_path):
     file = tmp_path / "a.log"
     file.write_bytes(b"\n".join([line(0, "a", "started"), counters(1, "a", 3)]))
     code, out, _ = command(file)
