--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -99,7 +99,7 @@
         self.balancer = make_balancer(settings, config.seed, port)
         # Hooks of fleet mode: receive datagrams of peers, report the fleet's state, revise backend lists
         # before the module gets them.
-        self.on_peer_datagram: Callable[[int, bytes], None] | None = None
+        self.fleet_datagram_handler: Callable[[int, bytes], None] | None = None
         self.fleet_report: Callable[[], dict[str, object]] | None = None
         self.revise_listings: Callable[[UpdateKind, list[Listing], bool], list[Listing]] | None = None
         self.serving = Serving(
@@ -265,8 +265,8 @@
 
     def _on_peer_datagram(self, sender: int, message: bytes) -> None:
         try:
-            if self.on_peer_datagram is not None:
-                self.on_peer_datagram(sender, message)
+            if self.fleet_datagram_handler is not None:
+                self.fleet_datagram_handler(sender, message)
             else:
                 self.balancer.on_peer_message(self.clock.now(), sender, message)
         except Exception as fault:
--- a/lupinreach/ops/returning.py
+++ b/lupinreach/ops/returning.py
@@ -109,7 +109,11 @@
             agent.tasks.spawn("sharing", self.sharing.run())
         store.put("life", self.own.life.number)
         self._put_beat()
-        agent.on_peer_datagram, agent.revise_listings, agent.fleet_report = self.hear, self.see, self.figures
+        agent.fleet_datagram_handler, agent.revise_listings, agent.fleet_report = (
+            self.hear,
+            self.see,
+            self.figures,
+        )
         agent.directory.is_stale_version = self.older
         agent.standing.returning = not self.returned.ready
 
