--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -54,7 +54,7 @@
     await agent.start(DIRECTORY_WAIT_S if succession and succession.other() else 0.0)
     if succession is not None and not succession.take_over():
         agent.log.event("no succession", why="TMPDIR can't be written")
-    # The objects of the start live as long as the process; freezing them keeps the collector from scanning them.
+    # The objects of the start live as long as the process: keep the collector from scanning them.
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD, 5, 5)
--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -1,4 +1,4 @@
-"""Translates between the simulator's JSON line protocol and the decision module. All decisions are made there."""
+"""Translates between the simulator's JSON line protocol and the decision module. Nothing is decided here."""
 
 from __future__ import annotations
 
--- a/lupinreach/cli.py
+++ b/lupinreach/cli.py
@@ -1,4 +1,4 @@
-"""The command line. `agent` needs only the base package, `mesh` the extra `mesh`, all other commands the extra `bed`."""
+"""The command line. `agent` needs the base package, `mesh` the extra `mesh`, the others the extra `bed`."""
 
 from __future__ import annotations
 
--- a/lupinreach/config.py
+++ b/lupinreach/config.py
@@ -1,7 +1,7 @@
 """Reads and validates the settings and the agent configuration and sets their defaults.
 
-Used by the agent on sockets and by the simulator's adapter. Input keys are those of the documented formats; the result
-uses the names of `model`. Errors name the faulty key by its full path. Unknown keys are ignored.
+Used by the agent on sockets and by the simulator's adapter. Input keys are those of the documented formats;
+the result uses the names of `model`. Errors name the faulty key by its full path. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -28,20 +28,14 @@
     "throughput": "calls_per_s",
     "errors_per_s": "errors_per_s",
 }
-WEIGHT_KINDS = {
-    "off": False,
-    "nominal": False,
-    "rough": False,
-    "live": True,
-}  # if the listed sizes fall with the load
+# If the listed sizes fall with the load.
+WEIGHT_KINDS = {"off": False, "nominal": False, "rough": False, "live": True}
 MAX_LOAD_VALUE = 1e5  # limit of each value of a load report; exceeds the number of ports of an address
 MAX_CONFIG_BYTES = 16 << 20
 MIN_MEMORY_MB = 32
 DEFAULT_CARRY_AGE_S = 60.0
-FLEET_HEARTBEAT_MS, FLEET_QUERY_TIMEOUT_MS = (
-    1000.0,
-    300.0,
-)  # interval of an agent's messages to the fleet; how long a starting agent queries the fleet
+# Interval of an agent's messages to the fleet; how long a starting agent queries the fleet.
+FLEET_HEARTBEAT_MS, FLEET_QUERY_TIMEOUT_MS = 1000.0, 300.0
 MIN_SOCKETS = 32  # fewer do not suffice for the agent's own descriptors, a client and a backend
 
 REQUIRED: Any = object()  # passed as default: the key is required
@@ -51,12 +45,12 @@
     """The input is invalid; the text names the key."""
 
 
-def is_plausible_load(figures: Iterable[Any]) -> bool:
+def is_plausible_load(load_values: Iterable[Any]) -> bool:
     """If all values of a load report are possible.
 
     An impossible value would keep the backend from being used and distort the mean over all backends.
     """
-    return all(type(f) in (int, float) and 0 <= f <= MAX_LOAD_VALUE for f in figures)
+    return all(type(f) in (int, float) and 0 <= f <= MAX_LOAD_VALUE for f in load_values)
 
 
 class Section:
@@ -268,7 +262,7 @@
 
 
 def _store(top: Section) -> str | None:
-    """The path of the agent's single file; if both `carry` and `store` name it, they must name the same one."""
+    """The path of the agent's single file; `carry` and `store` must not name different ones."""
     carried = top.section("carry").text("file") if top.mapping("carry") else None
     stored = top.section("store").text("file") if top.mapping("store") else None
     if carried and stored and carried != stored:
@@ -308,10 +302,10 @@
     inherited: int | None = None  # a listening descriptor passed to the process; None: bind `listen`
 
 
-def read_agent(environment: Mapping[str, str], again: bool = False) -> AgentConfig:
-    """Read the agent's configuration from the file that PROXY_CONFIG names; other variables override its keys.
+def read_agent(environment: Mapping[str, str], reload: bool = False) -> AgentConfig:
+    """Read the agent's configuration from the file in PROXY_CONFIG; other variables override its keys.
 
-    On a reload (`again`) the file's keys take precedence, since the variables can't have changed since the start.
+    On a reload the file's keys take precedence, since the variables are still those of the start.
     """
     path = environment.get("PROXY_CONFIG")
     if not path:
@@ -326,7 +320,7 @@
     top = Section(raw)
 
     def overridable_address(variable: str, key: str) -> Address:
-        if variable in environment and not (again and top.text(key, "")):
+        if variable in environment and not (reload and top.text(key, "")):
             return _address(environment[variable], variable)
         return top.address(key)
 
--- a/lupinreach/logs.py
+++ b/lupinreach/logs.py
@@ -10,6 +10,7 @@
 
 import orjson
 
+# Groups of counters that only grow.
 COUNTER_GROUPS = (
     "taken",
     "answered",
@@ -18,7 +19,7 @@
     "directory",
     "others",
     "module",
-)  # groups of monotonic counters
+)
 BURST_WINDOW_MS = 100.0  # window of the burst statistics
 POOL_CHANGE = re.compile(r"backend \d+ (ejected|restored) ")
 MAX_LINE_BYTES = 1 << 16
@@ -48,7 +49,8 @@
 def read(files: Iterable[Iterable[bytes]]) -> Fleet:
     """Read the lines of any number of files, in any order, each with one or several agents.
 
-    A log collector's prefix before the JSON of a line is ignored. Lines that are no event are counted and skipped.
+    A log collector's prefix before the JSON of a line is ignored. Lines that are no event are counted and
+    skipped.
     """
     fleet, found = Fleet(), []
     for lines in files:
@@ -110,7 +112,7 @@
 
 
 def most_at_once(fleet: Fleet, window_ms: float = BURST_WINDOW_MS) -> dict[str, tuple[int, float]]:
-    """By event: the largest number within any window over the fleet, and the start of that window (Unix ms)."""
+    """By event: the largest number within any window, over the fleet, and that window's start (Unix ms)."""
     times: defaultdict[str, list[float]] = defaultdict(list)
     for at, what, _ in fleet.events:
         times[what].append(at)
--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -30,20 +30,15 @@
 
 RESERVED_DESCRIPTORS = 12  # standard streams, event loop, listener, directory, datagrams and a margin
 RESERVED_MEMORY_BYTES = 40 << 20  # memory of the process, with its buffers, before it holds any long body
-MAX_BODY_MEMORY_FRACTION, MAX_TOTAL_BODY_MEMORY_FRACTION = (
-    1 / 32,
-    1 / 4,
-)  # of the memory limit, for one long body and for all of them
+# Of the memory limit, for one long body and for all of them.
+MAX_BODY_MEMORY_FRACTION, MAX_TOTAL_BODY_MEMORY_FRACTION = 1 / 32, 1 / 4
 UNUSED_IDLE_SLOS = 4.0  # idle time, in longest SLOs, after which connections to unused backends close
 COUNTERS_INTERVAL_S = 10.0  # a killed agent leaves the counters of the last interval in its log
 ACCEPT_AFTER_STOP_S = 0.5  # how long a stopping agent still accepts connections
 PEER_SOCKET_RETRY_S = 0.5  # retry interval while another process holds the address
 LAST_REQUEST_GRACE_S = 0.1  # time for the connections accepted last to send a request
-NOT_COMPARED_ON_RELOAD = (
-    "directory",
-    "known",
-    "seed",
-)  # fields that a reload applies or that only matter at the start
+# Fields that a reload applies or that only matter at the start.
+NOT_COMPARED_ON_RELOAD = ("directory", "known", "seed")
 
 BalancerFactory = Callable[[Settings, int, Port], Balancer]  # (settings, seed, port)
 
@@ -129,7 +124,7 @@
     # Start, reload and stop.
 
     async def start(self, directory_wait_s: float = 0.0) -> None:
-        """Start all parts; accept clients once the directory has answered, or after `directory_wait_s` at most."""
+        """Start all parts; accept clients after the directory's first list, or after `directory_wait_s`."""
         if self.config.peer_listen is not None and self.config.settings.limits.peers:
             if self.config.inherited is None:
                 await self.peers.open(self._sockets, self.config.peer_listen)
@@ -138,8 +133,7 @@
         self.balancer.start(self.clock.now())
         self.directory.start(self.config.known)
         if directory_wait_s:
-            # Guards against serving from an outdated list while another process still serves from a current
-            # one.
+            # Guards against serving from an outdated list while another process serves from a current one.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(directory_wait_s):
                     await self.directory.list_received.wait()
@@ -166,8 +160,8 @@
         self.standing.stopping = True
         self.log.event("stopping", clients=len(self.listener.clients), succeeded=succeeded)
         if succeeded:
-            # The other process accepts what waits in the shared queue. Busy connections close with their answer,
-            # the idle ones afterwards, when few of them can cross with a request.
+            # The other process accepts what waits in the shared queue. Busy connections close with their
+            # answer, the idle ones afterwards, when few of them can cross with a request.
             self.listener.close(take_in=False)
             await asyncio.sleep(ACCEPT_AFTER_STOP_S)
         else:
@@ -193,7 +187,7 @@
     def reload(self, environment: Mapping[str, str]) -> None:
         """Read the configuration again and apply the directory's address; log what needs a restart."""
         try:
-            reread = read_agent(environment, again=True)
+            reread = read_agent(environment, reload=True)
         except BadConfig as bad:
             # The file may be wrong or half written: keep the old configuration.
             self.counters.others["reload refused"] += 1
@@ -251,11 +245,11 @@
 
     # Events for the module that belong to no API call.
 
-    def _on_list(self, news: UpdateKind, entries: list[Listing], older: bool) -> None:
+    def _on_list(self, update_kind: UpdateKind, entries: list[Listing], is_stale: bool) -> None:
         try:
-            if self.revise_listings is not None and news is not UpdateKind.FAILED:
-                entries = self.revise_listings(news, entries, older)
-            self.balancer.update_backends(self.clock.now(), news, entries)
+            if self.revise_listings is not None and update_kind is not UpdateKind.FAILED:
+                entries = self.revise_listings(update_kind, entries, is_stale)
+            self.balancer.update_backends(self.clock.now(), update_kind, entries)
         except Exception as fault:
             self.tasks.fault("listed", fault)
         self.standing.listed = self.standing.listed or bool(entries)
@@ -281,12 +275,12 @@
             self.tasks.fault("woke", fault)
 
 
-def _descriptor_limit(most: int) -> int:
-    """Raise the soft limit of open files towards `most` and return the number that may be used."""
+def _descriptor_limit(limit: int) -> int:
+    """Raise the soft limit of open files towards `limit`; returns the number that may be used."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft == resource.RLIM_INFINITY or soft >= most:
-        return most
+    if soft == resource.RLIM_INFINITY or soft >= limit:
+        return limit
     if hard == resource.RLIM_INFINITY or hard > soft:
-        soft = most if hard == resource.RLIM_INFINITY else min(most, hard)
+        soft = limit if hard == resource.RLIM_INFINITY else min(limit, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     return soft
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -22,7 +22,7 @@
 
 RATE_LIMITED_STATUS, ERRORED_STATUS, FAULT_STATUS, DUPLICATE_STATUS = 429, 502, 500, 409
 MAX_ID_BYTES = 128
-MAX_SLACK_FRACTION = 0.25  # of the client's timeout: limit of the slack reserved for late timers and writes
+MAX_SLACK_FRACTION = 0.25  # of the client's timeout: limit of the slack for late timers and writes
 NUMBER_PATTERN = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{0,12})?|\.[0-9]{1,12}")
 EXTRA_PATTERN = re.compile(rb"[^=,]+=[^=,]*(?:,[^=,]+=[^=,]*)*")
 
@@ -101,7 +101,7 @@
 
 
 class AnswerSink(Protocol):
-    """The client's side of one API call: `send_answer` writes a complete answer, `begin_answer` starts a streamed one."""
+    """The client's side of an API call: takes a complete answer or, by `begin_answer`, a stream."""
 
     def send_answer(
         self, status: int, lines: Sequence[http.Slice | bytes] = (), body: http.Slice | bytes = b""
@@ -203,7 +203,7 @@
                         if self._streaming is not None:
                             attempts[self._streaming].task.cancel()
                     case DeadlinePassed() if not self.answered.done() and self._streaming is None:
-                        # Guards against a command of the module that comes too late for the client's deadline.
+                        # Guards against a command of the module that is too late for the client's deadline.
                         call.on_client_left(now())
                         self._answer("errored", ERRORED_STATUS)
         except Exception as fault:
@@ -226,10 +226,10 @@
             request.body = b""  # a long body must not stay in memory until the next garbage collection
 
     async def _persist(self, write_id: Callable[[bytes], Awaitable[IdPersistence]]) -> bool:
-        """Persist the id before the call may run, so that it is known after a restart; false if it was answered instead."""
+        """Persist the id before the call may run; false if the call was answered instead."""
         persisting = self._serving.tasks.spawn("remember", write_id(self._id))
         event = asyncio.ensure_future(self.events.get())
-        # Guards against a disk that takes longer than the client still waits: an event that comes first decides.
+        # The disk may take longer than the client still waits: an event that comes first decides.
         await asyncio.wait({persisting, event}, return_when=asyncio.FIRST_COMPLETED)
         if not event.done():
             event.cancel()
@@ -279,14 +279,14 @@
         task.add_done_callback(lambda _: self.events.put_nowait(AttemptFinished(number)))
         return InFlight(exchange, task, sent)
 
-    def _start_streaming(self, call: Call, number: int, out: InFlight) -> bool:
+    def _start_streaming(self, call: Call, number: int, in_flight: InFlight) -> bool:
         """Start to stream a long answer to the client; false if that is no longer possible.
 
         From here on no other attempt can answer the call.
         """
-        exchange, serving = out.exchange, self._serving
+        exchange, serving = in_flight.exchange, self._serving
         if self.answered.done() or self._streaming is not None or exchange.answer is None:
-            out.task.cancel()
+            in_flight.task.cancel()
             return False
         lines = http.passed_on(exchange.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
         if not exchange.stream_to(self._answers.begin_answer(protocol.SERVED, lines, exchange.length)):
@@ -326,7 +326,7 @@
 
 
 def compose(request: http.Message, left: float, length: int | None) -> bytes:
-    """The head of the forwarded request, with the deadline `left` in s; `length` of the body, None if chunked."""
+    """The head of the forwarded request, with `left` s as deadline; `length` of the body, None if chunked."""
     headers = http.passed_on(request, protocol.BETWEEN_CLIENT_AND_AGENT)
     headers.append(memoryview(protocol.DEADLINE_LINE % max(0.001, left)))
     return http.request(request.method, request.target, headers, request.headers.get(b"host", b""), length)
@@ -360,7 +360,7 @@
     if extra and not EXTRA_PATTERN.fullmatch(extra):
         raise BadRequest("Req-Extra is malformed")
     cost = _number(request, protocol.COST) / 1000 if protocol.COST in request.headers else None
-    # Slack: the client's deadline counts from its sending, timers run late, and the answer needs time to arrive.
+    # Slack: the client counts from its sending, timers run late, and the answer needs time to arrive.
     until = arrived + wait_ms - min(serving.settings.rules.answer_slack, MAX_SLACK_FRACTION * wait_ms)
     key = protocol.KEY.fullmatch(request.target.partition(b"?")[0])
     return NewCall(
--- a/lupinreach/net/channel.py
+++ b/lupinreach/net/channel.py
@@ -36,13 +36,12 @@
         self._reading: asyncio.Future[int] | None = None
 
     def listen(self) -> asyncio.Future[int]:
-        """Start or continue a read; the future is done when bytes have arrived or the connection has ended."""
+        """Start or continue a read; the future is done when bytes arrive or the connection ends."""
         if self._reading is None:
             self._ensure_space()
             try:
-                target = cast(
-                    bytearray, memoryview(self.buffer)[self.end :]
-                )  # Tornado accepts any writable buffer
+                # Tornado accepts any writable buffer.
+                target = cast(bytearray, memoryview(self.buffer)[self.end :])
                 self._reading = cast("asyncio.Future[int]", self.stream.read_into(target, partial=True))
             except StreamClosedError as closed:
                 self._reading = _failed(closed)
@@ -96,7 +95,7 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """If bytes or the end of the connection have arrived, seen by the event loop or still in the kernel."""
+        """If bytes or the end of the connection have arrived, including those still in the kernel."""
         return self.has_input or self._pending()
 
     def _pending(self) -> bool:
@@ -113,7 +112,7 @@
     def ms_since_receive(self) -> float:
         """Ms since the kernel received the last bytes of this connection; 0 where it can't tell.
 
-        Time lost in a late event loop, or before the connection was accepted, counts towards the client's deadline.
+        Time lost in a late event loop or before the accept must count towards the client's deadline.
         """
         if not hasattr(socket, "TCP_INFO") or self.stream.closed():
             return 0.0
@@ -131,13 +130,13 @@
         except StreamClosedError as closed:
             return _failed(closed)
 
-    async def drain(self, max_bytes: int, within: float) -> None:
-        """Shut down our side and discard input, up to `max_bytes` and for up to `within` seconds.
+    async def drain(self, max_bytes: int, timeout_s: float) -> None:
+        """Shut down our side and discard input, up to `max_bytes` and for `timeout_s` at most.
 
-        Closing with unread input would send a reset, which can destroy the last answer before the peer reads it.
+        Closing with unread input would send a reset, which can discard the last answer at the peer.
         """
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 self.stream.socket.shutdown(socket.SHUT_WR)
                 while max_bytes > 0:
                     self.start = self.end
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -23,9 +23,8 @@
 from lupinreach.net.tasks import Tasks
 
 WATCH_TIMEOUT_HEARTBEATS = 3  # heartbeat intervals without a line after which a watch has failed
-MOVE_RETRY_HEARTBEATS = (
-    1 / 20
-)  # heartbeat intervals until a failed move to a new directory is retried; up to twice that at random
+# Heartbeat intervals until a failed move to a new directory is retried; up to twice that, by agent.
+MOVE_RETRY_HEARTBEATS = 1 / 20
 REMOVED_RETENTION_TIMEOUTS = 2.0  # longest client timeouts for which a removed backend is kept
 MAX_LIST_BYTES = 4 << 20  # of one line of a watch, or of a full list
 
@@ -50,7 +49,7 @@
         tasks: Tasks,
         sockets: Sockets,
         pool: Pool,
-        listed: Callable[[UpdateKind, list[Listing], bool], None],
+        on_list: Callable[[UpdateKind, list[Listing], bool], None],
     ) -> None:
         self._seed = config.seed
         self._clock = clock
@@ -59,15 +58,14 @@
         self._tasks = tasks
         self._sockets = sockets
         self._pool = pool
-        self._on_list = listed
+        self._on_list = on_list
         settings = config.settings
         self._zones = {name: number for number, name in enumerate(settings.zones)}
         self._retention_ms = REMOVED_RETENTION_TIMEOUTS * settings.longest_wait
         # With pushed discovery the list is followed without a request of the module.
         self._pushed = not settings.must_ask
-        self._version: int | None = (
-            None  # of the current list; None: there is no list that changes could be applied to
-        )
+        # Of the current list; None: there is no list that changes could be applied to.
+        self._version: int | None = None
         self._entries: dict[str, Entry] = {}  # by uid; removed backends stay for `_retention_ms`
         self._by_index: dict[int, Place] = {}  # by index; an index is never reused
         self._next = 0
@@ -95,7 +93,7 @@
 
     @property
     def age(self) -> float | None:
-        """Age of the list: ms since the last line of the directory; None: none was received since the start."""
+        """Age of the list: ms since the directory's last line; None: none was received yet."""
         return None if self._last_message_at is None else round(self._clock.now() - self._last_message_at, 1)
 
     # Requests.
@@ -175,9 +173,9 @@
         else:
             self._on_list(UpdateKind.FAILED, [], False)
 
-    async def _fetch_list(self, address: Address, within: float) -> http.Slice | bytes:
-        """Fetch the text of the full list, within so many seconds."""
-        async with asyncio.timeout(within):
+    async def _fetch_list(self, address: Address, timeout_s: float) -> http.Slice | bytes:
+        """Fetch the text of the full list; raises ConnectionEnded or TimeoutError."""
+        async with asyncio.timeout(timeout_s):
             channel = await self._connect(address, protocol.LIST_PATH)
             try:
                 answer = await http.read_answer(channel, MAX_LIST_BYTES)
@@ -241,24 +239,23 @@
             raise BadConfig("list: no JSON") from None
         self._apply(raw, "list")
 
-    def _apply(self, raw: Any, what: str, news: UpdateKind | None = None) -> None:
+    def _apply(self, raw: Any, what: str, update_kind: UpdateKind | None = None) -> None:
         """Apply a full list or a set of changes, after all of it has been validated."""
         top = Section(raw, what)
         version = top.whole(protocol.VERSION)
-        if news is None:
-            news = UpdateKind.FULL if top.flag(protocol.FULL_LIST) else UpdateKind.CHANGES
-        if news is UpdateKind.CHANGES and self._version is not None and version < self._version:
+        if update_kind is None:
+            update_kind = UpdateKind.FULL if top.flag(protocol.FULL_LIST) else UpdateKind.CHANGES
+        if update_kind is UpdateKind.CHANGES and self._version is not None and version < self._version:
             raise BadConfig(f"{top.at(protocol.VERSION)}: {version} comes after {self._version}")
         read = [self._entry(e) for e in top.sections(protocol.ENTRIES, REQUIRED)]
-        older = (
-            news is not UpdateKind.CACHED
+        is_stale = (
+            update_kind is not UpdateKind.CACHED
             and self.is_stale_version is not None
             and self.is_stale_version(version)
         )
-        if older and news is UpdateKind.FULL:
-            news = (
-                UpdateKind.CHANGES
-            )  # an outdated list may lack newer backends, which must not be removed for that
+        if is_stale and update_kind is UpdateKind.FULL:
+            # An outdated list may lack newer backends, which must not be removed for that.
+            update_kind = UpdateKind.CHANGES
         now, pool = self._clock.now(), self._pool
         for uid, address, listing in read:
             entry = self._entries.get(uid)
@@ -274,17 +271,17 @@
                 pool.disable_keep_alive(entry.place)
             self._by_index[entry.place.backend] = entry.place
             entry.gone_at = now if listing.state is ListState.REMOVED else None
-        if news is not UpdateKind.CHANGES:
+        if update_kind is not UpdateKind.CHANGES:
             named = {uid for uid, _, _ in read}
             for uid, entry in self._entries.items():
                 if uid not in named and entry.gone_at is None:
                     entry.gone_at = now
                     pool.disable_keep_alive(entry.place)
         self._version = version
-        self._counters.directory[f"news: {news.name.lower()}"] += 1
+        self._counters.directory[f"news: {update_kind.name.lower()}"] += 1
         listings = [replace(listing, backend=self._entries[uid].place.backend) for uid, _, listing in read]
-        self._on_list(news, listings, older)
-        if news is not UpdateKind.CACHED:
+        self._on_list(update_kind, listings, is_stale)
+        if update_kind is not UpdateKind.CACHED:
             self.list_received.set()
         for uid, entry in list(self._entries.items()):
             if entry.gone_at is not None and now > entry.gone_at + self._retention_ms:
--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -16,9 +16,8 @@
 from lupinreach.net.upload import Upload
 
 MAX_JOINED_BODY_BYTES = 16 << 10  # up to this size the body is written together with the head
-MAX_BUFFERED_BYTES = (
-    64 << 10
-)  # up to this size an answer is read completely before it is passed on, so that a broken one can be retried
+# Up to this size an answer is read completely before it is passed on, so that a broken one can be retried.
+MAX_BUFFERED_BYTES = 64 << 10
 MAX_BUFFERED_BYTES_UNKNOWN_LENGTH = 16 << 10  # the same for answers of unknown length
 STREAM_STALL_TIMEOUT_S = 10.0  # without new bytes of a streamed answer
 STREAM_BUFFER_BYTES = 64 << 10  # buffer of a streamed answer
@@ -54,8 +53,10 @@
         self._reply: asyncio.Future[Reply] | None = None
         self.answer: http.Message | None = None
         self.length: int | None = None  # of the body of a long answer, if known
-        self.sent_at = 0.0  # event loop time at which the message was passed to the kernel
-        self.answered_at = 0.0  # event loop time at which the kernel had the answer, or the first bytes of a long one; 0: none
+        # Event loop times at which the message was passed to the kernel, and at which the kernel had the
+        # answer or the first bytes of a long one (0: none).
+        self.sent_at = 0.0
+        self.answered_at = 0.0
         self.end = ConnectionEnd.SEND_CANCELLED  # holds if the task is cancelled before its start
 
     async def run(self) -> None:
@@ -124,8 +125,8 @@
     def stream_to(self, reply: Reply) -> bool:
         """Stream the long answer that has begun to `reply`; false if the exchange has ended meanwhile.
 
-        From here on the deadline no longer applies. It could otherwise pass before the task resumes, and an answer of
-        which the client has not received a byte would count as broken.
+        From here on the deadline no longer applies. It could otherwise pass before the task resumes, and an
+        answer of which the client has not received a byte would count as broken.
         """
         if self._reply is None or self._reply.done():
             return False
@@ -134,7 +135,7 @@
         return True
 
     async def _stream(self, channel: Channel, body: http.Body) -> None:
-        """Pass on the answer while it arrives. The call is committed to it, and its latency is that of the first bytes."""
+        """Pass on the answer while it arrives: the call is committed to it; latency is that of the first bytes."""
         assert self.answer is not None
         if self._on_stream_begun is None:
             raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
@@ -161,7 +162,7 @@
     def _written(self) -> bool:
         """If the last byte was written: from then on the attempt may run.
 
-        Read from the write's future, since the task may be cancelled between the write and the next statement.
+        Read from the write's future, since the task may be cancelled before the statement after the write.
         """
         writing = self._writing
         return bool(writing and writing.done() and not writing.cancelled() and not writing.exception())
@@ -191,13 +192,13 @@
 
 def read_load(text: bytes | None) -> Load | None:
     """Parse a load report such as `inflight=7,queue=2`; None if it is missing, malformed or implausible."""
-    figures: dict[str, float] = {}
+    load_values: dict[str, float] = {}
     for part in (text or b"").decode("latin-1").split(","):
         name, _, value = part.strip().partition("=")
-        name_here = protocol.LOAD_FIELDS.get(name)
-        if name_here:
+        field = protocol.LOAD_FIELDS.get(name)
+        if field:
             try:
-                figures[name_here] = float(value)
+                load_values[field] = float(value)
             except ValueError:
                 return None
-    return Load(**figures) if figures and is_plausible_load(figures.values()) else None
+    return Load(**load_values) if load_values and is_plausible_load(load_values.values()) else None
--- a/lupinreach/net/ids.py
+++ b/lupinreach/net/ids.py
@@ -17,8 +17,8 @@
 class Ids:
     """Guards against a duplicate of a request, which would run it once more.
 
-    An id is kept for one to two rotations after its call has ended, so that a duplicate read just after the answer
-    is detected too.
+    An id is kept for one to two rotations after its call has ended, so that a duplicate read just after the
+    answer is detected too.
     """
 
     def __init__(self) -> None:
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -29,18 +29,15 @@
 FIRST_REQUEST_GRACE_S = 0.25  # the first request on a new connection may still be on its way
 FIRST_BYTE_TIMEOUT_S = 2.0  # from the accept to the first byte
 REQUEST_TIMEOUT_S = 2.5  # from the accept, or from the first byte of a later request, to its last byte
-MIN_BODY_BYTES_PER_MS = (
-    32.0  # extends the request timeout for long bodies; half the rate guaranteed to clients
-)
+MIN_BODY_BYTES_PER_MS = 32.0  # extends the timeout of long requests; half the rate guaranteed to clients
 MIN_IDLE_S = 2.0  # idle connections may be closed after this, once the agent is crowded
 CROWDED_FRACTION = 1 / 2  # of `max_served`: from here on idle connections are closed
 CLOSE_AFTER_ANSWER_FRACTION = 0.6  # of `max_served`: from here on an answer closes its connection
 SWEEP_INTERVAL_S = 0.25
 REFUSALS_PER_S = 50.0  # bad requests that are refused at once; those beyond this rate are delayed
 REFUSAL_DELAY_S = 1.0
-RESERVED_FRACTION = (
-    1 / 8
-)  # of all connections, at least 2: for rejecting clients beyond `max_served` with an answer
+# Connections, at least 2, reserved for rejecting clients beyond `max_served` with an answer.
+RESERVED_FRACTION = 1 / 8
 OVERLOADED_STATUS, TIMED_OUT_STATUS = 503, 408
 REFUSAL_STATUSES = {ConnectionEnd.MALFORMED: 400, ConnectionEnd.TOO_LARGE: 413}
 
@@ -141,7 +138,7 @@
 
     async def _api_call(self, request: http.Message, arrived: float, upload: Upload | None) -> None:
         if self._listener.is_full:
-            # Rejected before it reaches the module; no attempt was made, so a retry is harmless. Without this, the
+            # Rejected before it reaches the module; no attempt was made, so a retry is harmless. Otherwise the
             # kernel would accept requests that the process has no descriptor to read.
             self._release(upload)
             self._reject(request.headers)
@@ -183,7 +180,7 @@
         self.channel.abort()
 
     async def _read_body(self, head: http.Head, request: http.Message) -> Upload | None:
-        """Read the body into memory or, where the limits do not allow that, forward it to a backend while it is read."""
+        """Read the body into memory or, beyond the limits, forward it to a backend while it is read."""
         if not head.chunked and (head.length or 0) <= http.SINGLE_BUFFER_BODY_BYTES:
             request.body = await http.read_body(
                 self.channel, head, http.SINGLE_BUFFER_BODY_BYTES, self._on_body_progress
@@ -196,15 +193,17 @@
             self._on_body_progress(body.size)
             if body.size > http.SINGLE_BUFFER_BODY_BYTES:
                 if not self._serving.body_memory.reserve(body.size - self._held, body.size):
-                    return await self._send_ahead(request, received, body)
+                    return await self._forward_while_reading(request, received, body)
                 self._held = body.size
             if body.done:
                 request.body = memoryview(received)
                 return None
             await body.wait_more()
 
-    async def _send_ahead(self, request: http.Message, received: bytearray, body: http.Body) -> Upload:
-        """Forward a request whose body exceeds the memory limits while it is read; it can have one attempt only."""
+    async def _forward_while_reading(
+        self, request: http.Message, received: bytearray, body: http.Body
+    ) -> Upload:
+        """Forward a request beyond the memory limits while it is read; it can have one attempt only."""
         serving = self._serving
         new_call, _ = parse_call(None, request, serving.clock.now(), serving)
         if request.method == b"GET":
@@ -218,9 +217,8 @@
             raise UploadStopped
         upload = Upload(serving.pool, serving.directory.place(backend), body.length is None)
         serving.counters.others["requests sent ahead"] += 1
-        self.channel.min_buffer = (
-            http.SINGLE_BUFFER_BODY_BYTES
-        )  # a long request would otherwise be read in thousands of pieces
+        # A long request would otherwise be read in thousands of pieces.
+        self.channel.min_buffer = http.SINGLE_BUFFER_BODY_BYTES
         left = (new_call.until - serving.clock.now()) / 1000  # counts from the last byte
         try:
             await upload.run(
@@ -262,8 +260,8 @@
     async def _refuse(self, status: int, why: str) -> None:
         """Refuse a bad request and close the connection, whose further content can't be interpreted."""
         self._serving.counters.answered["bad request"] += 1
-        async with self._listener.refusal_slot() as first:
-            if first:
+        async with self._listener.refusal_slot() as may_answer:
+            if may_answer:
                 self.send_refusal(status, why)
                 await self.channel.drain(MAX_DISCARDED_BYTES, LINGER_S)
 
@@ -281,31 +279,27 @@
         sockets: Sockets,
         address: Address,
         log: Log,
-        most: int,
+        max_connections: int,
         inherited: int | None = None,
     ) -> None:
         self._serving = serving
         self._sockets = sockets
         self._address = address
-        self._inherited = (
-            inherited  # listening descriptor shared with another process: its backlog must not be changed
-        )
+        # Listening descriptor, shared with another process: its backlog is not changed.
+        self._inherited = inherited
         self._log = log
         self.changed = asyncio.Event()  # set when a client connection has closed
-        self.max_connections = most
-        self.max_served = most - max(2, int(RESERVED_FRACTION * most))  # clients beyond this are rejected
+        self.max_connections = max_connections
+        # Clients beyond this are rejected.
+        self.max_served = max_connections - max(2, int(RESERVED_FRACTION * max_connections))
         self._socket: socket.socket | None = None
         self._accepting = False
         self.clients: set[Client] = set()  # open connections
         self.idle: dict[Client, None] = {}  # between two requests, longest idle first
         self.fresh: dict[Client, None] = {}  # have sent nothing yet, oldest first
-        self.request_deadlines: dict[
-            Client, float
-        ] = {}  # clients in a request, and when it must be complete (ms)
-        self._recent_refusals, self._refusals_updated_at = (
-            0.0,
-            0.0,
-        )  # leaky bucket of bad requests, drained at REFUSALS_PER_S
+        self.request_deadlines: dict[Client, float] = {}  # when requests must be complete (ms)
+        # Leaky bucket of bad requests, drained at REFUSALS_PER_S.
+        self._recent_refusals, self._refusals_updated_at = 0.0, 0.0
         self._lingering = 0  # connections on which a refusal is delayed or input is discarded
 
     def open(self) -> None:
@@ -338,9 +332,9 @@
                 self._socket.listen(0)
             asyncio.get_running_loop().remove_reader(self._socket)
 
-    def _accept(self, most: int = MAX_ACCEPTS_PER_TURN) -> None:
+    def _accept(self, max_accepts: int = MAX_ACCEPTS_PER_TURN) -> None:
         assert self._socket is not None
-        for _ in range(most):
+        for _ in range(max_accepts):
             evicted = self._find_evictable() if len(self.clients) >= self.max_served else None
             if len(self.clients) >= self.max_connections and evicted is None:
                 self._pause()
@@ -372,8 +366,8 @@
     def is_crowded(self) -> bool:
         """If so many clients are connected that answers close their connections.
 
-        Guards against clients that send one request and keep the connection: idle connections may not be closed
-        for some time, so these would use up the descriptors of other clients.
+        Guards against clients that send one request and keep the connection: idle connections may not be
+        closed for some time, so these would use up the descriptors of other clients.
         """
         return len(self.clients) - len(self.fresh) >= CLOSE_AFTER_ANSWER_FRACTION * self.max_served
 
@@ -383,13 +377,13 @@
         return len(self.clients) > self.max_served
 
     def _find_evictable(self) -> Client | None:
-        """The connection to close for a new one: one without a request for a while, else the one idle longest.
+        """The connection to close for a new one: one that sent nothing for a while, else the longest idle.
 
-        Hundreds of connections without a request must not displace those of usual clients. A connection that was just
-        opened comes last, since its request may be on its way.
+        Hundreds of connections without a request must not displace those of usual clients. A connection that
+        was just opened comes last, since its request may be on its way.
         """
-        silent = self._serving.clock.now() - FIRST_REQUEST_GRACE_S * 1000
-        silent_clients = takewhile(lambda client: client.since <= silent, self.fresh)
+        silent_since = self._serving.clock.now() - FIRST_REQUEST_GRACE_S * 1000
+        silent_clients = takewhile(lambda client: client.since <= silent_since, self.fresh)
         candidates = chain(silent_clients, self.idle, self.fresh)
         return next((client for client in candidates if not client.channel.has_unread_input), None)
 
@@ -435,8 +429,8 @@
     async def refusal_slot(self) -> AsyncIterator[bool]:
         """Yields whether a bad request may be answered; otherwise its connection is just closed.
 
-        Guards against a flood of clients that return as soon as they are refused: beyond REFUSALS_PER_S each refusal is
-        delayed, and the number of connections that are held for it is limited.
+        Guards against a flood of clients that return as soon as they are refused: beyond REFUSALS_PER_S each
+        refusal is delayed, and the number of connections that are held for it is limited.
         """
         now = self._serving.clock.now()
         self._recent_refusals = (
--- a/lupinreach/net/peers.py
+++ b/lupinreach/net/peers.py
@@ -13,7 +13,7 @@
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Sends to and receives from the other agents, which are numbered by their position in the configuration."""
+    """Sends to and receives from the other agents, numbered by their position in the configuration."""
 
     def __init__(
         self,
--- a/lupinreach/net/pool.py
+++ b/lupinreach/net/pool.py
@@ -21,9 +21,7 @@
 IDLE_FRACTION = 0.5  # of the backends' own idle timeout, to close before they do
 DEFAULT_IDLE_MS = 60_000.0  # idle timeout where the settings name none
 SWEEP_FRACTION = 1 / 8  # of the idle limit: interval between two sweeps
-STALL_FRACTION = (
-    0.4  # of the connect timeout: an answer that has begun and pauses for longer is taken for lost
-)
+STALL_FRACTION = 0.4  # of the connect timeout: an answer that pauses for longer is taken for lost
 DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # where the settings name none
 NO_DESCRIPTOR_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
@@ -32,12 +30,12 @@
     sockets: Sockets,
     address: Address,
     timeout_ms: float,
-    most: int = http.MOST_HEAD + http.SINGLE_BUFFER_BODY_BYTES,
+    max_unread: int = http.MOST_HEAD + http.SINGLE_BUFFER_BODY_BYTES,
     stall_timeout: float = inf,
 ) -> Channel:
     """Open a connection within `timeout_ms`; raises ConnectionEnded."""
     try:
-        channel = Channel(sockets.stream(address), most, stall_timeout)
+        channel = Channel(sockets.stream(address), max_unread, stall_timeout)
     except OSError:
         raise ConnectionEnded(ConnectionEnd.NO_DESCRIPTOR) from None
     try:
@@ -60,8 +58,8 @@
 class Place(NamedTuple):
     """A backend at its address.
 
-    Connections are pooled by both: after an address has passed to another backend, the connections to the former one
-    are not used for it.
+    Connections are pooled by both: after an address has passed to another backend, the connections to the
+    former one are not used for it.
     """
 
     backend: int
@@ -73,22 +71,22 @@
 
     def __init__(
         self,
-        most: int,
+        max_connections: int,
         connect_timeout: float,
         idle: float,
         counters: Counters,
         max_answer_bytes: int = MAX_BODY_BYTES,
         sockets: Sockets | None = None,
     ) -> None:
-        self._most = most
+        self._max_connections = max_connections
         self._connect_timeout = connect_timeout or DEFAULT_CONNECT_TIMEOUT_MS
         self._max_idle_s = (idle or DEFAULT_IDLE_MS) * IDLE_FRACTION / 1000
         self._counters = counters
         self._sockets = sockets or Sockets()
         self.max_answer_bytes = max_answer_bytes  # limit of an answer's body
         self.open = 0
-        # Idle connections, oldest first, with their place and since when they are idle (s, loop time). One is removed
-        # when it is used, ends, expires or is evicted.
+        # Idle connections, oldest first, with their place and since when they are idle (s, loop time). One is
+        # removed when it is used, ends, expires or is evicted.
         self._idle: dict[Channel, tuple[Place, float]] = {}
         self._by_place: dict[Place, list[Channel]] = {}  # the idle connections of each place, oldest first
         self._kept_alive: set[Place] = set()  # places whose connections are kept when idle
@@ -105,7 +103,7 @@
                 return channel
             # The backend has closed it; an attempt written to it would end in a reset.
             self._close(channel, ConnectionEnd.CLOSED_BY_PEER)
-        if self.open >= self._most:
+        if self.open >= self._max_connections:
             if not self._idle:
                 raise ConnectionEnded(ConnectionEnd.NO_DESCRIPTOR)
             oldest = next(iter(self._idle))
@@ -136,7 +134,7 @@
         self._kept_alive.add(place)
 
     def release(self, channel: Channel, place: Place) -> None:
-        """Return a connection whose exchange is complete; it is closed as soon as it receives anything while idle."""
+        """Return a connection whose exchange is complete; input while it is idle closes it."""
         if place not in self._kept_alive:
             # The backend was removed while the attempt was in flight.
             self._close(channel, ConnectionEnd.IDLE)
@@ -158,7 +156,8 @@
     def close_unused(self, used_backends: set[int], idle: float) -> int:
         """Close connections idle for `idle` ms to backends other than these; returns their number.
 
-        Backends accept a limited number of connections, so an agent must not keep those to backends outside its subset.
+        Backends accept a limited number of connections, so an agent must not keep those to backends outside
+        its subset.
         """
         idle_since = asyncio.get_running_loop().time() - idle / 1000
         unused_channels = [
--- a/lupinreach/net/readiness.py
+++ b/lupinreach/net/readiness.py
@@ -8,8 +8,9 @@
     succeeded  yes, or no      yes                             as `Agent.stop` does it
                where drained
 
-`succeeded` means to stop while another process serves on the same socket. `stopping` and `succeeded` take precedence
-over all other states and are final; `drained` takes precedence over the other two. Repeated calls have no effect.
+`succeeded` means to stop while another process serves on the same socket. `stopping` and `succeeded` take
+precedence over all other states and are final; `drained` takes precedence over the other two. Repeated calls
+have no effect.
 """
 
 from __future__ import annotations
@@ -52,13 +53,13 @@
     @property
     def ready(self) -> bool:
         """The answer of `/health/ready`."""
-        # Clients see both processes as one agent: the answer of the old one on a connection that it still has must not
-        # send them away.
+        # Clients see both processes as one agent: the answer of the old one on a connection that it still has
+        # must not send them away.
         return self.state is State.SERVING or (self.state is State.SUCCEEDED and self.drained_at is None)
 
     @property
     def serves_new_clients(self) -> bool:
-        """If this process serves new clients, drained or not: the answer of `/_ready` on the operators' port."""
+        """If this process serves new clients, drained or not: `/_ready` on the operators' port."""
         return self.accepting and self.listed and not self.stopping
 
     @property
--- a/lupinreach/net/reply.py
+++ b/lupinreach/net/reply.py
@@ -29,7 +29,7 @@
         keep_alive: bool,
         http10: bool,
     ) -> None:
-        """`length` of the body if known; an HTTP/1.0 client does not know chunks, so without a length its connection closes at the end."""
+        """`length` of the body if known; otherwise an HTTP/1.0 client reads until the connection closes."""
         self._channel = channel
         self._chunked = length is None and not http10
         framing = (
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -31,8 +31,8 @@
     balancer: Balancer
     body_memory: BodyMemory
     ids: Ids = field(default_factory=Ids)
-    # Makes the id of a non-idempotent API call durable; awaited before the module gets the call. None: ids do not
-    # outlive the process.
+    # Makes the id of a non-idempotent API call durable; awaited before the module gets the call. None: ids do
+    # not outlive the process.
     persist_id: Callable[[bytes], Awaitable[IdPersistence]] | None = None
 
     # Called with the customer of each accepted API call, where agents share the demand of customers.
--- a/lupinreach/net/upload.py
+++ b/lupinreach/net/upload.py
@@ -1,7 +1,8 @@
-"""Forwards a request that is too long for the memory limits to one backend while it is read, but for its last bytes.
+"""Forwards a request beyond the memory limits to one backend while it is read, but for its last bytes.
 
-A backend starts a request when it has received the last byte. Until then there is no attempt, nothing has run, and
-closing the connection drops the request. The attempt consists of the last bytes and starts when the module sends it.
+A backend starts a request when it has received the last byte. Until then there is no attempt, nothing has
+run, and closing the connection drops the request. The attempt consists of the last bytes and starts when the
+module sends it.
 """
 
 from __future__ import annotations
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Runs the small fleets of processes that the selected tests need, in parallel and once, for the first test that needs one."""
+"""Runs the small fleets of processes that the selected tests need: in parallel, for the first of them."""
 
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -55,7 +55,7 @@
 
 
 async def one_call(script, raw, *more, **site):
-    """Send one API call to an agent with one backend and the given further targets; returns answer, backend and agent."""
+    """Send one API call to an agent with one backend and more targets; returns answer, backend and agent."""
     async with Peer(script) as backend, Site(target("s-1", backend.address), *more, **site) as agent:
         answer = await agent.ask(raw)
         await agent.settled()
@@ -835,7 +835,7 @@
 
 
 def test_stop_under_traffic_loses_no_call():
-    """Clients reuse their connections and retry on a new one if an idle one closes, as the protocol allows."""
+    """Clients reuse connections and retry on a new one if an idle one closes, as the protocol allows."""
 
     async def work():
         loop, codes = asyncio.get_running_loop(), []
@@ -909,7 +909,7 @@
 
 
 def test_reload_moves_the_agent_to_another_directory(tmp_path):
-    """A bad file is refused, the new directory's versions are independent, failures are retried, the old watch ends."""
+    """Bad files are refused, versions start anew, failures are retried, the old watch ends."""
 
     async def work():
         first, second, fails = Registry(), Registry(), [error_answer(503), b"HTTP/1.1 200 OK\r\n\r\n"]
