--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -135,7 +135,7 @@
         return True
 
     async def _stream(self, channel: Channel, body: http.Body) -> None:
-        """Pass on the answer while it arrives: the call is committed to it; latency is that of the first bytes."""
+        """Pass on the answer while it arrives. The call is committed to it, its latency that of the first bytes."""
         assert self.answer is not None
         if self._on_stream_begun is None:
             raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -138,7 +138,7 @@
 
     async def _api_call(self, request: http.Message, arrived: float, upload: Upload | None) -> None:
         if self._listener.is_full:
-            # Rejected before it reaches the module; no attempt was made, so a retry is harmless. Otherwise the
+            # Rejected before it reaches the module; no attempt was made, so a retry is harmless. Else the
             # kernel would accept requests that the process has no descriptor to read.
             self._release(upload)
             self._reject(request.headers)
