--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -143,7 +143,7 @@
         self._later(token, self._port.error, token)
 
     def _later(self, token: Hashable, what: Callable[..., None], *args: Any) -> None:
-        until = token.ask.until if hasattr(token, "ask") else 0.0
+        until = token.new_call.until if hasattr(token, "new_call") else 0.0
         asyncio.get_running_loop().call_at(self._port._clock.on_loop(until - self._before), what, *args)  # type: ignore[attr-defined]
 
 
