--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -32,11 +32,11 @@
     """The input violates the protocol; the text names the fault."""
 
 
-def _lookup(table: dict[str, Any], word: Any, what: str) -> Any:
+def _lookup(table: dict[str, Any], name: Any, what: str) -> Any:
     try:
-        return table[word]
+        return table[name]
     except (KeyError, TypeError):
-        raise BadInput(f"unknown {what} {word!r}") from None
+        raise BadInput(f"unknown {what} {name!r}") from None
 
 
 class Instance:
@@ -45,10 +45,8 @@
     def __init__(self, number: int, actions: list[dict[str, Any]], now: float, raw: Any, seed: int) -> None:
         self._number = number
         self.actions = actions  # of the current reply
-        self._indices: dict[
-            int, int
-        ] = {}  # backend id in the protocol -> index; grows until the instance ends
-        self._ids: list[int] = []
+        self._indices: dict[int, int] = {}  # by backend id of the protocol; grows until the instance ends
+        self._ids: list[int] = []  # backend id of the protocol, by index
         self._calls: dict[Hashable, Call] = {}  # removed once no more events can refer to them
         settings = read_settings(raw)
         self._load_fields = settings.load_fields
@@ -106,6 +104,7 @@
         return Load(**{k: v for k, v in named if k in Load.__dataclass_fields__})
 
     def req(self, now: float, e: dict[str, Any]) -> None:
+        """A client's API call has arrived."""
         flags = e.get("attrs", 0)
         token = e["tid"]
         call = self._balancer.submit(
@@ -125,11 +124,13 @@
             self._calls[token] = call
 
     def head_received(self, now: float, e: dict[str, Any]) -> None:
+        """An attempt's answer has begun."""
         call = self._calls.get(e["tid"])
         if call is not None:
             call.on_head(now, e.get("try", 0))
 
     def reply(self, now: float, e: dict[str, Any]) -> None:
+        """An attempt has ended."""
         token = e["tid"]
         call = self._calls.get(token)
         if call is None:
@@ -146,6 +147,7 @@
             del self._calls[token]
 
     def cancelled_by_client(self, now: float, e: dict[str, Any]) -> None:
+        """The client has abandoned its API call."""
         token = e["tid"]
         call = self._calls.get(token)
         if call is not None:
@@ -154,9 +156,11 @@
                 del self._calls[token]
 
     def timer(self, now: float, e: dict[str, Any]) -> None:
+        """A timer of the module has expired."""
         self._balancer.on_timer(now, e.get("mark", ""))
 
     def check_result(self, now: float, e: dict[str, Any]) -> None:
+        """A probe has ended."""
         self._balancer.on_probe(
             now,
             self._index(e["backend"]),
@@ -166,6 +170,7 @@
         )
 
     def from_peer(self, now: float, e: dict[str, Any]) -> None:
+        """A message of another agent has arrived."""
         try:
             message = base64.b64decode(e.get("msg", ""), validate=True)
         except (binascii.Error, TypeError, ValueError):
@@ -173,8 +178,9 @@
         self._balancer.on_peer_message(now, e.get("sender", 0), message)
 
     def directory_update(self, now: float, e: dict[str, Any], hosts: list[dict[str, Any]]) -> None:
+        """A backend list, a set of changes or a failed request of the directory has arrived."""
         try:
-            news = UpdateKind(e.get("how", 0))
+            update_kind = UpdateKind(e.get("how", 0))
             entries = [
                 Listing(
                     self._index(h["backend"]),
@@ -189,7 +195,7 @@
             ]
         except ValueError as bad:
             raise BadInput(f"directory_update: {bad}") from None
-        self._balancer.update_backends(now, news, entries)
+        self._balancer.update_backends(now, update_kind, entries)
 
 
 EVENTS: dict[str, Callable[[Instance, float, dict[str, Any]], None]] = {
@@ -208,9 +214,8 @@
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance | None] = {}  # None: its settings were malformed
-        self._lists: dict[
-            int, list[dict[str, Any]]
-        ] = {}  # by number, at most MAX_LISTS; a new list replaces the old one
+        # By number, at most MAX_LISTS; a new list replaces the old one.
+        self._lists: dict[int, list[dict[str, Any]]] = {}
 
     def batch(self, line: str) -> str:
         """Process the events of one input line; returns the reply line."""
@@ -220,13 +225,13 @@
             raise BadInput("not JSON") from None
         if not isinstance(raw, dict):
             raise BadInput("a batch must be an object")
-        now, news = raw.get("ts"), raw.get("news")
+        now, events = raw.get("ts"), raw.get("news")
         if isinstance(now, bool) or not isinstance(now, (int, float)):
             raise BadInput("ts is missing or no number")
-        if not isinstance(news, list):
+        if not isinstance(events, list):
             raise BadInput("news is missing or no array")
         actions: list[dict[str, Any]] = []
-        for e in news:
+        for e in events:
             if not isinstance(e, dict):
                 raise BadInput("an event must be an object")
             try:
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -45,7 +45,7 @@
     """The module sends an attempt to a backend."""
 
     backend: int
-    until: float
+    until: float  # ms, deadline of the attempt
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
 class RateLimit(CallEvent):
     """The module rejects the call as rate-limited."""
 
-    retry_after: float
+    retry_after: float  # ms; 0: not told to the client
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
 
     exchange: Shot
     task: asyncio.Task[None]
-    sent: float
+    sent: float  # ms
 
 
 class AnswerSink(Protocol):
