--- a/lupinreach/mesh/model/mistakes.py
+++ b/lupinreach/mesh/model/mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes that can be planted in the store, one at a time, to show that the models would find them."""
+"""Deliberate mistakes in the store, applied one at a time, to show that the models detect them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lupinreach.mesh.store.document import Document, Outcome
 from lupinreach.mesh.store.members import Members
 from lupinreach.mesh.store.replica import Replica
-from lupinreach.mesh.store.serving import WHOLE, Primary, _written
+from lupinreach.mesh.store.serving import FULL_DOCUMENT, Primary, _written
 from lupinreach.mesh.store.state import StoreState
 from lupinreach.mesh.store.view import View
 from lupinreach.mesh.store.voting import Acceptor, Phase, Proposal
@@ -21,23 +21,26 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    """One mistake: an attribute of a class, or an entry of a table, is replaced by what `make` gives for it."""
+    """One mistake: replaces an attribute of a class or module, or a dictionary entry.
+
+    `build_replacement` receives the original and returns what stands in its place.
+    """
 
     name: str
-    told: str
+    description: str
     owner: Any
     attribute: Any
-    make: Callable[[Any], Any]
+    build_replacement: Callable[[Any], Any]
 
     @contextmanager
-    def planted(self) -> Iterator[None]:
-        """The store makes this mistake inside the block."""
+    def applied(self) -> Iterator[None]:
+        """Apply the mistake for the duration of the block."""
         if isinstance(self.owner, dict):
             original = self.owner[self.attribute]
-            self.owner[self.attribute] = self.make(original)
+            self.owner[self.attribute] = self.build_replacement(original)
         else:
             original = self.owner.__dict__[self.attribute]
-            setattr(self.owner, self.attribute, self.make(original))
+            setattr(self.owner, self.attribute, self.build_replacement(original))
         try:
             yield
         finally:
@@ -48,8 +51,11 @@
 
 
 def _late_write(original: Any) -> Any:
-    def take_write(state: StoreState, message: Write) -> Message | None:
-        if message.previous == WHOLE and (message.epoch, message.uid) == (state.view.epoch, state.view.uid):
+    def apply_write(state: StoreState, message: Write) -> Message | None:
+        if message.previous == FULL_DOCUMENT and (message.epoch, message.uid) == (
+            state.view.epoch,
+            state.view.uid,
+        ):
             if state.sealed or state.identity not in state.view.copies:
                 return None
             state.write(Document.from_list(message.document), message.incarnation)
@@ -57,26 +63,31 @@
         answer: Message | None = original(state, message)
         return answer
 
-    return take_write
+    return apply_write
 
 
 def _unchecked_change(original: Any) -> Any:
-    def take_write(state: StoreState, message: Write) -> Message | None:
+    def apply_write(state: StoreState, message: Write) -> Message | None:
         same = (message.epoch, message.uid) == (state.view.epoch, state.view.uid)
-        if same and message.previous != WHOLE and not state.sealed and state.identity in state.view.copies:
+        if (
+            same
+            and message.previous != FULL_DOCUMENT
+            and not state.sealed
+            and state.identity in state.view.copies
+        ):
             state.write(Document.from_list(message.document, state.document), message.incarnation)
             return _written(message, message.sequence)
         answer: Message | None = original(state, message)
         return answer
 
-    return take_write
+    return apply_write
 
 
 def _own_disk_ignored(original: Any) -> Any:
     def begin_round(self: Primary, now: float) -> None:
         try:
             original(self, now)
-        except replica_module.DiskFailed:
+        except replica_module.DiskWriteError:
             assert self.round is not None
             self.round.waiting.discard(self._state.identity)
 
@@ -101,7 +112,7 @@
     return install
 
 
-def _unsynced(original: Any) -> Any:
+def _unsynced_write(original: Any) -> Any:
     def write(self: StoreState, document: Document, incarnation: int) -> None:
         self.document = document
         self.complete = {self.view.uid: self.view.epoch}
@@ -153,11 +164,11 @@
     return promise
 
 
-def _half(original: Any) -> Any:
+def _half_majority(original: Any) -> Any:
     return property(lambda self: max(1, len(self.voters) // 2))
 
 
-def _reversed_ballots(original: Any) -> Any:
+def _ballots_ignored(original: Any) -> Any:
     def refusal(self: Acceptor, epoch: int, ballot: Any) -> Any:
         if self._state.view.epoch >= epoch:
             return original(self, epoch, ballot)
@@ -181,7 +192,7 @@
     return accept
 
 
-def _vote_before_phase(original: Any) -> Any:
+def _one_vote(original: Any) -> Any:
     def vote(self: Proposal, voter: str, message: Accepted) -> bool:
         self.accepted.add(voter)
         return self.phase is Phase.ACCEPT and len(self.accepted) >= 1
@@ -189,7 +200,7 @@
     return vote
 
 
-def _incomplete_proposes(original: Any) -> Any:
+def _any_voter_proposes(original: Any) -> Any:
     def may_propose(self: Replica) -> bool:
         if self.view.epoch == 0:
             return bool(original.fget(self))
@@ -238,7 +249,7 @@
     return with_configuration
 
 
-def _any_install(original: Any) -> Any:
+def _late_installation(original: Any) -> Any:
     def on_install(self: Replica, sender: str, message: Any) -> None:
         if message.epoch < self.view.epoch:
             return original(self, sender, message)
@@ -257,26 +268,32 @@
 MISTAKES = (
     Mistake(
         "late-write",
-        "a whole write is taken whatever its sequence",
+        "a write of a whole document is accepted whatever its sequence",
         replica_module,
-        "take_write",
+        "apply_write",
         _late_write,
     ),
     Mistake(
         "change-unchecked",
-        "a change is applied to whatever is held",
+        "a change is applied to a document of any sequence",
         replica_module,
-        "take_write",
+        "apply_write",
         _unchecked_change,
     ),
     Mistake(
         "own-disk-ignored",
-        "a primary whose own disk refuses acknowledges",
+        "a primary acknowledges although its own disk refused the write",
         Primary,
         "begin_round",
         _own_disk_ignored,
     ),
-    Mistake("disk-unheeded", "a copy whose disk refuses stays one", Members, "has_failed", _disk_unheeded),
+    Mistake(
+        "disk-unheeded",
+        "a replica whose disk refuses writes stays one",
+        Members,
+        "has_failed",
+        _disk_unheeded,
+    ),
     Mistake(
         "numbers-alone",
         "orders are compared by number, not by content",
@@ -286,49 +303,67 @@
     ),
     Mistake(
         "written-by-round",
-        "an answer to an earlier life's write counts",
+        "an answer to a write of an earlier incarnation counts",
         Primary,
         "written",
         _written_by_round,
     ),
     Mistake(
         "installed-unsealed",
-        "a copy of a proposed view goes on with the old one",
+        "a replica in a proposed view still accepts writes of the old view",
         StoreState,
         "install",
         _installed_unsealed,
     ),
-    Mistake("unsynced-write", "a backup answers before its sync", StoreState, "write", _unsynced),
-    Mistake("unsealed", "a proposer goes on taking writes of the old view", StoreState, "seal", _unsealed),
-    Mistake("seal-unsynced", "the seal is lost with the process", StoreState, "seal", _seal_unsynced),
+    Mistake(
+        "unsynced-write", "a backup answers before its write is synced", StoreState, "write", _unsynced_write
+    ),
+    Mistake("unsealed", "a proposer still accepts writes of the old view", StoreState, "seal", _unsealed),
+    Mistake(
+        "seal-unsynced",
+        "the seal is not on disk and lost with the process",
+        StoreState,
+        "seal",
+        _seal_unsynced,
+    ),
     Mistake(
         "marks-dropped",
-        "a view that is learnt late drops the mark of a later one",
+        "learning a view late drops the completeness mark of a later one",
         StoreState,
         "learn",
         _marks_dropped,
     ),
     Mistake(
         "no-wait-for-copies",
-        "a proposer does not wait for its copies",
+        "a proposer does not wait for the replicas in its view",
         Proposal,
         "installed",
         _no_wait_for_copies,
     ),
     Mistake("no-adoption", "an accepted view is not adopted", Proposal, "promise", _no_adoption),
-    Mistake("half-is-majority", "half of the voters decide", View, "majority", _half),
-    Mistake("ballots-ignored", "votes are given to lower ballots", Acceptor, "_refusal", _reversed_ballots),
+    Mistake("half-is-majority", "half of the voters decide", View, "majority", _half_majority),
+    Mistake("ballots-ignored", "votes are given to lower ballots", Acceptor, "_refusal", _ballots_ignored),
+    Mistake(
+        "promise-unsynced",
+        "a promise is not on disk and lost with the process",
+        StoreState,
+        "promise",
+        _promise_unsynced,
+    ),
     Mistake(
-        "promise-unsynced", "a promise is lost with the process", StoreState, "promise", _promise_unsynced
+        "vote-unsynced",
+        "a vote is not on disk and lost with the process",
+        StoreState,
+        "accept",
+        _vote_unsynced,
     ),
-    Mistake("vote-unsynced", "a vote is lost with the process", StoreState, "accept", _vote_unsynced),
-    Mistake("one-vote", "one vote decides", Proposal, "vote", _vote_before_phase),
+    Mistake("one-vote", "one vote decides", Proposal, "vote", _one_vote),
     Mistake(
         "any-voter-proposes",
-        "a voter that is no copy proposes",
+        "a voter that is not a replica in the view proposes",
         Replica,
         "_may_propose",
-        _incomplete_proposes,
+        _any_voter_proposes,
     ),
     Mistake(
         "serves-at-once",
@@ -339,14 +374,14 @@
     ),
     Mistake(
         "first-answer-counts",
-        "a write is done once one backup has it",
+        "a write counts as complete once one backup has it",
         Primary,
         "written",
         _first_answer_counts,
     ),
     Mistake(
         "mark-without-document",
-        "a copy is marked complete without the document",
+        "a replica is marked complete without the document",
         StoreState,
         "install",
         _mark_without_document,
@@ -360,9 +395,9 @@
     ),
     Mistake(
         "late-installation",
-        "a late installation changes a copy of the decided view",
+        "a late installation changes a replica in the decided view",
         replica_module._HANDLERS,
         Install,
-        _any_install,
+        _late_installation,
     ),
 )
--- a/lupinreach/mesh/registry/program.py
+++ b/lupinreach/mesh/registry/program.py
@@ -1,4 +1,4 @@
-"""The registry program: links of proxies and of other registries, news from the store, operators' calls."""
+"""The registry process: links to proxies and other registries, news from the store, and operators' calls."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from lupinreach.mesh.configuration import is_newer
 from lupinreach.mesh.configuration_check import parse_configuration
-from lupinreach.mesh.dispatch import ANY, Dispatcher
+from lupinreach.mesh.dispatch import ANY_SEGMENT, Dispatcher
 from lupinreach.mesh.errors import ErrorKind
 from lupinreach.mesh.events import Event, EventLog
-from lupinreach.mesh.instance_calls import JSON_TYPE, add_instance_calls
+from lupinreach.mesh.instance_calls import JSON_CONTENT_TYPE_HEADER, add_instance_calls
 from lupinreach.mesh.link import Dialer, Link, listen
 from lupinreach.mesh.messages import (
     AgentEntry,
@@ -21,31 +21,31 @@
     Describe,
     Description,
     Message,
-    News,
-    NewsAcknowledged,
-    NewsPull,
     RegistryHello,
     RegistryStatus,
+    StateUpdate,
+    StateUpdateAcknowledged,
+    StateUpdatePull,
     encode,
 )
 from lupinreach.mesh.metrics import Metric
 from lupinreach.mesh.registry.agents import AgentTable
-from lupinreach.mesh.registry.beats import BeatForwarder
 from lupinreach.mesh.registry.entry_feed import EntryFeed
+from lupinreach.mesh.registry.heartbeat_forwarder import HeartbeatForwarder
 from lupinreach.mesh.registry.news_feed import NewsFeed
 from lupinreach.mesh.registry.orders import OrderFailure, StoreLinks
-from lupinreach.mesh.server import HttpAnswer, HttpRequest, HttpServer, error_answer
+from lupinreach.mesh.server import HttpRequest, HttpResponse, HttpServer, error_response
 from lupinreach.mesh.settings import Settings
 from lupinreach.mesh.store.document import OrderKind
 from lupinreach.mesh.tasks import spawn
 
-HEARTBEAT_S = 0.5
-ORDER_RETRY_MS = 200.0  # when an operator whose order was not confirmed may come back
-ALIVE_EVERY = 2  # heartbeats between two lists of connected proxies for the other registries
+HEARTBEAT_INTERVAL_S = 0.5
+ORDER_RETRY_AFTER_MS = 200.0  # sent to operators whose order was not confirmed: when to retry
+ALIVE_AGENTS_HEARTBEATS = 2  # heartbeats between two lists of connected proxies to the other registries
 
 
 class RegistryProgram:
-    """One registry."""
+    """The process of one registry."""
 
     def __init__(self, settings: Settings, log: EventLog) -> None:
         self._settings = settings
@@ -58,19 +58,19 @@
         calls = Dispatcher()
         calls.add("POST", "configuration", "replace", call=self._replace_configuration)
         calls.add("GET", "configuration", "describe", call=self._describe_configuration)
-        calls.add("POST", "evacuations", ANY, "start", call=self._start_evacuation)
-        calls.add("POST", "evacuations", ANY, "stop", call=self._stop_evacuation)
+        calls.add("POST", "evacuations", ANY_SEGMENT, "start", call=self._start_evacuation)
+        calls.add("POST", "evacuations", ANY_SEGMENT, "stop", call=self._stop_evacuation)
         control_port = settings.listen_address("control_plane")[1]
-        add_instance_calls(calls, BeatForwarder(self.agents, control_port))
+        add_instance_calls(calls, HeartbeatForwarder(self.agents, control_port))
         self._server = HttpServer(
             calls.handle, on_fault=lambda fault: log.write(Event.FAULT, fault=repr(fault))
         )
 
     async def start(self) -> None:
-        """Listen, and dial the stores and registries on the seeds."""
+        """Listen, and dial the stores on this machine and on the seeds; registries follow with the heartbeats."""
         settings = self._settings
         address = (settings.ip_address, settings.registry_port)
-        self._links = await listen(address, lambda: Link(self._message, self._closed))
+        self._links = await listen(address, lambda: Link(self._on_message, self._on_link_closed))
         await self._server.listen(settings.listen_address("control_plane"))
         self._stores.dial(settings.ip_address)
         for host in settings.seed_hosts:
@@ -78,12 +78,12 @@
         self._ticker = spawn(self._run())
 
     def settings_changed(self, settings: Settings) -> None:
-        """Seeds may have changed: dial what is new."""
+        """Dial seeds that are new in changed settings."""
         for host in settings.seed_hosts:
             self._stores.dial(host)
 
     async def stop(self) -> None:
-        """End at once: proxies and operators turn to another registry."""
+        """End at once: proxies and operators use another registry."""
         self._server.close()
         self._links.close()
 
@@ -91,14 +91,14 @@
         loop = asyncio.get_running_loop()
         ticks = 0
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             ticks += 1
             for host in self._stores.hosts:
                 self._dial_registry(host)
-            self.feed.tell_late(loop.time())
+            self.feed.log_late_receivers(loop.time())
             self._heartbeat(with_registries=ticks % 8 == 1)
-            if ticks % ALIVE_EVERY == 0:
-                self._tell_alive()
+            if ticks % ALIVE_AGENTS_HEARTBEATS == 0:
+                self._send_alive_agents()
             for entry in self.agents.expire(loop.time()):
                 self._log.write(Event.AGENT_REMOVED, agent=entry.address)
                 self._entries.changed(entry)
@@ -109,42 +109,44 @@
         if host == self._settings.ip_address or host in self._registries:
             return
         address = (host, self._settings.registry_port)
-        self._registries[host] = Dialer(address, self._registry_up, self._message, lambda link: None)
+        self._registries[host] = Dialer(
+            address, self._on_registry_link_up, self._on_message, lambda link: None
+        )
 
-    def _registry_up(self, link: Link) -> None:
+    def _on_registry_link_up(self, link: Link) -> None:
         link.send(RegistryHello(f"{self._settings.ip_address}:{self._settings.registry_port}"))
         for known in self.agents.connected():
             link.send(known.entry)
 
-    def _to_registries(self, message: Message) -> None:
+    def _send_to_registries(self, message: Message) -> None:
         data = encode(message)
         for dialer in self._registries.values():
             if dialer.link is not None:
                 dialer.link.send_encoded(data)
 
-    def _tell_alive(self) -> None:
+    def _send_alive_agents(self) -> None:
         connected = [[known.entry.address, known.entry.life] for known in self.agents.connected()]
-        self._to_registries(AliveAgents(connected))
+        self._send_to_registries(AliveAgents(connected))
 
     # Proxies.
 
-    def _message(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         now = asyncio.get_running_loop().time()
         if isinstance(message, AgentHello):
             self._on_agent(link, message, now)
         elif isinstance(message, AgentEntry):
             self._on_entry(link, message, now)
-        elif isinstance(message, NewsAcknowledged):
-            self.feed.acknowledged(link, message)
-        elif isinstance(message, NewsPull):
-            self.feed.pulled(link)
+        elif isinstance(message, StateUpdateAcknowledged):
+            self.feed.on_acknowledged(link, message)
+        elif isinstance(message, StateUpdatePull):
+            self.feed.on_pull(link)
         elif isinstance(message, Describe):
             link.send(Description(self.describe()))
         elif isinstance(message, AliveAgents):
             for address, _ in message.agents:
-                self.agents.alive(address, now)
+                self.agents.mark_alive(address, now)
 
-    def _closed(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         self.agents.disconnect(link, asyncio.get_running_loop().time())
         self.feed.leave(link)
         self._entries.leave(link)
@@ -162,7 +164,7 @@
             return
         self._entries.changed(entry)
         if link.owner is not None:
-            self._to_registries(entry)
+            self._send_to_registries(entry)
 
     def _status(self, with_registries: bool) -> RegistryStatus:
         port = self._settings.registry_port
@@ -177,7 +179,7 @@
                 known.link.send_encoded(data)
 
     def describe(self) -> dict[str, Any]:
-        """What this registry holds, for operators."""
+        """State of this registry, for operators."""
         return {
             "role": "registry",
             "node": self._settings.node_name,
@@ -193,7 +195,7 @@
         }
 
     def metrics(self) -> list[Metric]:
-        """Figures of this registry."""
+        """Metrics of this registry."""
         now = asyncio.get_running_loop().time()
         receivers = self.feed.receivers
         unsent = [receiver.link.unsent for receiver in receivers] or [0]
@@ -208,56 +210,56 @@
             Metric("registry_news_sent_bytes_total", self.feed.sent_bytes, "their bytes"),
         ]
 
-    # News.
+    # News from the store.
 
-    def _on_news(self, news: News) -> None:
-        """A primary store tells a committed state."""
+    def _on_news(self, news: StateUpdate) -> None:
+        """Publish a committed state that a primary store has sent, if it is newer."""
         if news.stamp <= self.feed.stamp:
             return
         if news.config is not None and is_newer(news.config_version, self.feed.history.version):
-            parsed = parse_configuration(news.config)  # it was checked before the store took it
+            parsed = parse_configuration(news.config)  # already validated before it was sent to the store
             if isinstance(parsed, Ok):
-                self.feed.history.take(parsed.ok_value)
+                self.feed.history.advance(parsed.ok_value)
         self.feed.publish(news.stamp, news.evacuations)
 
-    # Calls.
+    # Operators' calls.
 
-    async def _replace_configuration(self, request: HttpRequest) -> HttpAnswer:
+    async def _replace_configuration(self, request: HttpRequest) -> HttpResponse:
         parsed = parse_configuration(request.body)
         if isinstance(parsed, Err):
             self._log.write(Event.ORDER_REFUSED, why=parsed.err_value)
-            return error_answer(ErrorKind.INVALID_CONFIGURATION, parsed.err_value)
+            return error_response(ErrorKind.INVALID_CONFIGURATION, parsed.err_value)
         version = parsed.ok_value.version.lower()
         return await self._order(OrderKind.REPLACE_CONFIGURATION, version=version, payload=request.body)
 
-    async def _describe_configuration(self, request: HttpRequest) -> HttpAnswer:
+    async def _describe_configuration(self, request: HttpRequest) -> HttpResponse:
         result = await self._stores.order(OrderKind.READ_CONFIGURATION)
         if isinstance(result, Err):
-            return self._refused(result.err_value)
+            return self._rejection(result.err_value)
         if not result.ok_value:
-            return error_answer(ErrorKind.NOT_CONFIGURED, retry_ms=500)
-        return HttpAnswer(200, JSON_TYPE, result.ok_value)
+            return error_response(ErrorKind.NOT_CONFIGURED, retry_ms=500)
+        return HttpResponse(200, JSON_CONTENT_TYPE_HEADER, result.ok_value)
 
-    async def _start_evacuation(self, request: HttpRequest, zone: str) -> HttpAnswer:
+    async def _start_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
         return await self._evacuate(OrderKind.START_EVACUATION, zone)
 
-    async def _stop_evacuation(self, request: HttpRequest, zone: str) -> HttpAnswer:
+    async def _stop_evacuation(self, request: HttpRequest, zone: str) -> HttpResponse:
         return await self._evacuate(OrderKind.STOP_EVACUATION, zone)
 
-    async def _evacuate(self, kind: OrderKind, zone: str) -> HttpAnswer:
+    async def _evacuate(self, kind: OrderKind, zone: str) -> HttpResponse:
         if zone not in self._settings.zones:
-            return error_answer(ErrorKind.UNKNOWN_ZONE, zone)
+            return error_response(ErrorKind.UNKNOWN_ZONE, zone)
         return await self._order(kind, zone=zone)
 
     async def _order(
         self, kind: OrderKind, version: str = "", payload: bytes = b"", zone: str = ""
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         result = await self._stores.order(kind, version, payload, zone)
         if isinstance(result, Err):
-            return self._refused(result.err_value)
+            return self._rejection(result.err_value)
         self._log.write(Event.ORDER_TAKEN, kind=kind.name.lower(), version=version or "-", zone=zone or "-")
-        return HttpAnswer(200, JSON_TYPE, b"{}")
+        return HttpResponse(200, JSON_CONTENT_TYPE_HEADER, b"{}")
 
-    def _refused(self, failure: OrderFailure) -> HttpAnswer:
+    def _rejection(self, failure: OrderFailure) -> HttpResponse:
         self._log.write(Event.ORDER_REFUSED, why=failure.kind.name.lower(), detail=failure.detail or "-")
-        return error_answer(failure.kind, failure.detail, retry_ms=ORDER_RETRY_MS)
+        return error_response(failure.kind, failure.detail, retry_ms=ORDER_RETRY_AFTER_MS)
--- a/lupinreach/mesh/store/disk.py
+++ b/lupinreach/mesh/store/disk.py
@@ -1,6 +1,6 @@
-"""The store's durable record, in one SQLite file.
+"""Durable key-value record of a store, in one SQLite file.
 
-Write-ahead log with a sync at each commit (`synchronous=FULL`): a commit survives a loss of power as soon as
+The write-ahead log is synced at each commit (`synchronous=FULL`): a commit survives a power loss as soon as
 it returns, and costs one sync. The file is used by one process (`locking_mode=EXCLUSIVE`), which also keeps
 SQLite from using shared memory.
 """
@@ -15,31 +15,33 @@
 import msgpack
 
 FILE_NAME = "store.sqlite3"
-SET_ASIDE = ".damaged"
+DAMAGED_SUFFIX = ".damaged"
 
 
-class DiskFailed(Exception):
-    """The disk did not take a write; what it holds is what it held before, or the whole write."""
+class DiskWriteError(Exception):
+    """A write to disk failed; the disk holds either the state before the write or the complete write."""
 
 
 class Record(Protocol):
-    """What a replica needs of a disk: values by key, saved together and for good before `save` returns."""
+    """Storage interface of a replica: a key-value map whose `save` is atomic and durable when it returns."""
 
-    def load(self) -> dict[str, Any]: ...
+    def load(self) -> dict[str, Any]:
+        """Return all stored values by key."""
+        ...
 
     def save(self, changes: Mapping[str, Any]) -> None:
-        """Raises `DiskFailed` where the values may not be on disk."""
+        """Store the values; raises `DiskWriteError` if they may not be on disk."""
 
 
 class SqliteRecord:
-    """A record in a folder. A damaged file counts as a lost disk: it is set aside, and the record is empty."""
+    """A record in a directory. A damaged file is treated as a lost disk: it is renamed, and the record is empty."""
 
     def __init__(self, folder: str) -> None:
         self._path = os.path.join(folder, FILE_NAME)
         try:
             self._connection = self._open()
         except sqlite3.DatabaseError:
-            self._set_aside()
+            self._move_damaged_files()
             self._connection = self._open()
 
     def _open(self) -> sqlite3.Connection:
@@ -51,19 +53,19 @@
         connection.execute("CREATE TABLE IF NOT EXISTS record (key TEXT PRIMARY KEY, value BLOB NOT NULL)")
         return connection
 
-    def _set_aside(self) -> None:
+    def _move_damaged_files(self) -> None:
         for suffix in ("", "-wal", "-shm"):
             path = self._path + suffix
             if os.path.exists(path):
-                os.replace(path, path + SET_ASIDE)
+                os.replace(path, path + DAMAGED_SUFFIX)
 
     def load(self) -> dict[str, Any]:
-        """All values."""
+        """Return all stored values by key."""
         rows = self._connection.execute("SELECT key, value FROM record").fetchall()
         return {key: msgpack.unpackb(value) for key, value in rows}
 
     def save(self, changes: Mapping[str, Any]) -> None:
-        """Write the values in one transaction and sync it; `DiskFailed` where that was not done."""
+        """Write the values in one synced transaction; raises `DiskWriteError` if it fails."""
         connection = self._connection
         try:
             connection.execute("BEGIN IMMEDIATE")
@@ -74,16 +76,17 @@
             connection.execute("COMMIT")
         except sqlite3.Error as failed:
             self._roll_back()
-            raise DiskFailed(str(failed)) from failed
+            raise DiskWriteError(str(failed)) from failed
 
     def _roll_back(self) -> None:
-        """End a transaction that failed; SQLite may have done so by itself."""
+        """Roll back a failed transaction, unless SQLite has already done so."""
         if not self._connection.in_transaction:
             return
         try:
             self._connection.execute("ROLLBACK")
         except sqlite3.Error:
-            pass  # the next save fails on its BEGIN and is reported in its turn
+            pass  # the next save fails at BEGIN and reports the error
 
     def close(self) -> None:
+        """Close the database file."""
         self._connection.close()
--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -191,7 +191,7 @@
                         )
                         call.on_attempt_ended(now(), number, ATTEMPT_ENDS[exchange.end], took, served, load)
                         if served and answer:
-                            lines = http.passed_on(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
+                            lines = http.forwarded_headers(answer, protocol.BETWEEN_BACKEND_AND_AGENT)
                             self._answer("fulfilled", protocol.SERVED, answer.body, lines)
                     case RateLimit(retry_after):
                         self._rate_limit(retry_after)
@@ -288,7 +288,7 @@
         if self.answered.done() or self._streaming is not None or exchange.answer is None:
             in_flight.task.cancel()
             return False
-        lines = http.passed_on(exchange.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
+        lines = http.forwarded_headers(exchange.answer, protocol.BETWEEN_BACKEND_AND_AGENT)
         if not exchange.stream_to(self._answers.begin_answer(protocol.SERVED, lines, exchange.length)):
             return False  # its end is handled as that of an attempt without an answer
         self._streaming = number
@@ -327,7 +327,7 @@
 
 def compose(request: http.Message, left: float, length: int | None) -> bytes:
     """The head of the forwarded request, with `left` s as deadline; `length` of the body, None if chunked."""
-    headers = http.passed_on(request, protocol.BETWEEN_CLIENT_AND_AGENT)
+    headers = http.forwarded_headers(request, protocol.BETWEEN_CLIENT_AND_AGENT)
     headers.append(memoryview(protocol.DEADLINE_LINE % max(0.001, left)))
     return http.request(request.method, request.target, headers, request.headers.get(b"host", b""), length)
 
--- a/lupinreach/net/directory.py
+++ b/lupinreach/net/directory.py
@@ -193,9 +193,9 @@
         try:
             async with asyncio.timeout(silence):
                 head = await http.read_head(channel, answer=True)
-            if head.first[2] != 200 or not head.chunked:
+            if head.start_line[2] != 200 or not head.chunked:
                 raise ConnectionEnded(ConnectionEnd.ERROR_STATUS)
-            chunks, line = http.Chunks(bound=False), bytearray()
+            chunks, line = http.ChunkedDecoder(bound=False), bytearray()
             while True:
                 pieces, used = chunks.feed(memoryview(channel.buffer)[channel.start : channel.end])
                 channel.start += used
@@ -222,7 +222,7 @@
             self._sockets,
             address,
             WATCH_TIMEOUT_HEARTBEATS * protocol.WATCH_HEARTBEAT_MS,
-            http.MOST_HEAD + MAX_LIST_BYTES,
+            http.MAX_HEAD_BYTES + MAX_LIST_BYTES,
         )
         channel.write(http.request(b"GET", target, (), host))
         return channel
--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -169,7 +169,12 @@
 
     def _release(self, channel: Channel) -> None:
         # A connection with a partly read answer or with unexpected input is not reused.
-        if self._answer_complete and self.answer is not None and self.answer.keeps and not channel.has_input:
+        if (
+            self._answer_complete
+            and self.answer is not None
+            and self.answer.keep_alive
+            and not channel.has_input
+        ):
             self._pool.release(channel, self._place)
         else:
             self._pool.discard(channel, self.end)
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -7,17 +7,17 @@
 
 from lupinreach.http1.message import (
     CONTINUE,
-    MOST_HEAD,
-    Chunks,
+    MAX_HEAD_BYTES,
+    ChunkedDecoder,
     Head,
     Message,
     Slice,
-    answer,
-    answer_head,
+    forwarded_headers,
     message,
     parse_head,
-    passed_on,
     request,
+    response,
+    response_head,
 )
 from lupinreach.net.channel import Channel
 from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
@@ -25,17 +25,17 @@
 __all__ = [
     "CONTINUE",
     "SINGLE_BUFFER_BODY_BYTES",
-    "MOST_HEAD",
+    "MAX_HEAD_BYTES",
     "Body",
-    "Chunks",
+    "ChunkedDecoder",
     "Head",
     "Message",
     "Slice",
-    "answer",
+    "response",
     "answer_body",
-    "answer_head",
+    "response_head",
     "message",
-    "passed_on",
+    "forwarded_headers",
     "read_answer",
     "read_answer_head",
     "read_body",
@@ -76,7 +76,7 @@
         self.done = self.length == 0
         self._channel = channel
         self._max_bytes = max_bytes
-        self._chunks = Chunks() if head.chunked else None
+        self._chunks = ChunkedDecoder() if head.chunked else None
 
     def take_available(self) -> list[Slice]:
         """The bytes that have arrived and were not taken yet."""
@@ -144,17 +144,17 @@
     """Read the head of the final answer; a limited number of interim answers is skipped."""
     for _ in range(MAX_INTERIM_ANSWERS + 1):
         head = await read_head(channel, answer=True)
-        if head.first[2] >= 200:
+        if head.start_line[2] >= 200:
             return head
     raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
 
 
 def answer_body(channel: Channel, head: Head, max_bytes: int) -> Body:
     """The body of an answer, framed as its head says."""
-    if head.first[2] in (204, 304):
+    if head.start_line[2] in (204, 304):
         head.length, head.chunked = 0, False
     until_close = head.length is None and not head.chunked
-    if until_close and head.keeps:
+    if until_close and head.keep_alive:
         # A body without a length ends with its connection, but the head announces keep-alive: whether it is
         # complete could not be told.
         raise ConnectionEnded(ConnectionEnd.CLOSED_EARLY)
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -48,7 +48,7 @@
     def __init__(self, serving: Serving, listener: Listener, sock: socket.socket) -> None:
         self._serving = serving
         self._listener = listener
-        self.channel = Channel(sock, http.MOST_HEAD + http.SINGLE_BUFFER_BODY_BYTES)
+        self.channel = Channel(sock, http.MAX_HEAD_BYTES + http.SINGLE_BUFFER_BODY_BYTES)
         self.since = serving.clock.now()  # ms; time of the accept or of the end of the last call
         self.fresh = True  # nothing was received yet
         self._keep_alive = True  # as the last request asked for
@@ -92,7 +92,7 @@
             head = await http.read_head(channel, answer=False)
             if b"expect" in head.headers and channel.start == channel.end:  # the client may wait for a 100
                 channel.write(http.CONTINUE)
-            self._http10 = head.old
+            self._http10 = head.is_http10
             self._body_since = self._serving.clock.now()
             request = http.message(head, b"")
             upload = await self._read_body(head, request)
@@ -111,7 +111,7 @@
             self._release(upload)
             # The protocol allows one request at a time; guards against hundreds of pipelined requests.
             raise BadRequest("more has come than one request")
-        self._keep_alive = request.keeps
+        self._keep_alive = request.keep_alive
         arrived = self._serving.clock.now() - channel.ms_since_receive  # time of its last byte
         if request.target == protocol.READY_PATH:
             self._release(upload)
@@ -166,7 +166,7 @@
         self, status: int, lines: Sequence[http.Slice | bytes] = (), body: http.Slice | bytes = b""
     ) -> None:
         """Write a complete answer."""
-        self._writing = self.channel.write(http.answer(status, lines, body, self._decide_keep_alive()))
+        self._writing = self.channel.write(http.response(status, lines, body, self._decide_keep_alive()))
 
     def begin_answer(self, status: int, lines: Sequence[http.Slice | bytes], length: int | None) -> Reply:
         """Start an answer whose body is streamed."""
@@ -267,7 +267,9 @@
 
     def send_refusal(self, status: int, why: str) -> None:
         """Write an error answer that closes the connection."""
-        self.channel.write(http.answer(status, [b"Content-Type: text/plain\r\n"], why.encode(), keeps=False))
+        self.channel.write(
+            http.response(status, [b"Content-Type: text/plain\r\n"], why.encode(), keep_alive=False)
+        )
 
 
 class Listener:
--- a/lupinreach/net/pool.py
+++ b/lupinreach/net/pool.py
@@ -30,7 +30,7 @@
     sockets: Sockets,
     address: Address,
     timeout_ms: float,
-    max_unread: int = http.MOST_HEAD + http.SINGLE_BUFFER_BODY_BYTES,
+    max_unread: int = http.MAX_HEAD_BYTES + http.SINGLE_BUFFER_BODY_BYTES,
     stall_timeout: float = inf,
 ) -> Channel:
     """Open a connection within `timeout_ms`; raises ConnectionEnded."""
@@ -115,7 +115,7 @@
                 self._sockets,
                 place.address,
                 self._connect_timeout,
-                http.MOST_HEAD + http.SINGLE_BUFFER_BODY_BYTES,
+                http.MAX_HEAD_BYTES + http.SINGLE_BUFFER_BODY_BYTES,
                 STALL_FRACTION * self._connect_timeout / 1000,
             )
         except BaseException:
--- a/lupinreach/net/reply.py
+++ b/lupinreach/net/reply.py
@@ -37,7 +37,7 @@
             if self._chunked
             else (b"" if length is None else b"Content-Length: %d\r\n" % length)
         )
-        self._head = http.answer_head(status, lines, keep_alive, framing)
+        self._head = http.response_head(status, lines, keep_alive, framing)
 
     async def write(self, piece: http.Slice | bytes) -> None:
         """Write a piece of the body, the first one with the head; raises ClientDisconnected."""
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -74,7 +74,7 @@
         feed = Feed(*split(rng, raw + b"GET"))
         got = run(request(feed))
         assert (got.method, got.target, bytes(got.body)) == (b"POST", b"/a?b", body)
-        assert {k: bytes(got.headers[k]) for k in headers} == headers and got.keeps
+        assert {k: bytes(got.headers[k]) for k in headers} == headers and got.keep_alive
         left = bytes(feed.buffer[feed.start :]) + b"".join(feed.pieces)
         assert left == b"GET"  # the bytes after the message are not consumed
 
@@ -146,9 +146,9 @@
 
 def test_sizes_are_limited():
     post = b"POST / HTTP/1.1\r\n"
-    assert end_of(request(Feed(post + b"A: " + b"x" * http.MOST_HEAD))) is ConnectionEnd.TOO_LARGE
+    assert end_of(request(Feed(post + b"A: " + b"x" * http.MAX_HEAD_BYTES))) is ConnectionEnd.TOO_LARGE
     assert end_of(request(Feed(post + b"Content-Length: 101\r\n\r\n"))) is ConnectionEnd.TOO_LARGE
-    endless = post + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"A: trailer\r\n" * http.MOST_HEAD
+    endless = post + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"A: trailer\r\n" * http.MAX_HEAD_BYTES
     assert end_of(request(Feed(endless))) is ConnectionEnd.TOO_LARGE
     many = b"".join(b"1\r\nx\r\n" for _ in range(101))
     assert (
@@ -173,8 +173,8 @@
     interim = b"HTTP/1.1 100 Continue\r\n\r\n"
     assert answer(interim + b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").body == b"ok"
     assert answer(b"HTTP/1.1 204\r\n\r\n").body == b""
-    assert not answer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: Close\r\n\r\n").keeps
-    assert not answer(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").keeps
+    assert not answer(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: Close\r\n\r\n").keep_alive
+    assert not answer(b"HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").keep_alive
     for cut in (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", b"HTTP/1.1 200 OK\r\n\r\nno end told"):
         assert end_of(http.read_answer(Feed(cut), 100)) is ConnectionEnd.CLOSED_EARLY
 
@@ -184,4 +184,6 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: 5\r\nA: 1\r\nB: 2\r\nC: 3\r\n"
         b"Connection: keep-alive, c\r\n\r\n"
     )
-    assert got.keeps and [bytes(line) for line in http.passed_on(got, frozenset((b"b",)))] == [b"A: 1\r\n"]
+    assert got.keep_alive and [bytes(line) for line in http.forwarded_headers(got, frozenset((b"b",)))] == [
+        b"A: 1\r\n"
+    ]
