--- a/lupinreach/bed/peers/messages.py
+++ b/lupinreach/bed/peers/messages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.http import Head, parse_head
 
 MAX_MESSAGE_BYTES = 4 << 20
@@ -22,13 +22,13 @@
         return bool(self._buffer) or self._head is not None
 
     def feed(self, data: bytes) -> list[tuple[Head, bytes]]:
-        """Returns the messages that are complete with this data. Raises Ended if the data is not HTTP."""
+        """Returns the messages that are complete with this data. Raises ConnectionEnded if the data is not HTTP."""
         if self._head is None and self._buffer:
             # Slices of the last head still reference the old buffer, which therefore can't be resized.
             self._buffer = bytearray(self._buffer)
         self._buffer += data
         if len(self._buffer) > MAX_MESSAGE_BYTES:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         messages: list[tuple[Head, bytes]] = []
         while True:
             if self._head is None:
--- a/lupinreach/bed/peers/servers.py
+++ b/lupinreach/bed/peers/servers.py
@@ -20,7 +20,7 @@
 from lupinreach.bed.world.spec import RegistrySpec, World
 from lupinreach.model import Idempotency
 from lupinreach.net import protocol
-from lupinreach.net.ends import Ended
+from lupinreach.net.connection_end import ConnectionEnded
 from lupinreach.net.http import Head
 
 RequestLookup = Callable[[str], tuple[int, int, int] | None]  # request id -> agent, its incarnation, product
@@ -198,7 +198,7 @@
             return
         try:
             messages = self._reader.feed(data)
-        except Ended:
+        except ConnectionEnded:
             self._transport.abort()
             return
         self._busy = True
@@ -386,7 +386,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             messages = self._reader.feed(data)
-        except Ended:
+        except ConnectionEnded:
             self._transport.abort()
             return
         for head, _ in messages:
@@ -450,7 +450,7 @@
     def _send_heartbeat(self) -> None:
         if self in self._host.connections:
             self._write_chunk(b"")
-            self._host.environment.loop.call_later(protocol.BEAT / 1000, self._send_heartbeat)
+            self._host.environment.loop.call_later(protocol.WATCH_HEARTBEAT_MS / 1000, self._send_heartbeat)
 
     def abort(self) -> None:
         self._transport.abort()
--- a/lupinreach/mesh/server.py
+++ b/lupinreach/mesh/server.py
@@ -13,7 +13,7 @@
 from lupinreach.mesh.link import Address, tune
 from lupinreach.mesh.reader import CompleteMessage, MessageReader
 from lupinreach.mesh.tasks import spawn
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 MAX_PIPELINED_REQUESTS = 16  # requests read ahead per connection
 TIMEOUT_SWEEP_INTERVAL_S = 0.5
@@ -266,7 +266,7 @@
                 return
             try:
                 whole = self._reader.next()
-            except Ended as ended:
+            except ConnectionEnded as ended:
                 self._reject_invalid(ended)
                 return
             if whole is None:
@@ -358,8 +358,8 @@
             self._paused = True
             self._transport.pause_reading()
 
-    def _reject_invalid(self, ended: Ended) -> None:
-        if ended.end is not End.TOO_LARGE:
+    def _reject_invalid(self, ended: ConnectionEnded) -> None:
+        if ended.end is not ConnectionEnd.TOO_LARGE:
             self._reject(ErrorKind.MALFORMED)
         elif self._reader.head is None:
             self._reject(ErrorKind.HEAD_TOO_LARGE)
--- a/lupinreach/net/peers.py
+++ b/lupinreach/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between agents, where the settings allow them. They may be late or lost."""
+"""Datagrams between agents, where the settings allow them. Delivery is not guaranteed."""
 
 from __future__ import annotations
 
@@ -8,55 +8,60 @@
 
 from lupinreach.config import Address
 from lupinreach.net.counters import Counters
-from lupinreach.net.protocol import MOST_DATAGRAM
+from lupinreach.net.protocol import MAX_DATAGRAM_BYTES
 from lupinreach.net.sockets import Sockets
 
 
 class Peers(asyncio.DatagramProtocol):
-    """The agents of this tier, by number."""
+    """Sends to and receives from the other agents, numbered by their position in the configuration."""
 
     def __init__(
         self,
         peers: tuple[Address, ...],
-        everybody: Address | None,
+        broadcast_address: Address | None,
         counters: Counters,
-        heard: Callable[[int, bytes], None],
+        on_message: Callable[[int, bytes], None],
     ) -> None:
         self._addresses = peers
-        self._numbers = {address: number for number, address in enumerate(peers)}
-        self._everybody = everybody
+        self._peer_numbers = {address: number for number, address in enumerate(peers)}
+        self._broadcast_address = broadcast_address
         self._counters = counters
-        self._heard = heard
+        self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self, sockets: Sockets, address: Address) -> None:
+        """Bind the address; raises OSError."""
         await sockets.datagrams(lambda: self, address)
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        number = self._numbers.get(addr[:2])
-        if number is None or len(data) > MOST_DATAGRAM:
+        number = self._peer_numbers.get(addr[:2])
+        if number is None or len(data) > MAX_DATAGRAM_BYTES:
             self._counters.others["datagrams ignored"] += 1
             return
         self._counters.others["datagrams heard"] += 1
-        self._heard(number, data)
+        self._on_message(number, data)
 
     def error_received(self, exc: Exception) -> None:
         self._counters.others["datagrams failed"] += 1
 
-    def tell(self, message: bytes) -> None:
-        """Send to all; a longer message than allowed is none."""
-        if self._transport is None or self._everybody is None or len(message) > MOST_DATAGRAM:
+    def broadcast(self, message: bytes) -> None:
+        """Send to all peers; a message over the size limit is dropped."""
+        if self._transport is None or self._broadcast_address is None or len(message) > MAX_DATAGRAM_BYTES:
             self._counters.others["datagrams not sent"] += 1
             return
         self._counters.others["datagrams sent"] += 1
-        self._transport.sendto(message, self._everybody)
+        self._transport.sendto(message, self._broadcast_address)
 
     def send(self, number: int, message: bytes) -> None:
-        """Send to one peer; to a number that there is none of, nothing goes."""
-        if self._transport is None or not 0 <= number < len(self._addresses) or len(message) > MOST_DATAGRAM:
+        """Send to one peer; a message to an unknown number or over the size limit is dropped."""
+        if (
+            self._transport is None
+            or not 0 <= number < len(self._addresses)
+            or len(message) > MAX_DATAGRAM_BYTES
+        ):
             self._counters.others["datagrams not sent"] += 1
             return
         self._counters.others["datagrams sent"] += 1
@@ -64,5 +69,6 @@
         self._transport.sendto(message, self._addresses[number])
 
     def close(self) -> None:
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
--- a/lupinreach/net/upload.py
+++ b/lupinreach/net/upload.py
@@ -1,7 +1,8 @@
-"""A request that is too long to be kept: it goes on to one backend while it comes, all but its last bytes.
+"""Forwards a request beyond the memory limits to one backend while it is read, but for its last bytes.
 
-A backend begins a request when its last byte has come. So what goes ahead is no shot yet, has never run, and ends
-for good with its connection; the shot is the last bytes, and begins when the module orders it.
+A backend starts a request when it has received the last byte. Until then there is no attempt, nothing has
+run, and closing the connection drops the request. The attempt consists of the last bytes and starts when the
+module sends it.
 """
 
 from __future__ import annotations
@@ -11,65 +12,68 @@
 
 from lupinreach.net import http
 from lupinreach.net.channel import Channel
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.pool import Place, Pool
 
 
-class Stopped(Exception):
-    """The backend takes no more of it. Nothing ran."""
+class UploadStopped(Exception):
+    """The backend does not accept the rest of the upload. The request has not run."""
 
 
 class Upload:
-    """What went ahead, until the shot takes it over or it is let go."""
+    """A forwarded request, until the attempt takes over its connection or it is discarded."""
 
     def __init__(self, pool: Pool, place: Place, chunked: bool) -> None:
         self._pool = pool
         self._chunked = chunked
         self._channel: Channel | None = None
         self.place = place
-        self.tail: bytes = b""  # what makes it whole
+        self.tail: bytes = b""  # the last bytes, which complete the request
 
     async def run(
         self,
         head: bytes,
-        begun: bytes | bytearray,
+        received: bytes | bytearray,
         body: http.Body,
-        came: Callable[[int], None],
-        within: float,
+        on_progress: Callable[[int], None],
+        timeout_s: float,
     ) -> None:
-        """Send it ahead; each write may take so many s. Raises Stopped for the backend's end, Ended for the client's."""
+        """Forward all but the last bytes; each write may take `timeout_s`.
+
+        Raises UploadStopped if the backend's connection ends, ConnectionEnded if the client's does.
+        """
         try:
-            self._channel = await self._pool.take(self.place)
-        except Ended:
-            raise Stopped from None
-        await self._write(head, within)
-        last = bytes(begun)
-        del begun
+            self._channel = await self._pool.acquire(self.place)
+        except ConnectionEnded:
+            raise UploadStopped from None
+        await self._write(head, timeout_s)
+        held_back = bytes(received)
+        del received
         while not body.done:
-            await body.more()
-            came(body.size)
-            for piece in body.here():
-                await self._write(self._framed(last), within)
-                last = bytes(piece)
-        self.tail = self._framed(last) + (b"0\r\n\r\n" if self._chunked else b"")
+            await body.wait_more()
+            on_progress(body.size)
+            for piece in body.take_available():
+                await self._write(self._frame(held_back), timeout_s)
+                held_back = bytes(piece)
+        self.tail = self._frame(held_back) + (b"0\r\n\r\n" if self._chunked else b"")
 
-    def _framed(self, piece: bytes) -> bytes:
+    def _frame(self, piece: bytes) -> bytes:
         return b"%x\r\n%s\r\n" % (len(piece), piece) if self._chunked and piece else piece
 
-    async def _write(self, data: bytes, within: float) -> None:
+    async def _write(self, data: bytes, timeout_s: float) -> None:
         assert self._channel is not None
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 await self._channel.write(data)
         except (OSError, TimeoutError):
-            raise Stopped from None
+            raise UploadStopped from None
 
-    def take(self) -> Channel | None:
-        """The connection, for the shot that ends it; None once it was taken."""
+    def take_channel(self) -> Channel | None:
+        """Hand the connection over to the attempt; None if it has been taken already."""
         channel, self._channel = self._channel, None
         return channel
 
-    def let_go(self) -> None:
-        """End what no shot took over."""
-        if (channel := self.take()) is not None:
-            self._pool.discard(channel, End.CALLED_OFF_SENDING)
+    def discard(self) -> None:
+        """Close the connection unless an attempt has taken it over."""
+        if (channel := self.take_channel()) is not None:
+            self._pool.discard(channel, ConnectionEnd.SEND_CANCELLED)
--- a/lupinreach/ops/sharing.py
+++ b/lupinreach/ops/sharing.py
@@ -86,7 +86,7 @@
         self._queries_sent = 0  # of this incarnation
         self.stage = Freshness.FRESH
         if settings.customers:
-            agent.serving.took = self.counts.record_call
+            agent.serving.on_call_accepted = self.counts.record_call
 
     # Datagrams.
 
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -19,7 +19,7 @@
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.model import Idempotency
-from lupinreach.net.ids import Ids, Remembered
+from lupinreach.net.ids import IdPersistence, Ids
 from lupinreach.ops import fleet_agent
 from lupinreach.ops.request_journal import RequestJournal
 from lupinreach.store import records
@@ -150,9 +150,9 @@
 
             async def remember(name):
                 await kept.wait()
-                return Remembered.KEPT
+                return IdPersistence.PERSISTED
 
-            site.agent.serving.remember = remember
+            site.agent.serving.persist_id = remember
             began = asyncio.get_running_loop().time()
             answer = await site.ask(look(kind=b"pay", method=b"POST", body=b"x", deadline=b"0.4"))
             assert answer.startswith(b"HTTP/1.1 502") and asyncio.get_running_loop().time() - began < 0.4
@@ -172,7 +172,7 @@
     """A request journal with a stub agent."""
     product = SimpleNamespace(kind=Idempotency.NON_IDEMPOTENT, timeout=1000.0)
     agent = SimpleNamespace(
-        serving=SimpleNamespace(ids=Ids(), remember=None, longest_wait=40.0),
+        serving=SimpleNamespace(ids=Ids(), persist_id=None, longest_wait=40.0),
         log=SimpleNamespace(event=lambda *_, **__: None),
         counters=SimpleNamespace(others=virtual.Counter()),
         config=SimpleNamespace(settings=SimpleNamespace(products=[product]), fleet=None),
@@ -187,7 +187,8 @@
         disk = MemoryDisk(random_stream(1, "disk"))
         _, journal = journal_of(Store("/a/carried", "a", disk))
         assert (
-            await asyncio.gather(*(journal.record(b"id-%d" % n) for n in range(50))) == [Remembered.KEPT] * 50
+            await asyncio.gather(*(journal.record(b"id-%d" % n) for n in range(50)))
+            == [IdPersistence.PERSISTED] * 50
         )
         disk.lose_power()
         agent, after = journal_of(store := Store("/a/carried", "a", disk))
@@ -210,13 +211,14 @@
         agent, journal = journal_of(store := Store("/a/carried", "a", disk))
         disk.stuck = True
         assert (
-            await journal.record(b"a") is Remembered.KEPT and agent.counters.others["ran: not kept"] == 1
+            await journal.record(b"a") is IdPersistence.PERSISTED
+            and agent.counters.others["ran: not kept"] == 1
         )  # as without a journal
         disk.stuck = False
         while store.put(f"drain/{len(store.state)}", 1):
             pass
         assert (
-            await journal.record(b"b") is Remembered.NOT_NOW
+            await journal.record(b"b") is IdPersistence.UNAVAILABLE
             and agent.counters.others["ran: refused, no room"] == 1
         )
 
