--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -22,7 +22,7 @@
 from lupinreach.model import DedupScope, Idempotency
 
 READY_WITHIN = 5.0  # s for an agent to listen
-SETTLES = 1.5  # x longest client timeout: after the last arrival, until all is answered
+SETTLE_TIMEOUTS = 1.5  # x longest client timeout: after the last arrival, until all is answered
 THIEF = 2000.0  # ms of a thief's on and off together
 BUSY_EVERY = 1000.0  # ms between two times that an agent's event loop is held up
 NOBODY = 1  # a port that nothing listens on
@@ -207,7 +207,9 @@
             if self._progress and number % 64 == 0:
                 self._progress(arrival.at)
         longest = max(p.timeout for p in world.products)
-        await asyncio.sleep(max(0.0, begin + world.length - ground.now()) / 1000 + SETTLES * longest / 1000)
+        await asyncio.sleep(
+            max(0.0, begin + world.length - ground.now()) / 1000 + SETTLE_TIMEOUTS * longest / 1000
+        )
 
     async def _serve(self, host: BackendHost) -> None:
         address = self.ground.addresses.backend(host.backend.number)
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -22,7 +22,7 @@
 from lupinreach.bed.peers.registry import Entry
 from lupinreach.bed.ways.faults import FAULTS
 from lupinreach.bed.ways.loopback import ENDS_WITHIN, LoopbackGround, free_port
-from lupinreach.bed.ways.stage import SETTLES, Stage, text
+from lupinreach.bed.ways.stage import SETTLE_TIMEOUTS, Stage, text
 from lupinreach.bed.ways.stopping import until_stopped
 from lupinreach.bed.world import ledger as books
 from lupinreach.bed.world.ledger import Ledger, Record
@@ -372,7 +372,7 @@
         await asyncio.sleep(BEGINS_IN)
         self._make_trouble()
         longest = max(p.timeout for p in world.products)
-        await asyncio.sleep((begin + world.length - ground.now()) / 1000 + SETTLES * longest / 1000)
+        await asyncio.sleep((begin + world.length - ground.now()) / 1000 + SETTLE_TIMEOUTS * longest / 1000)
         watching.cancel()
 
     def _strike(self, trouble: Trouble, targets: list[int], on: bool) -> None:
@@ -436,7 +436,7 @@
             ground.ledger.note(books.FAULT, ground.now(), what)
         ground.ledger.seal()
         longest = max(p.timeout for p in world.products)
-        played = (world.length + SETTLES * longest) / 1000
+        played = (world.length + SETTLE_TIMEOUTS * longest) / 1000
         took = {"start": round(ended - began - played - BEGINS_IN, 2), "stop": round(closed - ended, 2)}
         merged = ground.merged(ground.ledger.records, until)
         merged.stopped = stopped
