--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -34,7 +34,7 @@
 from lupinreach.config import Address
 
 NAME = b"Req-Id: "
-ENDS_WITHIN = 10.0  # s for an agent to end after its signal
+AGENT_EXIT_TIMEOUT_S = 10.0  # s for an agent to end after its signal
 BACKLOG = 512
 
 
@@ -301,7 +301,7 @@
             self._signal(number, signal.SIGCONT)
             self._signal(number, signal.SIGTERM)
         try:
-            async with asyncio.timeout(ENDS_WITHIN):
+            async with asyncio.timeout(AGENT_EXIT_TIMEOUT_S):
                 await asyncio.gather(*(a.wait() for a in self._agents.values()))
         except TimeoutError:
             for number in self._agents:
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -21,7 +21,7 @@
 from lupinreach.bed.peers.backend import Backend
 from lupinreach.bed.peers.registry import Entry
 from lupinreach.bed.ways.faults import FAULTS
-from lupinreach.bed.ways.loopback import ENDS_WITHIN, LoopbackGround, free_port
+from lupinreach.bed.ways.loopback import AGENT_EXIT_TIMEOUT_S, LoopbackGround, free_port
 from lupinreach.bed.ways.stage import SETTLE_TIMEOUTS, Stage, text
 from lupinreach.bed.ways.stopping import until_stopped
 from lupinreach.bed.world import ledger as books
@@ -363,7 +363,7 @@
             host.boot(cold=False)
             self.registry.set(self.entries[host.backend.number])
         self.registry_host.changed()
-        async with asyncio.timeout(ENDS_WITHIN):
+        async with asyncio.timeout(AGENT_EXIT_TIMEOUT_S):
             await ground.all_booted.wait()
         for first in range(0, world.agents, 16):
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
