--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -29,7 +29,7 @@
 UNDRAINED = 0.05  # s between the end of a drain and the end of its process
 
 
-def text(address: Address) -> str:
+def format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -156,7 +156,7 @@
             Entry(
                 f"b-{b.number:04x}{suffix}",
                 b.number,
-                text(self.ground.addresses.backend(b.number)),
+                format_address(self.ground.addresses.backend(b.number)),
                 self.world.zones[b.zone],
                 kind,
                 b.cell,
@@ -235,8 +235,8 @@
         known, at = self.registry.whole(), self.ground.addresses
         raw = {
             "name": f"agent-{n}",
-            "listen": text(at.agent(n)),
-            "discovery": text(at.registry(n)),
+            "listen": format_address(at.agent(n)),
+            "discovery": format_address(at.registry(n)),
             "seed": f"{int(stream(self._seed, 'agent', n, life).integers(1 << 48)):x}",
             "limits": {"sockets": self.world.sockets},
             "known": {
@@ -248,9 +248,9 @@
         }
         if self.world.limits.peers:
             raw |= {
-                "peer_listen": text(at.peer(n)),
-                "peers_all": text(at.everybody()),
-                "peers": [text(at.peer(i)) for i in range(self.world.agents)],
+                "peer_listen": format_address(at.peer(n)),
+                "peers_all": format_address(at.everybody()),
+                "peers": [format_address(at.peer(i)) for i in range(self.world.agents)],
             }
         if self.world.store:
             raw["store"] = {"file": self.ground.carried(n)} | ({"ran": True} if self.world.ran else {})
@@ -558,11 +558,11 @@
                 # Where nobody sends and with a registry that refuses: what it can touch is the disk.
                 where = self.ground.addresses.twin(n)
                 raw = self._told(n, self._raw(n, 0)) | {
-                    "listen": text(where),
-                    "discovery": text((where[0], NOBODY)),
+                    "listen": format_address(where),
+                    "discovery": format_address((where[0], NOBODY)),
                 }
                 if "peer_listen" in raw:
-                    raw["peer_listen"] = text((where[0], where[1] + 1))
+                    raw["peer_listen"] = format_address((where[0], where[1] + 1))
                 self._run(self.ground.start_twin(n, raw))
             elif self._twinned[n] is t:
                 del self._twinned[n]
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -22,7 +22,7 @@
 from lupinreach.bed.peers.registry import Entry
 from lupinreach.bed.ways.faults import FAULTS
 from lupinreach.bed.ways.loopback import AGENT_EXIT_TIMEOUT_S, LoopbackGround, free_port
-from lupinreach.bed.ways.stage import SETTLE_TIMEOUTS, Stage, text
+from lupinreach.bed.ways.stage import SETTLE_TIMEOUTS, Stage, format_address
 from lupinreach.bed.ways.stopping import until_stopped
 from lupinreach.bed.world import ledger as books
 from lupinreach.bed.world.ledger import Ledger, Record
@@ -174,7 +174,7 @@
 
     def wire(self, agent: int, entry: Entry) -> dict[str, Any]:
         return entry.wire() | {
-            "endpoint": text(self._stage.ground.addresses.backend_for(agent, entry.backend))
+            "endpoint": format_address(self._stage.ground.addresses.backend_for(agent, entry.backend))
         }
 
 
@@ -334,7 +334,7 @@
             Entry(
                 f"b-{b.number:04x}{suffix}",
                 b.number,
-                text(address),
+                format_address(address),
                 self.world.zones[b.zone],
                 kind,
                 b.cell,
@@ -345,11 +345,11 @@
     def _told(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
         """Everything that it knows others by is the relay's."""
         at = self.ground.addresses
-        raw = raw | {"discovery": text(at.registry_for(n))}
+        raw = raw | {"discovery": format_address(at.registry_for(n))}
         if self.world.limits.peers:
             raw |= {
-                "peers_all": text(at.everybody_for(n)),
-                "peers": [text(at.peer_for(n, other)) for other in range(self.world.agents)],
+                "peers_all": format_address(at.everybody_for(n)),
+                "peers": [format_address(at.peer_for(n, other)) for other in range(self.world.agents)],
             }
         return raw
 
