--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -220,7 +220,7 @@
         life = self.agents[n]
         self.clients[n].life = life
         known = self.registry.whole()
-        raw = self._told(n, self._raw(n, life))
+        raw = self._adapt_agent_config(n, self._agent_config(n, life))
         self.registry_host.told(n, self.registry.version, known, True)
         self.ground.ledger.note(books.AGENT, self.ground.now(), n, life, "started")
         async with asyncio.timeout(READY_WITHIN):
@@ -230,7 +230,7 @@
         self.up.add(n)
         self._begins.discard(n)
 
-    def _raw(self, n: int, life: int) -> dict[str, Any]:
+    def _agent_config(self, n: int, life: int) -> dict[str, Any]:
         """What an agent is told at its start."""
         known, at = self.registry.whole(), self.ground.addresses
         raw = {
@@ -260,7 +260,7 @@
             raw["carry"] = {"file": self.ground.carried(n), "most_age_s": self.world.carry}
         return raw
 
-    def _told(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
+    def _adapt_agent_config(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
         """What an agent is told at its start, where others than the stage stand between it and its peers."""
         return raw
 
@@ -557,7 +557,7 @@
                 self._twinned[n] = t
                 # Where nobody sends and with a registry that refuses: what it can touch is the disk.
                 where = self.ground.addresses.twin(n)
-                raw = self._told(n, self._raw(n, 0)) | {
+                raw = self._adapt_agent_config(n, self._agent_config(n, 0)) | {
                     "listen": format_address(where),
                     "discovery": format_address((where[0], NOBODY)),
                 }
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -342,7 +342,7 @@
             )
         )
 
-    def _told(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
+    def _adapt_agent_config(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
         """Everything that it knows others by is the relay's."""
         at = self.ground.addresses
         raw = raw | {"discovery": format_address(at.registry_for(n))}
