--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -116,7 +116,7 @@
         self.hosts: list[BackendHost] = []
         self.entries: list[Entry] = []
         for b, kind in zip(fleet.backends, fleet.kinds, strict=True):
-            self._add(b, kind)
+            self._add_host(b, kind)
         self._starting: dict[
             asyncio.Task[None], None
         ] = {}  # agents that come back; each leaves when it is up
@@ -140,7 +140,7 @@
         found = self._asked(name.decode("latin-1"))
         return self._client_machines[found[0]] if found else None
 
-    def _add(self, b: Backend, kind: str, suffix: str = "") -> BackendHost:
+    def _add_host(self, b: Backend, kind: str, suffix: str = "") -> BackendHost:
         machine = Machine(f"backend {b.number}", b.zone)
         host = BackendHost(
             self.ground,
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -326,7 +326,7 @@
         self.registry_host = RemoteRegistry(self)  # type: ignore[assignment]
         ground.fell = lambda n: self._fell(self.hosts[n])
 
-    def _add(self, b: Backend, kind: str, suffix: str = "") -> Any:
+    def _add_host(self, b: Backend, kind: str, suffix: str = "") -> Any:
         machine = Machine(f"backend {b.number}", b.zone)
         self.hosts.append(RemoteBackend(self.ground, b, machine))  # type: ignore[arg-type]
         address = self.ground.addresses.backend(b.number)
