--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -149,7 +149,7 @@
             machine,
             stream(self._seed, "backend", b.number),
             self._asked,
-            self._fell,
+            self._on_overload_crash,
         )
         self.hosts.append(host)
         self.entries.append(
@@ -482,7 +482,7 @@
         self.hosts[n].boot(cold=True)
         self._announce(n, state="Ready", boot=int(self.ground.now()))
 
-    def _fell(self, host: BackendHost) -> None:
+    def _on_overload_crash(self, host: BackendHost) -> None:
         """Pushed over: it stays down."""
         host.backend.up = False
         self.ground.loop.call_soon(self._die, host.backend.number)
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -324,7 +324,7 @@
     def __init__(self, world: World, seed: int, ground: RigGround) -> None:
         super().__init__(world, seed, ground)
         self.registry_host = RemoteRegistry(self)  # type: ignore[assignment]
-        ground.fell = lambda n: self._fell(self.hosts[n])
+        ground.fell = lambda n: self._on_overload_crash(self.hosts[n])
 
     def _add_host(self, b: Backend, kind: str, suffix: str = "") -> Any:
         machine = Machine(f"backend {b.number}", b.zone)
