--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -197,7 +197,7 @@
         self._agent_of = [a.agent for a in calls]
         begin = ground.now()
         loop = ground.loop
-        self._make_trouble()
+        self._schedule_troubles()
         loop.call_later(SAMPLE / 1000, self._sample)
         for number, arrival in enumerate(calls):
             wait = begin + arrival.at - ground.now()
@@ -287,7 +287,7 @@
 
     # Troubles.
 
-    def _make_trouble(self) -> None:
+    def _schedule_troubles(self) -> None:
         """All of it, when it is due from now."""
         loop = self.ground.loop
         for number, trouble in enumerate(self.world.troubles):
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -370,7 +370,7 @@
         begin = ground.now() + BEGINS_IN * 1000
         ground.tell_clients({"do": "begin", "at": begin})
         await asyncio.sleep(BEGINS_IN)
-        self._make_trouble()
+        self._schedule_troubles()
         longest = max(p.timeout for p in world.products)
         await asyncio.sleep((begin + world.length - ground.now()) / 1000 + SETTLE_TIMEOUTS * longest / 1000)
         watching.cancel()
