--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -314,14 +314,14 @@
 
     def _begin(self, number: int, trouble: Trouble, targets: list[int]) -> None:
         self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "begins", targets)
-        self._strike(trouble, targets, True)
+        self._apply_trouble(trouble, targets, True)
         self.ground.loop.call_later(trouble.length / 1000, self._end, number, trouble, targets)
 
     def _end(self, number: int, trouble: Trouble, targets: list[int]) -> None:
         self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "ends", targets)
-        self._strike(trouble, targets, False)
+        self._apply_trouble(trouble, targets, False)
 
-    def _strike(self, trouble: Trouble, targets: list[int], on: bool) -> None:
+    def _apply_trouble(self, trouble: Trouble, targets: list[int], on: bool) -> None:
         strike = getattr(self, "_" + trouble.kind.replace("-", "_"), None)
         if strike is not None:
             strike(trouble, targets, on)
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -375,8 +375,8 @@
         await asyncio.sleep((begin + world.length - ground.now()) / 1000 + SETTLE_TIMEOUTS * longest / 1000)
         watching.cancel()
 
-    def _strike(self, trouble: Trouble, targets: list[int], on: bool) -> None:
-        super()._strike(trouble, targets, on)
+    def _apply_trouble(self, trouble: Trouble, targets: list[int], on: bool) -> None:
+        super()._apply_trouble(trouble, targets, on)
         paths = self.ground.paths
         machines = {
             h.machine.name: {k: getattr(h.machine, k) for k in MADE_BY_RELAY}
