--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -454,7 +454,7 @@
         self.registry.set(entry)
         self.registry_host.changed()
 
-    def _learn_missed(self) -> None:
+    def _replay_missed_changes(self) -> None:
         """The registry is back: what changed meanwhile reaches it after its lag, as any change does."""
         missed, self._missed = self._missed, {}
         for uid, n in missed.items():
@@ -528,7 +528,7 @@
             self.registry_host.down()
         else:
             self.registry.up = True
-            self._learn_missed()
+            self._replay_missed_changes()
         self.ground.shut(self._registry_machine, on)
 
     def _registry_back(self, t: Trouble, targets: list[int], on: bool) -> None:
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -400,7 +400,7 @@
     def _registry_down(self, t: Trouble, targets: list[int], on: bool) -> None:
         self.registry.up = not on
         if not on:
-            self._learn_missed()
+            self._replay_missed_changes()
         self.ground.tell_relays({"do": "shut", "name": "registry", "on": on})
         self.registry_host.changed()
 
