--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -91,7 +91,7 @@
         self._chance = stream(seed, "stage")
         fleet = draw(world, seed)
         self.registry = Registry()
-        self.agents = [0] * world.agents  # their lives
+        self.incarnations = [0] * world.agents  # their lives
         self.up: set[int] = set()
         self._begins: set[int] = set()  # agents that are being started; each leaves as it is up
         self._stopping: set[int] = set()  # whose process was told to stop; each leaves as it has ended
@@ -109,7 +109,7 @@
             ground,
             self.registry,
             self._registry_machine,
-            self.agents.__getitem__,
+            self.incarnations.__getitem__,
             self.machine,
             world.registry,
         )
@@ -216,8 +216,8 @@
         await self.ground.serve(address, host.machine, lambda: BackendLine(host))
 
     async def _start_agent(self, n: int) -> None:
-        self.agents[n] += 1
-        life = self.agents[n]
+        self.incarnations[n] += 1
+        life = self.incarnations[n]
         self.clients[n].life = life
         known = self.registry.whole()
         raw = self._adapt_agent_config(n, self._agent_config(n, life))
@@ -631,7 +631,7 @@
         for n in targets:
             killed = how == "killed"
             if on and (n in self.up or (killed and n in self._stopping)):
-                self.ground.ledger.note(books.AGENT, self.ground.now(), n, self.agents[n], how)
+                self.ground.ledger.note(books.AGENT, self.ground.now(), n, self.incarnations[n], how)
                 self.up.discard(n)
                 self._again.discard(n)
                 (self._stopping.discard if killed else self._stopping.add)(n)
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -166,7 +166,7 @@
             books.TOLD,
             ground.now(),
             agent,
-            self._stage.agents[agent],
+            self._stage.incarnations[agent],
             version,
             [[e.backend, e.state] for e in entries],
             whole,
