--- a/lupinreach/bed/ways/disk.py
+++ b/lupinreach/bed/ways/disk.py
@@ -28,7 +28,7 @@
         self._names: dict[str, _File] = {}
         self._kept: dict[str, _File] = {}  # names that were synced
         self._number = 0
-        self.stuck = False  # read-only, or full
+        self.writes_fail = False  # read-only, or full
         self._hangs_until = 0.0  # s, by the loop's clock
 
     def read(self, path: str, most: int) -> bytes:
@@ -37,7 +37,7 @@
         return self._names[path].text[:most]
 
     def write(self, folder: str, text: bytes, sync: bool) -> str:
-        if self.stuck:
+        if self.writes_fail:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         self._number += 1
         fresh = f"{folder}/fresh-{self._number}"
@@ -45,7 +45,7 @@
         return fresh
 
     def append(self, path: str, text: bytes, sync: bool) -> None:
-        if self.stuck:
+        if self.writes_fail:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if path not in self._names:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT))
@@ -131,16 +131,16 @@
             self.file.write_bytes(text)
 
     @property
-    def stuck(self) -> bool:
+    def writes_fail(self) -> bool:
         return not self._path.is_dir()
 
-    @stuck.setter
-    def stuck(self, on: bool) -> None:
+    @writes_fail.setter
+    def writes_fail(self, on: bool) -> None:
         # No rights keep a process of root's from writing: a folder that is a file does.
-        if on and not self.stuck:
+        if on and not self.writes_fail:
             self._path.rename(self._away)
             self._path.write_bytes(b"")
-        elif not on and self.stuck:
+        elif not on and self.writes_fail:
             self._path.unlink()
             self._away.rename(self._path)
 
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -611,7 +611,7 @@
 
     def _disk_stuck(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
-            self.ground.disk(n).stuck = on
+            self.ground.disk(n).writes_fail = on
 
     def _disk_hangs(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -120,9 +120,9 @@
     folder = Folder(tmp_path / "disk-1")
     path = str(folder.file)
     assert folder.copy() is None and replace(path, b"one", True) and folder.copy() == b"one"
-    folder.stuck = True
-    assert not replace(path, b"two", True) and Folder(tmp_path / "disk-1").stuck
-    folder.stuck = False
+    folder.writes_fail = True
+    assert not replace(path, b"two", True) and Folder(tmp_path / "disk-1").writes_fail
+    folder.writes_fail = False
     assert folder.copy() == b"one" and replace(path, b"two", True) and folder.copy() == b"two"
     assert [p.name for p in (tmp_path / "disk-1").iterdir()] == [CARRIED]
 
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -204,11 +204,11 @@
     async def work():
         disk = MemoryDisk(stream(1, "disk"))
         agent, ran = part(store := Store("/a/carried", "a", disk))
-        disk.stuck = True
+        disk.writes_fail = True
         assert (
             await ran.keep(b"a") is Remembered.KEPT and agent.counters.others["ran: not kept"] == 1
         )  # as without it
-        disk.stuck = False
+        disk.writes_fail = False
         while store.put(f"drain/{len(store.state)}", 1):
             pass
         assert (
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -159,12 +159,12 @@
     store = Store(CARRIED, "a", disk, said.append)
     store.put("life", 1)
     assert asyncio.run(store.flush()) and store.well
-    disk.stuck = True
+    disk.writes_fail = True
     for floor in (1, 2, 3):
         store.put("floor", floor)
         assert not asyncio.run(store.flush()) and not store.well
     assert said == ["can't be written"]
-    disk.stuck = False
+    disk.writes_fail = False
     assert asyncio.run(store.flush()) and store.well
     assert Store(CARRIED, "a", disk).open().state == {"life": 1, "floor": 3}
 
