--- a/lupinreach/bed/ways/disk.py
+++ b/lupinreach/bed/ways/disk.py
@@ -11,7 +11,7 @@
 from lupinreach.bed.world.chance import Stream
 from lupinreach.store.files import Disk
 
-CARRIED = "carried"
+STATE_FILE = "carried"
 
 
 class _File:
@@ -95,13 +95,13 @@
     # Faults, as in a folder.
 
     def copy(self) -> bytes | None:
-        file = self._names.get(CARRIED)
+        file = self._names.get(STATE_FILE)
         return file.text if file else None
 
     def put(self, text: bytes | None) -> None:
-        self._names.pop(CARRIED, None)
+        self._names.pop(STATE_FILE, None)
         if text is not None:
-            self._names[CARRIED] = _File(text, len(text))
+            self._names[STATE_FILE] = _File(text, len(text))
         self._kept = dict(self._names)
 
 
@@ -116,7 +116,7 @@
 
     @property
     def file(self) -> Path:
-        return self._path / CARRIED
+        return self._path / STATE_FILE
 
     def copy(self) -> bytes | None:
         try:
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -12,7 +12,7 @@
 from tornado.ioloop import IOLoop
 
 from lupinreach.bed.peers.backend import Backend
-from lupinreach.bed.ways.disk import CARRIED, MemoryDisk
+from lupinreach.bed.ways.disk import STATE_FILE, MemoryDisk
 from lupinreach.bed.ways.faults import FAULTS
 from lupinreach.bed.ways.loop import START, VirtualLoop
 from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySocket, MemorySockets
@@ -206,7 +206,7 @@
         return self._disks.setdefault(number, MemoryDisk(stream(self._seed, "disk", number)))
 
     def carried(self, number: int) -> str:
-        return CARRIED
+        return STATE_FILE
 
     def stop_agent(self, number: int) -> None:
         life = self._lives[number]
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -10,7 +10,7 @@
 from test_trial import SMALL
 
 from lupinreach.balance import Balancer
-from lupinreach.bed.ways.disk import CARRIED, Folder, MemoryDisk
+from lupinreach.bed.ways.disk import STATE_FILE, Folder, MemoryDisk
 from lupinreach.bed.world.chance import stream
 from lupinreach.model import BackendSnapshot, PolicySnapshot
 from lupinreach.ops.carry import Carry, judged
@@ -65,11 +65,11 @@
     for steps in range(4):
         for seed in range(40):
             disk = Stops(stream(seed, "disk"), 9)
-            assert replace(CARRIED, b"old text", sync, disk)
+            assert replace(STATE_FILE, b"old text", sync, disk)
             disk.sync(".")
-            disk._names[CARRIED].safe = len(b"old text")
+            disk._names[STATE_FILE].safe = len(b"old text")
             disk.steps = steps
-            replace(CARRIED, b"a newer text", sync, disk)
+            replace(STATE_FILE, b"a newer text", sync, disk)
             disk.lose_power()
             found.add(disk.copy())
     return found
@@ -124,7 +124,7 @@
     assert not replace(path, b"two", True) and Folder(tmp_path / "disk-1").writes_fail
     folder.writes_fail = False
     assert folder.copy() == b"one" and replace(path, b"two", True) and folder.copy() == b"two"
-    assert [p.name for p in (tmp_path / "disk-1").iterdir()] == [CARRIED]
+    assert [p.name for p in (tmp_path / "disk-1").iterdir()] == [STATE_FILE]
 
 
 @pytest.mark.rig(
@@ -155,7 +155,7 @@
         counters = SimpleNamespace(others=Counter())
 
     async def main():
-        carry = Carry(Agent(), Store(str(tmp_path / CARRIED), "a", Hangs()), 1e4)
+        carry = Carry(Agent(), Store(str(tmp_path / STATE_FILE), "a", Hangs()), 1e4)
         leaves, ticks = asyncio.create_task(carry.leave()), [time.monotonic()]
         while not leaves.done():
             await asyncio.sleep(0.005)
@@ -164,4 +164,4 @@
 
     longest, took = asyncio.run(main())
     assert took >= 0.4 and longest < 0.3
-    assert judged(records.read((tmp_path / CARRIED).read_bytes(), "a").state["learnt"]) == (1000.0, LEARNT)
+    assert judged(records.read((tmp_path / STATE_FILE).read_bytes(), "a").state["learnt"]) == (1000.0, LEARNT)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as some
 from test_disk import Stops
 
-from lupinreach.bed.ways.disk import CARRIED, MemoryDisk
+from lupinreach.bed.ways.disk import STATE_FILE, MemoryDisk
 from lupinreach.bed.world.chance import stream
 from lupinreach.store import records, trust
 from lupinreach.store.records import HEAD, record, whole
@@ -75,7 +75,7 @@
 def test_the_file_of_the_version_before_is_taken_and_written_anew():
     disk = MemoryDisk(stream(1, "disk"))
     disk.put(b'{"form":1,"at":5}')
-    store = Store(CARRIED, "a", disk)
+    store = Store(STATE_FILE, "a", disk)
     assert store.open().state == {"learnt": {"form": 1, "at": 5}}
     store.put("life", 1)
     assert asyncio.run(store.flush())
@@ -107,7 +107,7 @@
     outcomes = 0
     for steps in range(30):
         disk, safe, put = Stops(stream(1, "disk"), steps), {}, [{}]
-        store = Store(CARRIED, "a", disk)
+        store = Store(STATE_FILE, "a", disk)
         state = {}
         for life in range(1, 4):
             for key, value in (("life", life), ("drain/x", life * 10 if life % 2 else None)):
@@ -116,7 +116,7 @@
             put.append(state)
             if asyncio.run(store.flush()):
                 safe = state
-        for text in disk.outcomes(CARRIED):
+        for text in disk.outcomes(STATE_FILE):
             found = records.read(text, "a").state if text is not None else {}
             assert found.get("life", 0) >= safe.get("life", 0)
             # A record is whole or not there: between two flushes any first part of the second's may stand.
@@ -133,16 +133,19 @@
             super().append(path, text, False)
 
     disk = Lazy(stream(1, "disk"))
-    store = Store(CARRIED, "a", disk)
+    store = Store(STATE_FILE, "a", disk)
     for life in (1, 2):
         store.put("life", life)
         assert asyncio.run(store.flush())
-    assert {records.read(t, "a").state.get("life") for t in disk.outcomes(CARRIED) if t is not None} == {1, 2}
+    assert {records.read(t, "a").state.get("life") for t in disk.outcomes(STATE_FILE) if t is not None} == {
+        1,
+        2,
+    }
 
 
 def test_two_processes_on_one_disk_lower_neither_s_life_nor_floor():
     disk = MemoryDisk(stream(1, "disk"))
-    one, two = Store(CARRIED, "a", disk), Store(CARRIED, "a", disk)
+    one, two = Store(STATE_FILE, "a", disk), Store(STATE_FILE, "a", disk)
     one.open(), two.open()
     for store, life in ((one, 4), (two, 6)):
         store.put("life", life)
@@ -150,13 +153,13 @@
     one._appends = False  # its next writing is of the whole file
     one.put("floor", 50)
     assert asyncio.run(one.flush())
-    assert Store(CARRIED, "a", disk).open().state == {"life": 6, "floor": 50}
+    assert Store(STATE_FILE, "a", disk).open().state == {"life": 6, "floor": 50}
 
 
 def test_a_disk_that_fails_is_said_once_and_what_was_put_is_written_when_it_is_back():
     said = []
     disk = MemoryDisk(stream(1, "disk"))
-    store = Store(CARRIED, "a", disk, said.append)
+    store = Store(STATE_FILE, "a", disk, said.append)
     store.put("life", 1)
     assert asyncio.run(store.flush()) and store.well
     disk.writes_fail = True
@@ -166,12 +169,12 @@
     assert said == ["can't be written"]
     disk.writes_fail = False
     assert asyncio.run(store.flush()) and store.well
-    assert Store(CARRIED, "a", disk).open().state == {"life": 1, "floor": 3}
+    assert Store(STATE_FILE, "a", disk).open().state == {"life": 1, "floor": 3}
 
 
 def test_the_file_stays_bounded_and_so_does_what_is_held():
     disk = MemoryDisk(stream(1, "disk"))
-    store = Store(CARRIED, "a", disk)
+    store = Store(STATE_FILE, "a", disk)
     for n in range(400):
         store.put("learnt", [n] * 2000)
         assert asyncio.run(store.flush())
