--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -128,7 +128,7 @@
     name = found.result.breaches[0].name
     for _ in range(ROUNDS):
         better = None
-        for world in smaller(found.world):
+        for world in simplify(found.world):
             better = _shows(world, name, workers)
             if better is not None:
                 break
@@ -155,7 +155,7 @@
     return None
 
 
-def smaller(world: World) -> Iterator[World]:
+def simplify(world: World) -> Iterator[World]:
     """Worlds a step smaller, the greatest steps first."""
     for i in range(len(world.troubles)):
         yield replace(world, troubles=world.troubles[:i] + world.troubles[i + 1 :])
--- a/lupinreach/trial/campaign/hunt.py
+++ b/lupinreach/trial/campaign/hunt.py
@@ -13,7 +13,7 @@
 from math import inf
 from pathlib import Path
 
-from lupinreach.bed.commands.search import smaller
+from lupinreach.bed.commands.search import simplify
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.world.chance import Stream, stream
 from lupinreach.bed.world.spec import to_toml
@@ -216,7 +216,7 @@
 
 
 def _smaller(trial: Trial) -> Iterator[Trial]:
-    for world in smaller(trial.world):
+    for world in simplify(trial.world):
         if world.length == trial.world.length:  # what comes after the last fault is what is looked at
             yield replace(trial, world=world)
 
