--- a/lupinreach/bed/commands/report.py
+++ b/lupinreach/bed/commands/report.py
@@ -109,7 +109,7 @@
     return found
 
 
-def svg(figure: Any) -> str:
+def render_svg(figure: Any) -> str:
     text = io.StringIO()
     figure.savefig(text, format="svg", bbox_inches="tight")
     plt.close(figure)
@@ -117,7 +117,7 @@
     return drawn[drawn.index("<svg") :]
 
 
-def frame(troubles: list[tuple[str, float, float]], label: str, height: float = 2.6) -> tuple[Any, Any]:
+def time_plot(troubles: list[tuple[str, float, float]], label: str, height: float = 2.6) -> tuple[Any, Any]:
     figure, axes = plt.subplots(figsize=(10, height))
     for i, (kind, begin, end) in enumerate(troubles):
         axes.axvspan(begin, end, color="#d8c8a8", alpha=0.45, lw=0)
@@ -137,12 +137,12 @@
 
 def _service(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
     seconds = _by_second(calls)
-    figure, axes = frame(troubles, "share")
+    figure, axes = time_plot(troubles, "share")
     axes.step(
         list(seconds), [service.share(some) for some in seconds.values()], where="post", color="#2a5f9e"
     )
     axes.set_ylim(0, 1.02)
-    return svg(figure)
+    return render_svg(figure)
 
 
 def _latency(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
@@ -150,7 +150,7 @@
     seconds = {s: some for s, some in seconds.items() if some}
     if not seconds:
         return ""
-    figure, axes = frame(troubles, "ms")
+    figure, axes = time_plot(troubles, "ms")
     for share, colour in ((50, "#2a7f62"), (90, "#e0a030"), (99, "#c04040")):
         axes.plot(
             list(seconds),
@@ -160,12 +160,12 @@
         )
     axes.legend(loc="upper right")
     axes.set_ylim(bottom=0)
-    return svg(figure)
+    return render_svg(figure)
 
 
 def _answers(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
     seconds = _by_second(calls)
-    figure, axes = frame(troubles, "API calls a second")
+    figure, axes = time_plot(troubles, "API calls a second")
     below = np.zeros(len(seconds))
     for ending, colour in COLOURS.items():
         some = np.array([sum(c.ending == ending for c in asked) for asked in seconds.values()], dtype=float)
@@ -173,7 +173,7 @@
             axes.bar(list(seconds), some, bottom=below, width=1.0, align="edge", label=ending, color=colour)
             below += some
     axes.legend(loc="upper right")
-    return svg(figure)
+    return render_svg(figure)
 
 
 def _map(records: list[Record], kind: str, label: str, read: Any) -> str:
@@ -196,4 +196,4 @@
     figure.colorbar(drawn, ax=axes, label=label)
     axes.set_xlabel("s")
     axes.set_ylabel("backend")
-    return svg(figure)
+    return render_svg(figure)
--- a/lupinreach/trial/campaign/page.py
+++ b/lupinreach/trial/campaign/page.py
@@ -10,7 +10,7 @@
 
 import matplotlib.pyplot as plt
 
-from lupinreach.bed.commands.report import STYLE, frame, svg
+from lupinreach.bed.commands.report import STYLE, render_svg, time_plot
 from lupinreach.fleet.recovery import Stage
 from lupinreach.trial.campaign import draw
 from lupinreach.trial.campaign.book import Book, History
@@ -88,18 +88,18 @@
     for title, some in (("virtual time", played), ("processes", real)):
         if not some:
             continue
-        figure, area = frame([], "share of the histories")
+        figure, area = time_plot([], "share of the histories")
         times = sorted(back(h) / 1000 for h in some)
         ends = [t for t in times if t < inf]
         area.step(ends, [(i + 1) / len(times) for i in range(len(ends))], where="post", color="#2a5f9e")
         area.set_ylim(0, 1)
         area.set_xlabel("s from the last trigger's end to 0.95 of the possible")
-        plots.append(f"<h2>Times of recovery, {title}</h2>{svg(figure)}")
-    figure, area = frame([], "words reached so far")
+        plots.append(f"<h2>Times of recovery, {title}</h2>{render_svg(figure)}")
+    figure, area = time_plot([], "words reached so far")
     seen: set[str] = set()
     area.plot([len(seen := seen | h.reached) for h in played], color="#2a7f62")
     area.set_xlabel("histories")
-    plots.append(f"<h2>What was reached</h2>{svg(figure)}")
+    plots.append(f"<h2>What was reached</h2>{render_svg(figure)}")
     plt.close("all")
     never = sorted(expected() - met(words))
     kept = "".join(
--- a/lupinreach/trial/report.py
+++ b/lupinreach/trial/report.py
@@ -8,7 +8,7 @@
 
 import matplotlib.pyplot as plt
 
-from lupinreach.bed.commands.report import STYLE, frame, svg
+from lupinreach.bed.commands.report import STYLE, render_svg, time_plot
 from lupinreach.trial.play import Played
 from lupinreach.trial.spec import Trial
 
@@ -30,19 +30,19 @@
     troubles = list(dict.fromkeys(troubles))[:12]
     rows = played[0].seconds
     figures: list[tuple[str, str, Any]] = []
-    figure, area = frame(troubles, "billed value x ms of work a second")
+    figure, area = time_plot(troubles, "billed value x ms of work a second")
     at = range(len(rows))
     area.fill_between(at, [s.asked for s in rows], step="post", color="#e4e4e4", label="asked")
     area.fill_between(at, [s.possible for s in rows], step="post", color="#b8d0e8", label="possible")
     area.step(at, [s.served for s in rows], where="post", color="#2a5f9e", label="served")
     area.legend(loc="lower right")
     figures.append(("Served, possible, asked", "By the second in which the first try was asked.", figure))
-    figure, area = frame(troubles, "shots a second")
+    figure, area = time_plot(troubles, "shots a second")
     area.step(at, [s.shots for s in rows], where="post", label="sent", color="#2a7f62")
     area.step(at, [s.wasted for s in rows], where="post", label="no client got its answer", color="#c04040")
     area.legend(loc="upper right")
     figures.append(("Shots", "To backends, by the second in which they were sent.", figure))
-    figure, area = frame(troubles, "a second")
+    figure, area = time_plot(troubles, "a second")
     area.step(at, [s.queries for s in rows], where="post", color="#806040")
     figures.append(("Words of the registry", "Lists and changes told, over the fleet.", figure))
     names = list(played[0].recovery.plain())
@@ -58,7 +58,7 @@
         for p in played
         for b in p.result.breaches[:5]
     )
-    plots = "".join(f"<h2>{title}</h2><p>{words}</p>{svg(figure)}" for title, words, figure in figures)
+    plots = "".join(f"<h2>{title}</h2><p>{words}</p>{render_svg(figure)}" for title, words, figure in figures)
     plt.close("all")
     return (
         f"<!doctype html><html lang='en'><meta charset='utf-8'><title>{html.escape(trial.world.name)}</title>"
