--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -73,7 +73,9 @@
     def data_received(self, data: bytes) -> None:
         at = data.find(NAME)
         if at >= 0:
-            self._from = self._ground.whose(data[at + len(NAME) : data.find(b"\r", at)]) or self._from
+            self._from = (
+                self._ground.client_machine_of(data[at + len(NAME) : data.find(b"\r", at)]) or self._from
+            )
         self._pass(0, lambda: self._inner.data_received(data))
 
     def _pass(self, way: int, what: Callable[[], None]) -> None:
@@ -141,7 +143,7 @@
         self._agents: dict[int, asyncio.subprocess.Process] = {}
         self._tasks: set[asyncio.Task[Any]] = set()  # each leaves when it ends
         self.waiting: dict[Slowed, None] = {}  # with something held; emptied by `mended`
-        self.whose: Callable[[bytes], Machine | None] = lambda _: None
+        self.client_machine_of: Callable[[bytes], Machine | None] = lambda _: None
         self.ended_badly: list[str] = []
 
     def now(self) -> float:
@@ -339,7 +341,7 @@
     with tempfile.TemporaryDirectory(prefix="lupinreach-bed-") as folder:
         ground = LoopbackGround(world, seed, Path(folder), tree)
         stage = Stage(world, seed, ground, progress)
-        ground.whose = stage.whose
+        ground.client_machine_of = stage.client_machine_of
         if watch is not None:
             watch(stage)
         try:
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -135,7 +135,7 @@
     def machine(self, agent: int) -> Machine:
         return self._client_machines[agent]
 
-    def whose(self, name: bytes) -> Machine | None:
+    def client_machine_of(self, name: bytes) -> Machine | None:
         """The machine of the agent that a try is made through."""
         found = self._asked(name.decode("latin-1"))
         return self._client_machines[found[0]] if found else None
