--- a/benchmarks/drawn_losses.py
+++ b/benchmarks/drawn_losses.py
@@ -115,7 +115,7 @@
         "number": number,
         "verdict": p.verdict,
         "unsure": p.unsure,
-        "breaches": sorted({b.name for b in p.result.breaches}),
+        "breaches": sorted({b.name for b in p.result.violations}),
         "cold_load": round(p.recovery.cold_load, 3),
         "to_draining": p.recovery.to_draining,
         "first_10s": p.recovery.first_10s,
--- a/benchmarks/recovery_parts.py
+++ b/benchmarks/recovery_parts.py
@@ -81,7 +81,7 @@
         "to_draining": played.recovery.to_draining,
         "cold_load": played.recovery.cold_load,
         "queries": played.recovery.queries,
-        "broken": sorted({b.name for b in played.result.breaches}),
+        "broken": sorted({b.name for b in played.result.violations}),
     }
 
 
--- a/benchmarks/shared_worth.py
+++ b/benchmarks/shared_worth.py
@@ -63,7 +63,7 @@
         "whole": sum(s.served for s in rows) / sum(s.possible for s in rows),
         "worst": min(tens),
         "wasted": sum(s.wasted for s in rows) / max(1, sum(s.shots for s in rows)),
-        "breaches": sorted({b.name for b in played.result.breaches}),
+        "breaches": sorted({b.name for b in played.result.violations}),
     }
 
 
--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -198,7 +198,7 @@
                 "digest": r.digest,
                 "rules": r.rules,
                 **r.figures,
-                "breaches": [vars(b) for b in r.breaches],
+                "breaches": [vars(b) for b in r.violations],
             }
             for r in results
         ]
@@ -274,7 +274,7 @@
                 "verdict": "broken" if broken else "kept",
                 "budget": budget,
                 "files": files,
-                "breach": broken.result.breaches[0].name if broken else None,
+                "breach": broken.result.violations[0].name if broken else None,
             }
         )
     )
@@ -283,7 +283,7 @@
 
 def _tell_breaches(results: list[experiment.Result]) -> None:
     for r in results:
-        for b in r.breaches[:MOST_TOLD]:
+        for b in r.violations[:MOST_TOLD]:
             told.print(f"seed {r.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False)
 
 
--- a/lupinreach/bed/commands/experiment.py
+++ b/lupinreach/bed/commands/experiment.py
@@ -24,7 +24,7 @@
     """One run, judged and counted."""
 
     seed: int
-    breaches: list[Breach]
+    violations: list[Breach]
     rules: dict[str, str]
     figures: dict[str, Any]
     digest: str
@@ -32,7 +32,7 @@
 
     @property
     def kept(self) -> bool:
-        return not self.breaches
+        return not self.violations
 
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
--- a/lupinreach/bed/commands/report.py
+++ b/lupinreach/bed/commands/report.py
@@ -85,7 +85,8 @@
         f"<tr><td>{html.escape(k)}</td><td>{html.escape(str(v))}</td></tr>" for k, v in facts.items()
     )
     first = "".join(
-        f"<li>{b.at:.0f} ms: {html.escape(b.name)}: {html.escape(b.what)}</li>" for b in result.breaches[:20]
+        f"<li>{b.at:.0f} ms: {html.escape(b.name)}: {html.escape(b.what)}</li>"
+        for b in result.violations[:20]
     )
     plots = "".join(f"<h2>{title}</h2><p>{words}</p>{svg}" for title, words, svg in figures if svg)
     return (
--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -118,14 +118,14 @@
         told(f"{begin + len(worlds)} worlds, least service {worst[0].result.figures['service']:.3f}")
         broken = [f for f in found if not f.result.kept]
         if broken:
-            told(f"{broken[0].world.name} breaks {broken[0].result.breaches[0].name!r}; shrinking")
+            told(f"{broken[0].world.name} breaks {broken[0].result.violations[0].name!r}; shrinking")
             return shrink(broken[0], workers, told), worst
     return None, worst
 
 
 def shrink(found: Found, workers: int | None = None, told: Callable[[str], None] = lambda _: None) -> Found:
     """The smallest world met that breaks the same rule in the same way."""
-    name = found.result.breaches[0].name
+    name = found.result.violations[0].name
     for _ in range(ROUNDS):
         better = None
         for world in simplify(found.world):
@@ -150,7 +150,7 @@
     """This world on a seed on which it breaks the rule in this way; the seed it has goes first."""
     seeds = [world.seeds[0], *(world.seeds[0] + i for i in range(1, TRIES))]
     for result in run_many([(world, s) for s in seeds], workers):
-        if any(b.name == name for b in result.breaches):
+        if any(b.name == name for b in result.violations):
             return Found(replace(world, seeds=(result.seed,)), result)
     return None
 
--- a/lupinreach/trial/campaign/hunt.py
+++ b/lupinreach/trial/campaign/hunt.py
@@ -67,7 +67,7 @@
         raw,
         played.verdict,
         played.unsure,
-        tuple(sorted({b.name for b in played.result.breaches})),
+        tuple(sorted({b.name for b in played.result.violations})),
         tuple(passed),
         played.recovery.plain(),
         reached,
@@ -201,7 +201,7 @@
         with suppress(BadConfig, ValueError), bounds.watched(some.world.agents) as watch:
             played = play.judge(some, seed, virtual.play(some.world, seed))
             if h.broken:
-                return any(b.name in h.broken for b in played.result.breaches)
+                return any(b.name in h.broken for b in played.result.violations)
             if h.passed:
                 return any(name in h.passed for name in watch.passed)
             return played.recovery.whole <= h.figures["whole"] * 1.05 + 0.02 and played.recovery.whole < 1
--- a/lupinreach/trial/campaign/reach.py
+++ b/lupinreach/trial/campaign/reach.py
@@ -17,7 +17,7 @@
 
 
 def words(world: World, records: Iterable[Record], played: Played, passed: Iterable[str]) -> frozenset[str]:
-    found = {f"broken: {b.name}" for b in played.result.breaches} | {f"passed: {name}" for name in passed}
+    found = {f"broken: {b.name}" for b in played.result.violations} | {f"passed: {name}" for name in passed}
     counted: dict[str, int] = {}
     for r in records:
         if r[0] == "said":
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -109,7 +109,7 @@
         stopped = True
         told.print(f"stopped after {len(played)} of {len(one.world.seeds)} runs")
     for p in played:
-        for b in p.result.breaches[:MOST_TOLD]:
+        for b in p.result.violations[:MOST_TOLD]:
             told.print(f"seed {p.result.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False)
         for line in p.missed:
             told.print(f"seed {p.result.seed}: {line}", markup=False)
@@ -129,7 +129,7 @@
                 "missed": p.missed,
                 "seconds": [vars(s) for s in p.seconds],
                 "rig": p.rig,
-                "breaches": [vars(b) for b in p.result.breaches],
+                "breaches": [vars(b) for b in p.result.violations],
             }
             for p in played
         ]
--- a/lupinreach/trial/report.py
+++ b/lupinreach/trial/report.py
@@ -56,7 +56,7 @@
     broken = "".join(
         f"<li>seed {p.result.seed}, {b.at:.0f} ms: {html.escape(b.name)}: {html.escape(b.what)}</li>"
         for p in played
-        for b in p.result.breaches[:5]
+        for b in p.result.violations[:5]
     )
     plots = "".join(f"<h2>{title}</h2><p>{words}</p>{render_svg(figure)}" for title, words, figure in figures)
     plt.close("all")
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -165,7 +165,7 @@
     text = path.read_text()
     assert text.startswith(f"# Seed {seed}: breaks 'sent to draining'.") and book.kept()[0][0] == number
     again = spec.read_file(path)
-    assert {b.name for b in play.run(again, again.world.seeds[0]).result.breaches} == {"sent to draining"}
+    assert {b.name for b in play.run(again, again.world.seeds[0]).result.violations} == {"sent to draining"}
     assert "sent to draining" in page.page(book) and page.summary(book)["broken"] == {
         number: ["sent to draining"]
     }
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -140,7 +140,7 @@
     }
 )
 def test_processes_with_torn_and_foreign_disks_keep_the_rules(played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
 
 
 class Hangs(Disk):
--- a/tests/test_mistakes.py
+++ b/tests/test_mistakes.py
@@ -34,7 +34,7 @@
 
 def caught(raw, fault):
     one = play.run(spec.read(raw | ({"fault": fault} if fault else {})), 3)
-    return {b.name for b in one.result.breaches}, one.verdict
+    return {b.name for b in one.result.violations}, one.verdict
 
 
 @pytest.mark.parametrize("fault", SHOWS)
@@ -56,7 +56,7 @@
     ],
 )
 def test_and_so_it_is_with_processes(fault, played):
-    assert FAULTS[fault].caught_as in {b.name for b in played.result.breaches}
+    assert FAULTS[fault].caught_as in {b.name for b in played.result.violations}
 
 
 def test_what_can_be_played_in_virtual_time_only_is_refused_by_its_key():
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -344,4 +344,4 @@
 
 def test_drawn_power_losses_keep_the_rules():
     runs = [play.run(drawn(n), n) for n in range(12)]
-    assert [(i, b) for i, p in enumerate(runs) for b in p.result.breaches] == []
+    assert [(i, b) for i, p in enumerate(runs) for b in p.result.violations] == []
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -39,19 +39,19 @@
     for p in played:
         assert 0 < p.result.figures["answers"]["errored"] < 10 and p.recovery.first_10s > 0.95
     forgets = play.run(spec.read(SMALL | TWICE | {"agents": {"count": 4, "store": True}}), 3)
-    assert {b.name for b in forgets.result.breaches} == {"effect twice"}
+    assert {b.name for b in forgets.result.violations} == {"effect twice"}
 
 
 @pytest.mark.rig(RIG | TWICE | {"seconds": 9} | AGENTS)
 def test_and_so_with_processes(played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
 
 
 def test_a_disk_that_hangs_has_payments_rate_limited_at_once_and_the_rest_served():
     hangs = {"kind": "disk-hangs", "at": 4, "seconds": 3, "share": 1.0}
     ledger = virtual.play((trial := spec.read(SMALL | AGENTS | {"troubles": [hangs]})).world, 3)
     played = play.judge(trial, 3, ledger)
-    assert played.verdict == play.KEPT, played.result.breaches[:3]
+    assert played.verdict == play.KEPT, played.result.violations[:3]
     began = next(r[1] for r in ledger.records if r[0] == "asked")
     asked = {r[2]: (r[1], r[6]) for r in ledger.records if r[0] == "asked"}
     late = [
@@ -70,7 +70,7 @@
     trial = spec.read(drawn(5027, True, False))
     assert play.run(trial, 5027).verdict == play.KEPT
     monkeypatch.setattr(returning, "WITNESSES", 0)
-    assert {b.name for b in play.run(trial, 5027).result.breaches} == {"effect twice"}
+    assert {b.name for b in play.run(trial, 5027).result.violations} == {"effect twice"}
 
 
 def test_a_copy_that_is_two_beats_old_is_found_out_by_the_marks_that_payments_leave(monkeypatch):
@@ -78,7 +78,7 @@
     trial = spec.read(drawn(20075, True, False))
     assert play.run(trial, 20075).verdict == play.KEPT
     monkeypatch.setattr(returning.Returning, "ran", lambda _: None)
-    assert {b.name for b in play.run(trial, 20075).result.breaches} == {"effect twice"}
+    assert {b.name for b in play.run(trial, 20075).result.violations} == {"effect twice"}
 
 
 def test_a_mark_is_synced_before_it_is_told_and_above_all_that_an_older_disk_holds():
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -84,7 +84,7 @@
     trial = spec.read(SMALL | TOUCH | HARD[case])
     ledger = virtual.play(trial.world, 3)
     played = play.judge(trial, 3, ledger)
-    assert played.verdict == play.KEPT, played.result.breaches[:3]
+    assert played.verdict == play.KEPT, played.result.violations[:3]
     asked = said(ledger, "asked")
     assert len(asked) >= 12 and len({(agent, *fields["life"]) for agent, fields in asked}) == len(asked)
     if "deaf" not in case:  # what hears nobody is the agent of today
@@ -132,7 +132,7 @@
     ),
 )
 def test_and_so_does_a_fleet_of_processes(case, played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
     assert played.recovery.to_draining == 0
 
 
@@ -145,7 +145,7 @@
     assert play.run(trial, 3).verdict == play.KEPT
     take_up = outlives.take_up
     monkeypatch.setattr(virtual, "take_up", lambda agent, disk, token: take_up(agent, disk, 7))
-    found = play.run(trial, 3).result.breaches
+    found = play.run(trial, 3).result.violations
     assert {b.name for b in found} == {"life twice"} and len(found) >= 5
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -62,7 +62,7 @@
     "name", [pytest.param(name, marks=pytest.mark.rig(SMALL | more)) for name, more in TROUBLES.items()]
 )
 def test_a_small_fleet_of_processes_keeps_the_rules_and_comes_back(name, played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
     ends = played.result.figures["answers"]
     assert ends["fulfilled"] > 0.5 * played.result.figures["calls"]
     # Warm again for two seconds: by both together, since one dear API call is a tenth of a second's value.
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -28,7 +28,7 @@
 )
 def test_no_bound_is_passed_at_any_agent_whatever_fails(case):
     run, most = shared_bounds.played(case, 3, agents=8, seconds=14.0)
-    assert run.verdict == play.KEPT, run.result.breaches[:3]
+    assert run.verdict == play.KEPT, run.result.violations[:3]
     assert not [name for name in bounds.JUDGED if most[name] > 1], most
     assert most["looks"] > 100 and most["lent"] > 0 and most["heard"] > 0, most
 
@@ -82,7 +82,7 @@
     }
 )
 def test_agents_of_a_fleet_of_processes_share_and_one_that_hears_nothing_says_so(played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
 
 
 def test_silence_comes_and_goes_in_stages(monkeypatch):
