--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -23,7 +23,7 @@
 from lupinreach.config import BadConfig
 
 KEPT, BROKEN, BAD = 0, 1, 2
-MOST_TOLD = 10  # breaches on standard error
+MAX_PRINTED_VIOLATIONS = 10  # breaches on standard error
 
 told = Console(stderr=True, highlight=False)
 
@@ -283,7 +283,7 @@
 
 def _tell_breaches(results: list[experiment.Result]) -> None:
     for r in results:
-        for b in r.violations[:MOST_TOLD]:
+        for b in r.violations[:MAX_PRINTED_VIOLATIONS]:
             told.print(f"seed {r.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False)
 
 
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -10,7 +10,7 @@
 import click
 from rich.table import Table
 
-from lupinreach.bed.commands.cli import BROKEN, KEPT, MOST_TOLD, bad, lupinreach, told
+from lupinreach.bed.commands.cli import BROKEN, KEPT, MAX_PRINTED_VIOLATIONS, bad, lupinreach, told
 from lupinreach.bed.ways.policies import POLICIES
 from lupinreach.bed.ways.stopping import STOPPED
 from lupinreach.config import BadConfig, read_agent
@@ -109,7 +109,7 @@
         stopped = True
         told.print(f"stopped after {len(played)} of {len(one.world.seeds)} runs")
     for p in played:
-        for b in p.result.violations[:MOST_TOLD]:
+        for b in p.result.violations[:MAX_PRINTED_VIOLATIONS]:
             told.print(f"seed {p.result.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False)
         for line in p.missed:
             told.print(f"seed {p.result.seed}: {line}", markup=False)
