--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -22,7 +22,7 @@
 from lupinreach.bed.world.spec import World
 from lupinreach.config import BadConfig
 
-KEPT, BROKEN, BAD = 0, 1, 2
+EXIT_KEPT, EXIT_BROKEN, EXIT_USAGE = 0, 1, 2
 MAX_PRINTED_VIOLATIONS = 10  # breaches on standard error
 
 told = Console(stderr=True, highlight=False)
@@ -30,7 +30,7 @@
 
 def bad(why: object) -> NoReturn:
     print(f"lupinreach: {why}", file=sys.stderr)
-    sys.exit(BAD)
+    sys.exit(EXIT_USAGE)
 
 
 def world_of(
@@ -113,7 +113,7 @@
     for line in apart:
         told.print(line)
     print(json.dumps({"agents": held, "silent": silent, "disagreements": apart}))
-    sys.exit(BROKEN if apart or silent else KEPT)
+    sys.exit(EXIT_BROKEN if apart or silent else EXIT_KEPT)
 
 
 @lupinreach.command()
@@ -136,7 +136,7 @@
     if stopped:
         told.print("stopped: this is what was seen so far")
     print(json.dumps(experiment.summary(world, [result]) | ({"stopped": True} if stopped else {})))
-    sys.exit(STOPPED if stopped else KEPT if result.kept else BROKEN)
+    sys.exit(STOPPED if stopped else EXIT_KEPT if result.kept else EXIT_BROKEN)
 
 
 @lupinreach.group()
@@ -204,7 +204,7 @@
         ]
         Path(out).write_text(json.dumps({"world": spec.plain(world), "runs": rows}, indent=1) + "\n")
     print(json.dumps(experiment.summary(world, results) | ({"stopped": True} if stopped else {})))
-    sys.exit(STOPPED if stopped else KEPT if all(r.kept for r in results) else BROKEN)
+    sys.exit(STOPPED if stopped else EXIT_KEPT if all(r.kept for r in results) else EXIT_BROKEN)
 
 
 @bed.command()
@@ -244,7 +244,7 @@
         }
     told.print(table)
     print(json.dumps({"world": world.name, "seeds": [r.seed for r in ours], "policies": lines}))
-    sys.exit(KEPT if all(r.kept for r in ours) else BROKEN)
+    sys.exit(EXIT_KEPT if all(r.kept for r in ours) else EXIT_BROKEN)
 
 
 @bed.command()
@@ -278,7 +278,7 @@
             }
         )
     )
-    sys.exit(BROKEN if broken else KEPT)
+    sys.exit(EXIT_BROKEN if broken else EXIT_KEPT)
 
 
 def _tell_breaches(results: list[experiment.Result]) -> None:
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -10,7 +10,7 @@
 import click
 from rich.table import Table
 
-from lupinreach.bed.commands.cli import BROKEN, KEPT, MAX_PRINTED_VIOLATIONS, bad, lupinreach, told
+from lupinreach.bed.commands.cli import EXIT_BROKEN, EXIT_KEPT, MAX_PRINTED_VIOLATIONS, bad, lupinreach, told
 from lupinreach.bed.ways.policies import POLICIES
 from lupinreach.bed.ways.stopping import STOPPED
 from lupinreach.config import BadConfig, read_agent
@@ -144,7 +144,7 @@
         sys.exit(STOPPED)
     if found["verdict"] == play.UNSURE:
         sys.exit(UNSURE)
-    sys.exit(KEPT if found["verdict"] == play.KEPT and found["as_expected"] else BROKEN)
+    sys.exit(EXIT_KEPT if found["verdict"] == play.KEPT and found["as_expected"] else EXIT_BROKEN)
 
 
 @trial.command()
@@ -180,7 +180,7 @@
             }
         )
     )
-    sys.exit(KEPT if lines[one.world.policy]["verdict"] == play.KEPT else BROKEN)
+    sys.exit(EXIT_KEPT if lines[one.world.policy]["verdict"] == play.KEPT else EXIT_BROKEN)
 
 
 @trial.command()
@@ -247,7 +247,7 @@
     found = page.summary(book)
     print(json.dumps(found | ({"stopped": True} if stopped else {})))
     broken = found["broken"] or found["passed"] or found["broken_with_processes"]
-    sys.exit(STOPPED if stopped else BROKEN if broken else KEPT)
+    sys.exit(STOPPED if stopped else EXIT_BROKEN if broken else EXIT_KEPT)
 
 
 def _line(p: Played) -> str:
