--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -17,7 +17,7 @@
 
 from lupinreach.bed.commands import experiment
 from lupinreach.bed.ways.policies import POLICIES
-from lupinreach.bed.ways.stopping import STOPPED
+from lupinreach.bed.ways.stopping import EXIT_STOPPED
 from lupinreach.bed.world import spec
 from lupinreach.bed.world.spec import World
 from lupinreach.config import BadConfig
@@ -136,7 +136,7 @@
     if stopped:
         told.print("stopped: this is what was seen so far")
     print(json.dumps(experiment.summary(world, [result]) | ({"stopped": True} if stopped else {})))
-    sys.exit(STOPPED if stopped else EXIT_KEPT if result.kept else EXIT_BROKEN)
+    sys.exit(EXIT_STOPPED if stopped else EXIT_KEPT if result.kept else EXIT_BROKEN)
 
 
 @lupinreach.group()
@@ -204,7 +204,7 @@
         ]
         Path(out).write_text(json.dumps({"world": spec.plain(world), "runs": rows}, indent=1) + "\n")
     print(json.dumps(experiment.summary(world, results) | ({"stopped": True} if stopped else {})))
-    sys.exit(STOPPED if stopped else EXIT_KEPT if all(r.kept for r in results) else EXIT_BROKEN)
+    sys.exit(EXIT_STOPPED if stopped else EXIT_KEPT if all(r.kept for r in results) else EXIT_BROKEN)
 
 
 @bed.command()
--- a/lupinreach/bed/ways/stopping.py
+++ b/lupinreach/bed/ways/stopping.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 STOPS = (signal.SIGINT, signal.SIGTERM)
-STOPPED = 130  # exit code of a command that was stopped
+EXIT_STOPPED = 130  # exit code of a command that was stopped
 
 
 async def until_stopped(work: Coroutine[Any, Any, None]) -> bool:
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -12,7 +12,7 @@
 
 from lupinreach.bed.commands.cli import EXIT_BROKEN, EXIT_KEPT, MAX_PRINTED_VIOLATIONS, bad, lupinreach, told
 from lupinreach.bed.ways.policies import POLICIES
-from lupinreach.bed.ways.stopping import STOPPED
+from lupinreach.bed.ways.stopping import EXIT_STOPPED
 from lupinreach.config import BadConfig, read_agent
 from lupinreach.trial import play, spec
 from lupinreach.trial.play import Played
@@ -119,7 +119,7 @@
                 {"trial": one.world.name, "verdict": "stopped" if stopped else play.UNSURE, "seeds": []}
             )
         )
-        sys.exit(STOPPED if stopped else UNSURE)
+        sys.exit(EXIT_STOPPED if stopped else UNSURE)
     if out:
         rows = [
             {
@@ -141,7 +141,7 @@
     found = play.summary(one, played)
     print(json.dumps(found | ({"stopped": True} if stopped else {})))
     if stopped:
-        sys.exit(STOPPED)
+        sys.exit(EXIT_STOPPED)
     if found["verdict"] == play.UNSURE:
         sys.exit(UNSURE)
     sys.exit(EXIT_KEPT if found["verdict"] == play.KEPT and found["as_expected"] else EXIT_BROKEN)
@@ -247,7 +247,7 @@
     found = page.summary(book)
     print(json.dumps(found | ({"stopped": True} if stopped else {})))
     broken = found["broken"] or found["passed"] or found["broken_with_processes"]
-    sys.exit(STOPPED if stopped else EXIT_BROKEN if broken else EXIT_KEPT)
+    sys.exit(EXIT_STOPPED if stopped else EXIT_BROKEN if broken else EXIT_KEPT)
 
 
 def _line(p: Played) -> str:
