--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -25,7 +25,7 @@
 EXIT_KEPT, EXIT_BROKEN, EXIT_USAGE = 0, 1, 2
 MAX_PRINTED_VIOLATIONS = 10  # breaches on standard error
 
-told = Console(stderr=True, highlight=False)
+stderr_console = Console(stderr=True, highlight=False)
 
 
 def bad(why: object) -> NoReturn:
@@ -79,7 +79,7 @@
         whole = sum(found[group].values()) or 1
         for what, count in sorted(found[group].items(), key=lambda pair: -pair[1]):
             table.add_row(group, what, str(count), f"{count / whole:.1%}")
-    told.print(table)
+    stderr_console.print(table)
     print(json.dumps(found))
 
 
@@ -106,12 +106,12 @@
         table.add_column(column)
     for door, found in held.items():
         table.add_row(door, *show.row(found))
-    told.print(table)
+    stderr_console.print(table)
     for door, why in silent.items():
-        told.print(f"{door}: {why}")
+        stderr_console.print(f"{door}: {why}")
     apart = show.disagreements(held) if held else []
     for line in apart:
-        told.print(line)
+        stderr_console.print(line)
     print(json.dumps({"agents": held, "silent": silent, "disagreements": apart}))
     sys.exit(EXIT_BROKEN if apart or silent else EXIT_KEPT)
 
@@ -134,7 +134,7 @@
     result, stopped = show(world, seed, console)
     _tell_breaches([result])
     if stopped:
-        told.print("stopped: this is what was seen so far")
+        stderr_console.print("stopped: this is what was seen so far")
     print(json.dumps(experiment.summary(world, [result]) | ({"stopped": True} if stopped else {})))
     sys.exit(EXIT_STOPPED if stopped else EXIT_KEPT if result.kept else EXIT_BROKEN)
 
@@ -186,9 +186,9 @@
         if report:
             from lupinreach.bed.commands.report import write
 
-            told.print(f"report: {write(Path(report), world, result, book.records)}")
+            stderr_console.print(f"report: {write(Path(report), world, result, book.records)}")
         if stopped:
-            told.print(f"stopped in run {number + 1} of {len(world.seeds)}")
+            stderr_console.print(f"stopped in run {number + 1} of {len(world.seeds)}")
             break
     _tell_breaches(results)
     if out:
@@ -242,7 +242,7 @@
             "difference_worst_10s": round(worst.mean, 4),
             "noise_worst_10s": round(worst.noise, 4),
         }
-    told.print(table)
+    stderr_console.print(table)
     print(json.dumps({"world": world.name, "seeds": [r.seed for r in ours], "policies": lines}))
     sys.exit(EXIT_KEPT if all(r.kept for r in ours) else EXIT_BROKEN)
 
@@ -259,7 +259,7 @@
     from lupinreach.bed.commands.search import size
 
     world = world_of(file)
-    broken, worst = look(world, budget, seed, jobs, lambda text: told.print(text))
+    broken, worst = look(world, budget, seed, jobs, lambda text: stderr_console.print(text))
     folder = Path(out)
     folder.mkdir(parents=True, exist_ok=True)
     files = []
@@ -267,7 +267,7 @@
         path = folder / f"{world.name}-{'broken' if broken else f'worst-{i + 1}'}.toml"
         path.write_text(spec.to_toml(found.world))
         files.append(str(path))
-        told.print(f"{path}: {size(found.world)}, service {found.result.figures['service']:.3f}")
+        stderr_console.print(f"{path}: {size(found.world)}, service {found.result.figures['service']:.3f}")
     print(
         json.dumps(
             {
@@ -284,7 +284,9 @@
 def _tell_breaches(results: list[experiment.Result]) -> None:
     for r in results:
         for b in r.violations[:MAX_PRINTED_VIOLATIONS]:
-            told.print(f"seed {r.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False)
+            stderr_console.print(
+                f"seed {r.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False
+            )
 
 
 class _progress:
@@ -296,9 +298,9 @@
             BarColumn(),
             TextColumn("{task.percentage:>3.0f}%"),
             TimeElapsedColumn(),
-            console=told,
+            console=stderr_console,
             transient=True,
-            disable=not told.is_terminal,
+            disable=not stderr_console.is_terminal,
         )
         self._task = self._bar.add_task(what, total=total)
 
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -10,7 +10,14 @@
 import click
 from rich.table import Table
 
-from lupinreach.bed.commands.cli import EXIT_BROKEN, EXIT_KEPT, MAX_PRINTED_VIOLATIONS, bad, lupinreach, told
+from lupinreach.bed.commands.cli import (
+    EXIT_BROKEN,
+    EXIT_KEPT,
+    MAX_PRINTED_VIOLATIONS,
+    bad,
+    lupinreach,
+    stderr_console,
+)
 from lupinreach.bed.ways.policies import POLICIES
 from lupinreach.bed.ways.stopping import EXIT_STOPPED
 from lupinreach.config import BadConfig, read_agent
@@ -100,19 +107,21 @@
 
     def done(p: Played) -> None:
         played.append(p)
-        told.print(_line(p) + (" (stopped)" if p.stopped else ""), markup=False)
+        stderr_console.print(_line(p) + (" (stopped)" if p.stopped else ""), markup=False)
 
     stopped = False
     try:
         play.run_many([(one, s) for s in one.world.seeds], jobs, done)
     except KeyboardInterrupt:
         stopped = True
-        told.print(f"stopped after {len(played)} of {len(one.world.seeds)} runs")
+        stderr_console.print(f"stopped after {len(played)} of {len(one.world.seeds)} runs")
     for p in played:
         for b in p.result.violations[:MAX_PRINTED_VIOLATIONS]:
-            told.print(f"seed {p.result.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False)
+            stderr_console.print(
+                f"seed {p.result.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False
+            )
         for line in p.missed:
-            told.print(f"seed {p.result.seed}: {line}", markup=False)
+            stderr_console.print(f"seed {p.result.seed}: {line}", markup=False)
     if not played:
         print(
             json.dumps(
@@ -137,7 +146,7 @@
     if report:
         from lupinreach.trial.report import write
 
-        told.print(f"report: {write(Path(report), one, played)}")
+        stderr_console.print(f"report: {write(Path(report), one, played)}")
     found = play.summary(one, played)
     print(json.dumps(found | ({"stopped": True} if stopped else {})))
     if stopped:
@@ -169,7 +178,7 @@
             f"{total['cold_load']:.2f}",
             total["verdict"],
         )
-    told.print(table)
+    stderr_console.print(table)
     keep = ("verdict", "first_10s", "first_20s", "whole", "back_after_s", "cold_load", "service")
     print(
         json.dumps(
@@ -231,7 +240,7 @@
     except NoBook as wrong:
         bad(BadConfig(str(wrong)))
     one = hunt.Campaign(
-        book, seed, 0.0 if plain else hunt.GUIDED, lambda text: told.print(text, markup=False)
+        book, seed, 0.0 if plain else hunt.GUIDED, lambda text: stderr_console.print(text, markup=False)
     )
     stopped = False
     try:
@@ -243,7 +252,7 @@
     except KeyboardInterrupt:
         stopped = True
     if report:
-        told.print(f"report: {page.write(Path(report), book)}")
+        stderr_console.print(f"report: {page.write(Path(report), book)}")
     found = page.summary(book)
     print(json.dumps(found | ({"stopped": True} if stopped else {})))
     broken = found["broken"] or found["passed"] or found["broken_with_processes"]
