--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -28,7 +28,7 @@
 stderr_console = Console(stderr=True, highlight=False)
 
 
-def bad(why: object) -> NoReturn:
+def exit_with_usage_error(why: object) -> NoReturn:
     print(f"lupinreach: {why}", file=sys.stderr)
     sys.exit(EXIT_USAGE)
 
@@ -39,10 +39,10 @@
     try:
         world = spec.read_file(file)
     except BadConfig as wrong:
-        bad(wrong)
+        exit_with_usage_error(wrong)
     world = replace(world, seeds=seed or world.seeds, mode=mode or world.mode, policy=policy or world.policy)
     if world.mode == "loopback" and world.fault:
-        bad("fault: can be planted in virtual time only")
+        exit_with_usage_error("fault: can be planted in virtual time only")
     return world
 
 
@@ -68,9 +68,9 @@
     try:
         fleet = logs.read([Path(file).read_bytes().splitlines() for file in files])
     except OSError as wrong:
-        bad(f"{wrong.filename}: {wrong.strerror}")
+        exit_with_usage_error(f"{wrong.filename}: {wrong.strerror}")
     if not fleet.lives:
-        bad(f"{', '.join(files)}: no line of an agent's log in it")
+        exit_with_usage_error(f"{', '.join(files)}: no line of an agent's log in it")
     found = logs.summary(fleet)
     table = Table(box=None)
     for column in ("group", "what", "count", "share"):
@@ -96,7 +96,7 @@
 
     for door in doors:
         if not door.rpartition(":")[2].isdecimal():
-            bad(f"{door}: a door is host:port")
+            exit_with_usage_error(f"{door}: a door is host:port")
     with ThreadPoolExecutor(min(32, len(doors))) as pool:
         said = dict(zip(doors, pool.map(show.asked, doors), strict=True))
     held = {door: found for door, found in said.items() if isinstance(found, dict)}
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -14,7 +14,7 @@
     EXIT_BROKEN,
     EXIT_KEPT,
     MAX_PRINTED_VIOLATIONS,
-    bad,
+    exit_with_usage_error,
     lupinreach,
     stderr_console,
 )
@@ -33,7 +33,7 @@
     try:
         found = spec.read_file(file)
     except BadConfig as wrong:
-        bad(wrong)
+        exit_with_usage_error(wrong)
     world = replace(
         found.world,
         seeds=seed or found.world.seeds,
@@ -44,7 +44,7 @@
         from lupinreach.trial.rig.stage import fits
 
         if why := fits(world):
-            bad(why)
+            exit_with_usage_error(why)
     return replace(found, world=world)
 
 
@@ -64,7 +64,7 @@
                 f"{len(world.troubles)} troubles"
             )
     except BadConfig as wrong:
-        bad(wrong)
+        exit_with_usage_error(wrong)
 
 
 @lupinreach.group()
@@ -238,7 +238,7 @@
     try:
         book = Book(Path(file), seed)
     except NoBook as wrong:
-        bad(BadConfig(str(wrong)))
+        exit_with_usage_error(BadConfig(str(wrong)))
     one = hunt.Campaign(
         book, seed, 0.0 if plain else hunt.GUIDED, lambda text: stderr_console.print(text, markup=False)
     )
