--- a/lupinreach/bed/ways/agent.py
+++ b/lupinreach/bed/ways/agent.py
@@ -10,7 +10,9 @@
 from lupinreach.net.clock import Clock
 
 if __name__ == "__main__":
-    known = POLICIES | {name: fault.decide for name, fault in FAULTS.items() if fault.decide is not None}
+    known = POLICIES | {
+        name: fault.make_balancer for name, fault in FAULTS.items() if fault.make_balancer is not None
+    }
     if not 2 <= len(sys.argv) <= 4 or sys.argv[1] not in known:
         print(f"lupinreach: a policy or a fault is needed, one of {', '.join(known)}", file=sys.stderr)
         sys.exit(2)
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -184,7 +184,7 @@
     """One planted fault, and the name under which the checker has to catch it."""
 
     caught_as: str
-    decide: Callable[[Settings, int, Port], Balancer] | None = None
+    make_balancer: Callable[[Settings, int, Port], Balancer] | None = None
     tamper: Callable[[], Tamper] | None = None
 
 
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -105,7 +105,9 @@
         self.ledger = Ledger(EPOCH + START * 1000)
         self._fault = FAULTS.get(world.fault)
         self._tamper = self._fault.tamper() if self._fault and self._fault.tamper else None
-        self._decide = self._fault.decide if self._fault and self._fault.decide else POLICIES[world.policy]
+        self._decide = (
+            self._fault.make_balancer if self._fault and self._fault.make_balancer else POLICIES[world.policy]
+        )
         self._machines: Callable[[int], Machine] = lambda _: Machine("", 0)
         self._lives: dict[int, Life] = {}
         self._twins: dict[int, Life] = {}  # second processes; each leaves as it ends
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -449,7 +449,7 @@
         return f"agents.count: at most {MOST_AGENTS} with processes"
     if world.fleet > MOST_BACKENDS:
         return f"backends: at most {MOST_BACKENDS} with processes"
-    if world.fault and FAULTS[world.fault].decide is None:
+    if world.fault and FAULTS[world.fault].make_balancer is None:
         return f"fault: {world.fault} can be planted in virtual time only"
     for i, trouble in enumerate(world.troubles):
         if trouble.kind == "disk-hangs":
