--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -41,7 +41,7 @@
     kinds: list[str]
 
 
-def draw(world: World, seed: int) -> Fleet:
+def draw_fleet(world: World, seed: int) -> Fleet:
     """The backends of a run; their true speeds and times come from the seed."""
     chance, rules = stream(seed, "fleet"), world.rules
     groups = {p.group for p in world.products if p.kind is Idempotency.DEDUPLICATED}
@@ -89,7 +89,7 @@
         self._seed = seed
         self._progress = progress
         self._chance = stream(seed, "stage")
-        fleet = draw(world, seed)
+        fleet = draw_fleet(world, seed)
         self.registry = Registry()
         self.incarnations = [0] * world.agents  # their lives
         self.up: set[int] = set()
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -21,7 +21,7 @@
 from lupinreach.bed.peers.registry import Entry, Registry
 from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
 from lupinreach.bed.ways.loopback import BACKLOG, LoopbackGround
-from lupinreach.bed.ways.stage import draw
+from lupinreach.bed.ways.stage import draw_fleet
 from lupinreach.bed.world import ledger as books
 from lupinreach.bed.world import spec as beds
 from lupinreach.bed.world.chance import stream
@@ -91,7 +91,7 @@
 
     async def open(self) -> None:
         self.hosts = {}
-        for b in draw(self.world, self.seed).backends:
+        for b in draw_fleet(self.world, self.seed).backends:
             if b.number in self.mine:
                 host = BackendHost(
                     self.ground,
@@ -232,7 +232,7 @@
         )
         self.plane = Plane(paths, stream(self.seed, "relay", *self.mine[:1]))
         places, self.machines = self.places, {"registry": Machine("registry", 0)}
-        backends = [(b.number, b.zone) for b in draw(self.world, self.seed).backends]
+        backends = [(b.number, b.zone) for b in draw_fleet(self.world, self.seed).backends]
         for n in range(self.world.agents):
             self.machines[f"agent {n}"] = Machine(f"agent {n}", n % zones)
         for n, zone in backends:
