--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -31,13 +31,13 @@
 Opened = Callable[["Line"], asyncio.Protocol]
 
 
-class Side:
+class ConnectionEnd:
     """One end of a connection: what has come in, and the way to the other end."""
 
     def __init__(self, net: MemoryNet, machine: Machine) -> None:
         self.net = net
         self.machine = machine
-        self.other: Side | None = None
+        self.other: ConnectionEnd | None = None
         self.closed = False
         self.unsent: list[Any] = []  # held while the other end can't be reached; emptied when it can
         self._last = 0.0  # when the last piece arrives: nothing overtakes
@@ -62,7 +62,7 @@
         )
         loop.call_at(self._last, self._arrive, other, what, context=self.net.context)
 
-    def _arrive(self, other: Side, what: Any) -> None:
+    def _arrive(self, other: ConnectionEnd, what: Any) -> None:
         if not self.net.paths.reaches(self.machine, other.machine):
             self.unsent.append(what)  # cut while it was on its way
             self.net.waiting[self] = None
@@ -82,7 +82,7 @@
         """The other end has taken some of what was on its way."""
 
 
-class MemorySocket(Side):
+class MemorySocket(ConnectionEnd):
     """The agent's end, in the manner of `socket.socket`."""
 
     family = socket.AF_INET
@@ -207,7 +207,7 @@
 
     # What comes.
 
-    def up(self, other: Side) -> None:
+    def up(self, other: ConnectionEnd) -> None:
         if not self.closed:
             self.other, self.connected = other, True
             self._received = self.net.loop.time()
@@ -293,11 +293,11 @@
         self._waiting.clear()
 
 
-class Line(Side, asyncio.Transport):
+class Line(ConnectionEnd, asyncio.Transport):
     """A peer's end: a transport for an asyncio protocol."""
 
     def __init__(self, net: MemoryNet, machine: Machine, protocol: asyncio.Protocol) -> None:
-        Side.__init__(self, net, machine)
+        ConnectionEnd.__init__(self, net, machine)
         asyncio.Transport.__init__(self)
         self.protocol = protocol
         self._closing = False
@@ -369,7 +369,7 @@
         self.context = contextvars.copy_context()  # the bed's own: what arrives is nobody's work yet
         self.listeners: dict[Address, MemoryListener] = {}  # each leaves when it closes
         self.servers: dict[Address, tuple[Machine, Callable[[], asyncio.Protocol]]] = {}
-        self.waiting: dict[Side, None] = {}  # ends with something held; emptied by `mended`
+        self.waiting: dict[ConnectionEnd, None] = {}  # ends with something held; emptied by `mended`
         self.dials: list[tuple[MemorySocket, Address]] = []  # that never came up; emptied by `mended`
         self.of_owner: dict[int, dict[MemorySocket, None]] = {}  # an owner's open sockets
         self.posts: dict[Address, Post] = {}  # each leaves with its agent
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -11,7 +11,7 @@
 
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.loop import VirtualLoop
-from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySockets, Side
+from lupinreach.bed.ways.memory import RST, ConnectionEnd, MemoryNet, MemorySockets
 from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.network import Machine, Paths
 from lupinreach.bed.world.spec import read as read_world
@@ -341,7 +341,7 @@
     paths = SimpleNamespace(reaches=lambda *_: there[0], delay=lambda *_: 0.0, passing=lambda *_: 0.0)
     net = SimpleNamespace(paths=paths, loop=loop, waiting={}, context=None)
 
-    class End(Side):
+    class End(ConnectionEnd):
         def take(self, what):
             came.append(what)
 
