--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -37,7 +37,7 @@
     def __init__(self, net: MemoryNet, machine: Machine) -> None:
         self.net = net
         self.machine = machine
-        self.other: ConnectionEnd | None = None
+        self.remote: ConnectionEnd | None = None
         self.closed = False
         self.unsent: list[Any] = []  # held while the other end can't be reached; emptied when it can
         self._last = 0.0  # when the last piece arrives: nothing overtakes
@@ -45,11 +45,11 @@
 
     def put(self, what: Any) -> None:
         """Bytes, b"" for the end, or RST, on their way to the other end."""
-        other = self.other
-        if other is None or other.closed:
+        remote = self.remote
+        if remote is None or remote.closed:
             return
         paths, loop = self.net.paths, self.net.loop
-        if self.unsent or not paths.reaches(self.machine, other.machine):
+        if self.unsent or not paths.reaches(self.machine, remote.machine):
             if what is RST:
                 self.unsent.clear()  # what is reset sends nothing that it still had to send
             self.unsent.append(what)
@@ -57,17 +57,17 @@
             return
         size = len(what) if isinstance(what, bytes | bytearray) else 0
         self._last = (
-            max(self._last, loop.time() + paths.delay(self.machine, other.machine) / 1000)
-            + paths.passing(self.machine, other.machine, size) / 1000
+            max(self._last, loop.time() + paths.delay(self.machine, remote.machine) / 1000)
+            + paths.passing(self.machine, remote.machine, size) / 1000
         )
-        loop.call_at(self._last, self._arrive, other, what, context=self.net.context)
+        loop.call_at(self._last, self._arrive, remote, what, context=self.net.context)
 
-    def _arrive(self, other: ConnectionEnd, what: Any) -> None:
-        if not self.net.paths.reaches(self.machine, other.machine):
+    def _arrive(self, remote: ConnectionEnd, what: Any) -> None:
+        if not self.net.paths.reaches(self.machine, remote.machine):
             self.unsent.append(what)  # cut while it was on its way
             self.net.waiting[self] = None
-        elif not other.closed:
-            other.take(what)
+        elif not remote.closed:
+            remote.take(what)
 
     def again(self) -> None:
         """What was held goes on, where the other end can be reached now."""
@@ -167,7 +167,7 @@
 
     def send(self, data: Any) -> int:
         self._raise()
-        if self._shut or self._ended and self.other is None:
+        if self._shut or self._ended and self.remote is None:
             raise BrokenPipeError(errno.EPIPE, "broken pipe")
         if self.on_way >= WINDOW or self.stopped:
             raise BlockingIOError(errno.EAGAIN, "no room")
@@ -207,9 +207,9 @@
 
     # What comes.
 
-    def up(self, other: ConnectionEnd) -> None:
+    def up(self, remote: ConnectionEnd) -> None:
         if not self.closed:
-            self.other, self.connected = other, True
+            self.remote, self.connected = remote, True
             self._received = self.net.loop.time()
             self.net.loop.changed(self)
 
@@ -221,7 +221,7 @@
     def take(self, what: Any) -> None:
         if what is RST:
             self._inbox.clear()
-            self.other = None
+            self.remote = None
             self._error = errno.ECONNRESET
         elif what:
             self._inbox += what
@@ -277,8 +277,8 @@
             return False
         with self.net.loop.owned_by(self.owner):
             sock = MemorySocket(self.net, self.machine)
-        sock.other, sock.connected = line, True
-        line.other = sock
+        sock.remote, sock.connected = line, True
+        line.remote = sock
         self._waiting.append(sock)
         self.net.loop.changed(self)
         return True
@@ -303,13 +303,13 @@
         self._closing = False
 
     def take(self, what: Any) -> None:
-        other = self.other
+        remote = self.remote
         if what is RST:
             self._lost(ConnectionResetError(errno.ECONNRESET, "reset"))
         elif what:
-            if other is not None:
-                other.on_way -= len(what)
-                other.room()
+            if remote is not None:
+                remote.on_way -= len(what)
+                remote.room()
             self.protocol.data_received(what)
         elif not self.protocol.eof_received():
             self.close()
@@ -340,7 +340,7 @@
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         if name == "left":  # the other end has closed, whether or not word of that has come
-            return self.other is None or self.other.closed
+            return self.remote is None or self.remote.closed
         return self.machine if name == "machine" else default
 
     def up(self) -> None:
@@ -413,7 +413,7 @@
             self.loop.call_later(back, sock.fail, errno.ECONNREFUSED, context=self.context)
         else:
             line = Line(self, machine, protocol())
-            line.other = sock
+            line.remote = sock
             line.up()
             self.loop.call_later(back, sock.up, line, context=self.context)
 
@@ -451,9 +451,9 @@
         """What is open between machines that refuse each other is reset, at both ends at once."""
         for sockets in list(self.of_owner.values()):
             for sock in list(sockets):
-                other = sock.other
-                if other is not None and self.paths.refuses(sock.machine, other.machine):
-                    for side in (sock, other):
+                remote = sock.remote
+                if remote is not None and self.paths.refuses(sock.machine, remote.machine):
+                    for side in (sock, remote):
                         if not side.closed:
                             self.loop.call_soon(side.take, RST, context=self.context)
 
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -148,21 +148,21 @@
                 backend = self.backend_at.get(sock.address)
                 if backend is not None:
                     self.ledger.note(books.SENT, self.now(), agent, life, backend, name)
-                other = sock.other
+                remote = sock.remote
                 if (
-                    other is not None
-                    and other.machine.breaks
-                    and self._chance.random() < other.machine.breaks
+                    remote is not None
+                    and remote.machine.breaks
+                    and self._chance.random() < remote.machine.breaks
                 ):
-                    self._break(sock, other)
+                    self._break(sock, remote)
                     return piece[: len(piece) // 2], len(piece) // 2
         return (self._tamper(sock, piece) if self._tamper is not None else piece), len(piece)
 
-    def _break(self, sock: MemorySocket, other: Any) -> None:
+    def _break(self, sock: MemorySocket, remote: Any) -> None:
         """The connection goes before the last byte: the kernel has taken half, and then says so."""
         sock.stopped = True
         self.loop.call_later(0.001, sock.take, RST, context=self.net.context)
-        self.loop.call_later(0.001, other.take, RST, context=self.net.context)
+        self.loop.call_later(0.001, remote.take, RST, context=self.net.context)
 
     # Agents.
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -346,7 +346,7 @@
             came.append(what)
 
     one, other = End(net, Machine("a", 0)), End(net, Machine("b", 1))
-    one.other, other.other = other, one
+    one.remote, other.remote = other, one
     one.put(b"said")
     one.put(RST)
     there[0] = True
