--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -67,7 +67,7 @@
             self.unsent.append(what)  # cut while it was on its way
             self.net.waiting[self] = None
         elif not remote.closed:
-            remote.take(what)
+            remote.receive(what)
 
     def again(self) -> None:
         """What was held goes on, where the other end can be reached now."""
@@ -75,7 +75,7 @@
         for what in held:
             self.put(what)
 
-    def take(self, what: Any) -> None:
+    def receive(self, what: Any) -> None:
         raise NotImplementedError
 
     def room(self) -> None:
@@ -218,7 +218,7 @@
             self._error = error
             self.net.loop.changed(self)
 
-    def take(self, what: Any) -> None:
+    def receive(self, what: Any) -> None:
         if what is RST:
             self._inbox.clear()
             self.remote = None
@@ -302,7 +302,7 @@
         self.protocol = protocol
         self._closing = False
 
-    def take(self, what: Any) -> None:
+    def receive(self, what: Any) -> None:
         remote = self.remote
         if what is RST:
             self._lost(ConnectionResetError(errno.ECONNRESET, "reset"))
@@ -455,7 +455,7 @@
                 if remote is not None and self.paths.refuses(sock.machine, remote.machine):
                     for side in (sock, remote):
                         if not side.closed:
-                            self.loop.call_soon(side.take, RST, context=self.context)
+                            self.loop.call_soon(side.receive, RST, context=self.context)
 
     # Datagrams between agents.
 
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -161,8 +161,8 @@
     def _break(self, sock: MemorySocket, remote: Any) -> None:
         """The connection goes before the last byte: the kernel has taken half, and then says so."""
         sock.stopped = True
-        self.loop.call_later(0.001, sock.take, RST, context=self.net.context)
-        self.loop.call_later(0.001, remote.take, RST, context=self.net.context)
+        self.loop.call_later(0.001, sock.receive, RST, context=self.net.context)
+        self.loop.call_later(0.001, remote.receive, RST, context=self.net.context)
 
     # Agents.
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -342,7 +342,7 @@
     net = SimpleNamespace(paths=paths, loop=loop, waiting={}, context=None)
 
     class End(ConnectionEnd):
-        def take(self, what):
+        def receive(self, what):
             came.append(what)
 
     one, other = End(net, Machine("a", 0)), End(net, Machine("b", 1))
