--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -43,7 +43,7 @@
         self._last = 0.0  # when the last piece arrives: nothing overtakes
         self.on_way = 0  # bytes sent and not yet taken by the other end
 
-    def put(self, what: Any) -> None:
+    def transmit(self, what: Any) -> None:
         """Bytes, b"" for the end, or RST, on their way to the other end."""
         remote = self.remote
         if remote is None or remote.closed:
@@ -73,7 +73,7 @@
         """What was held goes on, where the other end can be reached now."""
         held, self.unsent = self.unsent, []
         for what in held:
-            self.put(what)
+            self.transmit(what)
 
     def receive(self, what: Any) -> None:
         raise NotImplementedError
@@ -177,19 +177,19 @@
             piece, taken = self.net.sends(self, piece)
         if piece:
             self.on_way += len(piece)
-            self.put(piece)
+            self.transmit(piece)
         return taken
 
     def shutdown(self, how: int) -> None:
         if how in (socket.SHUT_WR, socket.SHUT_RDWR) and not self._shut:
             self._shut = True
-            self.put(b"")
+            self.transmit(b"")
 
     def close(self) -> None:
         if self.closed:
             return
         # A close with bytes unread takes away what was still on its way.
-        self.put(RST if self._inbox else b"" if not self._shut else RST)
+        self.transmit(RST if self._inbox else b"" if not self._shut else RST)
         self.end()
 
     def end(self) -> None:
@@ -288,7 +288,7 @@
         if self.net.listeners.get(self._address) is self:
             del self.net.listeners[self._address]
         for sock in self._waiting:
-            sock.put(RST)
+            sock.transmit(RST)
             sock.end()
         self._waiting.clear()
 
@@ -321,17 +321,17 @@
 
     def write(self, data: Any) -> None:
         if not self._closing:
-            self.put(bytes(data))
+            self.transmit(bytes(data))
 
     def close(self) -> None:
         if not self._closing:
             self._closing = True
-            self.put(b"")
+            self.transmit(b"")
             self.net.loop.call_soon(self._lost, None, context=self.net.context)
 
     def abort(self) -> None:
         if not self.closed:
-            self.put(RST)
+            self.transmit(RST)
             self._closing = True
             self.net.loop.call_soon(self._lost, None, context=self.net.context)
 
@@ -443,7 +443,7 @@
         for listener in [s for s in self.listeners.values() if s.owner == owner]:
             listener.close()
         for sock in list(self.of_owner.pop(owner, {})):
-            sock.put(RST)
+            sock.transmit(RST)
             sock.end()
         self.posts = {at: post for at, post in self.posts.items() if post.owner != owner}
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -347,8 +347,8 @@
 
     one, other = End(net, Machine("a", 0)), End(net, Machine("b", 1))
     one.remote, other.remote = other, one
-    one.put(b"said")
-    one.put(RST)
+    one.transmit(b"said")
+    one.transmit(RST)
     there[0] = True
     one.again()
     loop.run_until_complete(asyncio.sleep(0.01))
