--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -69,7 +69,7 @@
         elif not remote.closed:
             remote.receive(what)
 
-    def again(self) -> None:
+    def flush_unsent(self) -> None:
         """What was held goes on, where the other end can be reached now."""
         held, self.unsent = self.unsent, []
         for what in held:
@@ -432,7 +432,7 @@
         held, self.waiting = list(self.waiting), {}
         for side in held:
             if not side.closed or side.unsent:
-                side.again()
+                side.flush_unsent()
         dials, self.dials = self.dials, []
         for sock, address in dials:
             if not sock.closed:
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -350,7 +350,7 @@
     one.transmit(b"said")
     one.transmit(RST)
     there[0] = True
-    one.again()
+    one.flush_unsent()
     loop.run_until_complete(asyncio.sleep(0.01))
     loop.close()
     assert came == [RST]
