--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -53,7 +53,7 @@
             if what is RST:
                 self.unsent.clear()  # what is reset sends nothing that it still had to send
             self.unsent.append(what)
-            self.net.waiting[self] = None
+            self.net.blocked_ends[self] = None
             return
         size = len(what) if isinstance(what, bytes | bytearray) else 0
         self._last = (
@@ -65,7 +65,7 @@
     def _arrive(self, remote: ConnectionEnd, what: Any) -> None:
         if not self.net.paths.reaches(self.machine, remote.machine):
             self.unsent.append(what)  # cut while it was on its way
-            self.net.waiting[self] = None
+            self.net.blocked_ends[self] = None
         elif not remote.closed:
             remote.receive(what)
 
@@ -369,7 +369,7 @@
         self.context = contextvars.copy_context()  # the bed's own: what arrives is nobody's work yet
         self.listeners: dict[Address, MemoryListener] = {}  # each leaves when it closes
         self.servers: dict[Address, tuple[Machine, Callable[[], asyncio.Protocol]]] = {}
-        self.waiting: dict[ConnectionEnd, None] = {}  # ends with something held; emptied by `mended`
+        self.blocked_ends: dict[ConnectionEnd, None] = {}  # ends with something held; emptied by `mended`
         self.dials: list[tuple[MemorySocket, Address]] = []  # that never came up; emptied by `mended`
         self.of_owner: dict[int, dict[MemorySocket, None]] = {}  # an owner's open sockets
         self.posts: dict[Address, Post] = {}  # each leaves with its agent
@@ -429,7 +429,7 @@
 
     def mended(self) -> None:
         """Something can be reached again: what was held goes on."""
-        held, self.waiting = list(self.waiting), {}
+        held, self.blocked_ends = list(self.blocked_ends), {}
         for side in held:
             if not side.closed or side.unsent:
                 side.flush_unsent()
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -339,7 +339,7 @@
     came, there = [], [False]
     loop = VirtualLoop()
     paths = SimpleNamespace(reaches=lambda *_: there[0], delay=lambda *_: 0.0, passing=lambda *_: 0.0)
-    net = SimpleNamespace(paths=paths, loop=loop, waiting={}, context=None)
+    net = SimpleNamespace(paths=paths, loop=loop, blocked_ends={}, context=None)
 
     class End(ConnectionEnd):
         def receive(self, what):
