--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -459,7 +459,7 @@
 
     # Datagrams between agents.
 
-    def tell(self, machine: Machine, source: Address, address: Address, data: bytes) -> None:
+    def send_datagram(self, machine: Machine, source: Address, address: Address, data: bytes) -> None:
         for post in self._at(address, source):
             for took in self.paths.datagram(machine, post.machine):
                 self.loop.call_later(took / 1000, self._hear, post, data, source, context=self.context)
@@ -505,7 +505,7 @@
         self._net, self._post = net, post
 
     def sendto(self, data: bytes, address: Address) -> None:
-        self._net.tell(self._post.machine, self._post.address, address, data)
+        self._net.send_datagram(self._post.machine, self._post.address, address, data)
 
     def close(self) -> None:
         if self._net.posts.get(self._post.address) is self._post:
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -274,7 +274,7 @@
     for i in range(messages):
         loop.call_later(
             i / 1000,
-            net.tell,
+            net.send_datagram,
             net.posts["0", 1].machine,
             ("0", 1),
             ("1", 1) if i % 2 else ("all", 1),
