--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -372,7 +372,7 @@
         self.blocked_ends: dict[ConnectionEnd, None] = {}  # ends with something held; emptied by `mended`
         self.dials: list[tuple[MemorySocket, Address]] = []  # that never came up; emptied by `mended`
         self.of_owner: dict[int, dict[MemorySocket, None]] = {}  # an owner's open sockets
-        self.posts: dict[Address, Post] = {}  # each leaves with its agent
+        self.datagram_endpoints: dict[Address, Post] = {}  # each leaves with its agent
         # Sees each piece that an agent sends; gives what goes on its way, and how much the agent is told went.
         self.sends: Callable[[MemorySocket, bytes], tuple[bytes, int]] | None = None
         self.everybody: Address | None = None  # what is sent there goes to all
@@ -445,7 +445,9 @@
         for sock in list(self.of_owner.pop(owner, {})):
             sock.transmit(RST)
             sock.end()
-        self.posts = {at: post for at, post in self.posts.items() if post.owner != owner}
+        self.datagram_endpoints = {
+            at: post for at, post in self.datagram_endpoints.items() if post.owner != owner
+        }
 
     def refuse(self) -> None:
         """What is open between machines that refuse each other is reset, at both ends at once."""
@@ -466,12 +468,12 @@
 
     def _at(self, address: Address, source: Address) -> list[Post]:
         if address == self.everybody:
-            return [post for post in self.posts.values() if post.address != source]
-        return [self.posts[address]] if address in self.posts else []
+            return [post for post in self.datagram_endpoints.values() if post.address != source]
+        return [self.datagram_endpoints[address]] if address in self.datagram_endpoints else []
 
     def _hear(self, post: Post, data: bytes, source: Address) -> None:
         """Its own process takes it, in its turn; one that is gone takes nothing."""
-        if self.posts.get(post.address) is post:
+        if self.datagram_endpoints.get(post.address) is post:
             with self.loop.owned_by(post.owner):
                 self.loop.call_soon(post.protocol.datagram_received, data, source)
 
@@ -495,7 +497,7 @@
     async def datagrams(self, protocol: Callable[[], asyncio.DatagramProtocol], address: Address) -> None:
         post = Post(self._machine, address, protocol(), OWNER.get())
         post.protocol.connection_made(_Datagrams(self._net, post))  # type: ignore[arg-type]
-        self._net.posts[address] = post
+        self._net.datagram_endpoints[address] = post
 
 
 class _Datagrams:
@@ -508,5 +510,5 @@
         self._net.send_datagram(self._post.machine, self._post.address, address, data)
 
     def close(self) -> None:
-        if self._net.posts.get(self._post.address) is self._post:
-            del self._net.posts[self._post.address]
+        if self._net.datagram_endpoints.get(self._post.address) is self._post:
+            del self._net.datagram_endpoints[self._post.address]
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -275,7 +275,7 @@
         loop.call_later(
             i / 1000,
             net.send_datagram,
-            net.posts["0", 1].machine,
+            net.datagram_endpoints["0", 1].machine,
             ("0", 1),
             ("1", 1) if i % 2 else ("all", 1),
             b"%d" % i,
