--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -438,7 +438,7 @@
             if not sock.closed:
                 self.dial(sock, address)
 
-    def die(self, owner: int) -> None:
+    def close_owner(self, owner: int) -> None:
         """An owner's process is killed: its connections are reset, its listeners gone."""
         for listener in [s for s in self.listeners.values() if s.owner == owner]:
             listener.close()
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -215,7 +215,7 @@
 
         async def stop() -> None:
             await life.agent.stop()
-            self.net.die(life.owner)
+            self.net.close_owner(life.owner)
             self._close(life)
             self._ends[number]()
 
@@ -229,7 +229,7 @@
 
     def _kill(self, life: Life) -> None:
         self.loop.kill(life.owner)
-        self.net.die(life.owner)
+        self.net.close_owner(life.owner)
         self._close(life)
 
     def _close(self, life: Life) -> None:
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -280,7 +280,7 @@
             ("1", 1) if i % 2 else ("all", 1),
             b"%d" % i,
         )
-    loop.call_later(messages / 2000, net.die, 3)
+    loop.call_later(messages / 2000, net.close_owner, 3)
     loop.run_until_complete(asyncio.sleep(5))
     loop.end()
     return [[int(data) for data, addr in post.got if addr == ("0", 1)] for post in posts]
