--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -375,7 +375,7 @@
         self.datagram_endpoints: dict[Address, Post] = {}  # each leaves with its agent
         # Sees each piece that an agent sends; gives what goes on its way, and how much the agent is told went.
         self.sends: Callable[[MemorySocket, bytes], tuple[bytes, int]] | None = None
-        self.everybody: Address | None = None  # what is sent there goes to all
+        self.broadcast_address: Address | None = None  # what is sent there goes to all
         self._fds = FIRST_FD
 
     def number(self) -> int:
@@ -467,7 +467,7 @@
                 self.loop.call_later(took / 1000, self._hear, post, data, source, context=self.context)
 
     def _at(self, address: Address, source: Address) -> list[Post]:
-        if address == self.everybody:
+        if address == self.broadcast_address:
             return [post for post in self.datagram_endpoints.values() if post.address != source]
         return [self.datagram_endpoints[address]] if address in self.datagram_endpoints else []
 
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -100,7 +100,7 @@
         self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
         self.net = MemoryNet(self.loop, self.paths)
         self.net.sends = self._sends
-        self.net.everybody = self.addresses.everybody()
+        self.net.broadcast_address = self.addresses.everybody()
         self.clock = VirtualClock(self.loop)
         self.ledger = Ledger(EPOCH + START * 1000)
         self._fault = FAULTS.get(world.fault)
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -261,7 +261,7 @@
     loop = VirtualLoop()
     paths = Paths(1.0, 1.0, 0.0, 0.0, stream(1, "paths"))
     net = MemoryNet(loop, paths)
-    net.everybody = ("all", 1)
+    net.broadcast_address = ("all", 1)
     posts = []
     for n in range(3):
         with loop.owned_by(n + 1):
