--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -1,7 +1,7 @@
-"""Sockets in memory: what the agent's IOStream and the bed's asyncio protocols talk through in virtual time.
+"""In-memory sockets that connect the agent's IOStream and the bed's asyncio protocols in virtual time.
 
-An agent's end looks like a non-blocking `socket.socket`, as far as IOStream and the channel use one; a peer's end
-is an asyncio transport. Between the two stands `network.Paths`.
+The agent's end implements the part of a non-blocking `socket.socket` that IOStream and the channel use; a peer's
+end is an asyncio transport. Delays, cuts and losses between the two ends come from `network.Paths`.
 """
 
 from __future__ import annotations
@@ -22,68 +22,69 @@
 from lupinreach.config import Address
 from lupinreach.net.sockets import Sockets
 
-WINDOW = 64 << 10  # bytes on their way that a sender may have out
-FIRST_FD = 1 << 20  # far from any that the process has
-TCP_INFO_SIZE, LAST_RECEIVED = 104, 52
-GIVES_UP = 3000.0  # ms after which a connection that never comes up ends by itself
-RST = object()
+SEND_WINDOW_BYTES = 64 << 10  # bytes in transit that a sender may have unacknowledged
+FIRST_FD = 1 << 20  # above any descriptor of the process itself
+TCP_INFO_BYTES, LAST_RECEIVED_OFFSET = 104, 52  # struct tcp_info: size, offset of tcpi_last_data_recv
+CONNECT_GIVE_UP_MS = 3000.0  # a connection attempt that is never answered fails after this time
+RST = object()  # sent in place of bytes: the connection is reset
 
 Opened = Callable[["Line"], asyncio.Protocol]
 
 
 class ConnectionEnd:
-    """One end of a connection: what has come in, and the way to the other end."""
+    """One end of a connection: sends bytes to the remote end and receives what arrives from it."""
 
     def __init__(self, net: MemoryNet, machine: Machine) -> None:
         self.net = net
         self.machine = machine
         self.remote: ConnectionEnd | None = None
         self.closed = False
-        self.unsent: list[Any] = []  # held while the other end can't be reached; emptied when it can
-        self._last = 0.0  # when the last piece arrives: nothing overtakes
-        self.on_way = 0  # bytes sent and not yet taken by the other end
+        self.unsent: list[Any] = []  # chunks held until the remote end is reachable again
+        self._last_arrival = 0.0  # s, when the last chunk sent arrives; later chunks don't overtake it
+        self.bytes_in_transit = 0  # sent and not yet received by the remote end
 
-    def transmit(self, what: Any) -> None:
-        """Bytes, b"" for the end, or RST, on their way to the other end."""
+    def transmit(self, chunk: Any) -> None:
+        """Sends a chunk to the remote end: bytes, b"" for end of stream, or RST."""
         remote = self.remote
         if remote is None or remote.closed:
             return
         paths, loop = self.net.paths, self.net.loop
         if self.unsent or not paths.reaches(self.machine, remote.machine):
-            if what is RST:
-                self.unsent.clear()  # what is reset sends nothing that it still had to send
-            self.unsent.append(what)
+            if chunk is RST:
+                self.unsent.clear()  # a reset discards what was not yet sent
+            self.unsent.append(chunk)
             self.net.blocked_ends[self] = None
             return
-        size = len(what) if isinstance(what, bytes | bytearray) else 0
-        self._last = (
-            max(self._last, loop.time() + paths.delay(self.machine, remote.machine) / 1000)
+        size = len(chunk) if isinstance(chunk, bytes | bytearray) else 0
+        self._last_arrival = (
+            max(self._last_arrival, loop.time() + paths.delay(self.machine, remote.machine) / 1000)
             + paths.passing(self.machine, remote.machine, size) / 1000
         )
-        loop.call_at(self._last, self._arrive, remote, what, context=self.net.context)
+        loop.call_at(self._last_arrival, self._arrive, remote, chunk, context=self.net.context)
 
-    def _arrive(self, remote: ConnectionEnd, what: Any) -> None:
+    def _arrive(self, remote: ConnectionEnd, chunk: Any) -> None:
         if not self.net.paths.reaches(self.machine, remote.machine):
-            self.unsent.append(what)  # cut while it was on its way
+            self.unsent.append(chunk)  # the path was cut while the chunk was in transit
             self.net.blocked_ends[self] = None
         elif not remote.closed:
-            remote.receive(what)
+            remote.receive(chunk)
 
     def flush_unsent(self) -> None:
-        """What was held goes on, where the other end can be reached now."""
-        held, self.unsent = self.unsent, []
-        for what in held:
-            self.transmit(what)
+        """Sends the held chunks again; they are held once more if the remote end is still unreachable."""
+        blocked, self.unsent = self.unsent, []
+        for chunk in blocked:
+            self.transmit(chunk)
 
-    def receive(self, what: Any) -> None:
+    def receive(self, chunk: Any) -> None:
+        """Handles a chunk that arrived from the remote end."""
         raise NotImplementedError
 
-    def room(self) -> None:
-        """The other end has taken some of what was on its way."""
+    def on_window_update(self) -> None:
+        """The remote end received some of the bytes in transit, so more can be sent."""
 
 
 class MemorySocket(ConnectionEnd):
-    """The agent's end, in the manner of `socket.socket`."""
+    """The agent's end of a connection, with the interface of a non-blocking `socket.socket`."""
 
     family = socket.AF_INET
     type = socket.SOCK_STREAM
@@ -91,32 +92,35 @@
 
     def __init__(self, net: MemoryNet, machine: Machine) -> None:
         super().__init__(net, machine)
-        self._fd = net.number()
-        self._inbox = bytearray()
-        self._ended = False  # the other end sends nothing more
+        self._fd = net.next_fd()
+        self._receive_buffer = bytearray()
+        self._peer_closed = False  # the remote end sends nothing more
         self._error = 0
         self.connected = False
         self._connecting = False
         self._shut = False
-        self.stopped = False  # takes nothing more: it is about to break
+        self.write_blocked = False  # accepts no more bytes because the connection is about to break
         self._received = net.loop.time()
         self.address: Address | None = None
         self.owner = OWNER.get()
         net.loop.open(self)
-        net.of_owner.setdefault(self.owner, {})[self] = None
+        net.sockets_by_owner.setdefault(self.owner, {})[self] = None
 
-    # As the event loop sees it.
+    # Interface for the event loop.
 
     def fileno(self) -> int:
         return -1 if self.closed else self._fd
 
     def readable(self) -> bool:
-        return bool(self._inbox or self._ended or self._error)
+        return bool(self._receive_buffer or self._peer_closed or self._error)
 
     def writable(self) -> bool:
-        return bool(self._error or (self.connected and self.on_way < WINDOW and not self.stopped))
+        return bool(
+            self._error
+            or (self.connected and self.bytes_in_transit < SEND_WINDOW_BYTES and not self.write_blocked)
+        )
 
-    # As IOStream and the channel use it.
+    # Interface for IOStream and the channel.
 
     def setblocking(self, flag: bool) -> None:
         assert not flag
@@ -128,12 +132,12 @@
         if level == socket.SOL_SOCKET and option == socket.SO_ERROR:
             error, self._error = self._error, 0
             if error:
-                self._ended = True
+                self._peer_closed = True
             return error
         if level == socket.IPPROTO_TCP and option == socket.TCP_INFO:
-            info = bytearray(TCP_INFO_SIZE)
+            info = bytearray(TCP_INFO_BYTES)
             ago = int((self.net.loop.time() - self._received) * 1000)
-            info[LAST_RECEIVED : LAST_RECEIVED + 4] = struct.pack("=I", max(0, ago))
+            info[LAST_RECEIVED_OFFSET : LAST_RECEIVED_OFFSET + 4] = struct.pack("=I", max(0, ago))
             return bytes(info[:size])
         return 0
 
@@ -144,39 +148,39 @@
         raise BlockingIOError(errno.EINPROGRESS, "in progress")
 
     def recv_into(self, buffer: Any, size: int = 0) -> int:
-        if self._inbox:
-            size = min(size or len(buffer), len(self._inbox))
-            buffer[:size] = self._inbox[:size]
-            del self._inbox[:size]
+        if self._receive_buffer:
+            size = min(size or len(buffer), len(self._receive_buffer))
+            buffer[:size] = self._receive_buffer[:size]
+            del self._receive_buffer[:size]
             return size
-        self._raise()
-        if self._ended:
+        self._raise_pending_error()
+        if self._peer_closed:
             return 0
         raise BlockingIOError(errno.EAGAIN, "nothing there")
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        if not self._inbox:
-            self._raise(keep=True)
-            if self._ended:
+        if not self._receive_buffer:
+            self._raise_pending_error(keep_error=True)
+            if self._peer_closed:
                 return b""
             raise BlockingIOError(errno.EAGAIN, "nothing there")
-        found = bytes(self._inbox[:size])
+        found = bytes(self._receive_buffer[:size])
         if not flags & socket.MSG_PEEK:
-            del self._inbox[:size]
+            del self._receive_buffer[:size]
         return found
 
     def send(self, data: Any) -> int:
-        self._raise()
-        if self._shut or self._ended and self.remote is None:
+        self._raise_pending_error()
+        if self._shut or self._peer_closed and self.remote is None:
             raise BrokenPipeError(errno.EPIPE, "broken pipe")
-        if self.on_way >= WINDOW or self.stopped:
+        if self.bytes_in_transit >= SEND_WINDOW_BYTES or self.write_blocked:
             raise BlockingIOError(errno.EAGAIN, "no room")
-        piece = bytes(data[: WINDOW - self.on_way])
+        piece = bytes(data[: SEND_WINDOW_BYTES - self.bytes_in_transit])
         taken = len(piece)
-        if self.net.sends is not None:
-            piece, taken = self.net.sends(self, piece)
+        if self.net.on_agent_send is not None:
+            piece, taken = self.net.on_agent_send(self, piece)
         if piece:
-            self.on_way += len(piece)
+            self.bytes_in_transit += len(piece)
             self.transmit(piece)
         return taken
 
@@ -188,63 +192,63 @@
     def close(self) -> None:
         if self.closed:
             return
-        # A close with bytes unread takes away what was still on its way.
-        self.transmit(RST if self._inbox else b"" if not self._shut else RST)
-        self.end()
+        # As in TCP, closing with unread bytes sends a reset, which discards what was still in transit.
+        self.transmit(RST if self._receive_buffer else b"" if not self._shut else RST)
+        self.release()
 
-    def end(self) -> None:
-        """Nothing more is told of it."""
+    def release(self) -> None:
+        """Removes the socket from the event loop and from its owner."""
         self.net.loop.shut(self)
         self.closed = True
-        self.net.of_owner.get(self.owner, {}).pop(self, None)
+        self.net.sockets_by_owner.get(self.owner, {}).pop(self, None)
 
-    def _raise(self, keep: bool = False) -> None:
+    def _raise_pending_error(self, keep_error: bool = False) -> None:
         if self._error:
             error = self._error
-            if not keep:
-                self._error, self._ended = 0, True
+            if not keep_error:
+                self._error, self._peer_closed = 0, True
             raise OSError(error, os.strerror(error))
 
-    # What comes.
+    # Events from the network.
 
-    def up(self, remote: ConnectionEnd) -> None:
+    def on_connected(self, remote: ConnectionEnd) -> None:
         if not self.closed:
             self.remote, self.connected = remote, True
             self._received = self.net.loop.time()
             self.net.loop.changed(self)
 
-    def fail(self, error: int) -> None:
+    def on_connect_failed(self, error: int) -> None:
         if not self.closed:
             self._error = error
             self.net.loop.changed(self)
 
-    def receive(self, what: Any) -> None:
-        if what is RST:
-            self._inbox.clear()
+    def receive(self, chunk: Any) -> None:
+        if chunk is RST:
+            self._receive_buffer.clear()
             self.remote = None
             self._error = errno.ECONNRESET
-        elif what:
-            self._inbox += what
+        elif chunk:
+            self._receive_buffer += chunk
             self._received = self.net.loop.time()
         else:
-            self._ended = True
+            self._peer_closed = True
         self.net.loop.changed(self)
 
-    def room(self) -> None:
+    def on_window_update(self) -> None:
         if not self.closed:
             self.net.loop.changed(self)
 
 
 class MemoryListener:
-    """The socket that an agent listens on."""
+    """The listening socket of an agent."""
 
     def __init__(self, net: MemoryNet, machine: Machine, address: Address) -> None:
         self.net = net
         self.machine = machine
-        self._fd = net.number()
+        self._fd = net.next_fd()
         self._address = address
-        self._waiting: deque[MemorySocket] = deque()
-        self._most = 0
+        self._accept_queue: deque[MemorySocket] = deque()
+        self._backlog = 0
         self.owner = OWNER.get()
         net.loop.open(self)
         if address in net.listeners:
@@ -255,31 +259,31 @@
         return self._fd
 
     def readable(self) -> bool:
-        return bool(self._waiting)
+        return bool(self._accept_queue)
 
     def writable(self) -> bool:
         return False
 
-    def listen(self, most: int) -> None:
-        self._most = most
+    def listen(self, backlog: int) -> None:
+        self._backlog = backlog
 
     def getsockname(self) -> Address:
         return self._address
 
     def accept(self) -> tuple[MemorySocket, Address]:
-        if not self._waiting:
-            raise BlockingIOError(errno.EAGAIN, "nobody waits")
-        return self._waiting.popleft(), ("127.0.0.1", 1)
+        if not self._accept_queue:
+            raise BlockingIOError(errno.EAGAIN, "no connection waits")
+        return self._accept_queue.popleft(), ("127.0.0.1", 1)
 
-    def come(self, line: Line) -> bool:
-        """A connection of a client's; false where the backlog is full."""
-        if len(self._waiting) > self._most:
+    def add_connection(self, transport: Line) -> bool:
+        """Queues a connection of a client; False if the backlog is full."""
+        if len(self._accept_queue) > self._backlog:
             return False
         with self.net.loop.owned_by(self.owner):
             sock = MemorySocket(self.net, self.machine)
-        sock.remote, sock.connected = line, True
-        line.remote = sock
-        self._waiting.append(sock)
+        sock.remote, sock.connected = transport, True
+        transport.remote = sock
+        self._accept_queue.append(sock)
         self.net.loop.changed(self)
         return True
 
@@ -287,14 +291,14 @@
         self.net.loop.shut(self)
         if self.net.listeners.get(self._address) is self:
             del self.net.listeners[self._address]
-        for sock in self._waiting:
+        for sock in self._accept_queue:
             sock.transmit(RST)
-            sock.end()
-        self._waiting.clear()
+            sock.release()
+        self._accept_queue.clear()
 
 
 class Line(ConnectionEnd, asyncio.Transport):
-    """A peer's end: a transport for an asyncio protocol."""
+    """The end of a client, backend or registry: a transport for its asyncio protocol."""
 
     def __init__(self, net: MemoryNet, machine: Machine, protocol: asyncio.Protocol) -> None:
         ConnectionEnd.__init__(self, net, machine)
@@ -302,19 +306,19 @@
         self.protocol = protocol
         self._closing = False
 
-    def receive(self, what: Any) -> None:
+    def receive(self, chunk: Any) -> None:
         remote = self.remote
-        if what is RST:
-            self._lost(ConnectionResetError(errno.ECONNRESET, "reset"))
-        elif what:
+        if chunk is RST:
+            self._connection_lost(ConnectionResetError(errno.ECONNRESET, "reset"))
+        elif chunk:
             if remote is not None:
-                remote.on_way -= len(what)
-                remote.room()
-            self.protocol.data_received(what)
+                remote.bytes_in_transit -= len(chunk)
+                remote.on_window_update()
+            self.protocol.data_received(chunk)
         elif not self.protocol.eof_received():
             self.close()
 
-    def _lost(self, why: Exception | None) -> None:
+    def _connection_lost(self, why: Exception | None) -> None:
         if not self.closed:
             self.closed = self._closing = True
             self.protocol.connection_lost(why)
@@ -327,32 +331,32 @@
         if not self._closing:
             self._closing = True
             self.transmit(b"")
-            self.net.loop.call_soon(self._lost, None, context=self.net.context)
+            self.net.loop.call_soon(self._connection_lost, None, context=self.net.context)
 
     def abort(self) -> None:
         if not self.closed:
             self.transmit(RST)
             self._closing = True
-            self.net.loop.call_soon(self._lost, None, context=self.net.context)
+            self.net.loop.call_soon(self._connection_lost, None, context=self.net.context)
 
     def is_closing(self) -> bool:
         return self._closing
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        if name == "left":  # the other end has closed, whether or not word of that has come
+        if name == "left":  # true once the remote end has closed, even before its b"" or RST arrives
             return self.remote is None or self.remote.closed
         return self.machine if name == "machine" else default
 
-    def up(self) -> None:
+    def on_connected(self) -> None:
         self.protocol.connection_made(self)
 
-    def fail(self, why: Exception) -> None:
-        self._lost(why)
+    def on_connect_failed(self, why: Exception) -> None:
+        self._connection_lost(why)
 
 
 @dataclass(eq=False)
-class Post:
-    """Where datagrams for one process come to."""
+class DatagramEndpoint:
+    """Receives the datagrams sent to one process."""
 
     machine: Machine
     address: Address
@@ -361,133 +365,141 @@
 
 
 class MemoryNet:
-    """All connections of one run."""
+    """All connections and datagram endpoints of one run."""
 
     def __init__(self, loop: VirtualLoop, paths: Paths) -> None:
         self.loop = loop
         self.paths = paths
-        self.context = contextvars.copy_context()  # the bed's own: what arrives is nobody's work yet
-        self.listeners: dict[Address, MemoryListener] = {}  # each leaves when it closes
+        self.context = contextvars.copy_context()  # the bed's own: callbacks run in it belong to no owner
+        self.listeners: dict[Address, MemoryListener] = {}  # removed when they close
         self.servers: dict[Address, tuple[Machine, Callable[[], asyncio.Protocol]]] = {}
-        self.blocked_ends: dict[ConnectionEnd, None] = {}  # ends with something held; emptied by `mended`
-        self.dials: list[tuple[MemorySocket, Address]] = []  # that never came up; emptied by `mended`
-        self.of_owner: dict[int, dict[MemorySocket, None]] = {}  # an owner's open sockets
-        self.datagram_endpoints: dict[Address, Post] = {}  # each leaves with its agent
-        # Sees each piece that an agent sends; gives what goes on its way, and how much the agent is told went.
-        self.sends: Callable[[MemorySocket, bytes], tuple[bytes, int]] | None = None
-        self.broadcast_address: Address | None = None  # what is sent there goes to all
-        self._fds = FIRST_FD
-
-    def number(self) -> int:
-        self._fds += 1
-        return self._fds
+        self.blocked_ends: dict[ConnectionEnd, None] = {}  # with unsent chunks; emptied by `flush_blocked`
+        self.blocked_dials: list[tuple[MemorySocket, Address]] = []  # unanswered; emptied by `flush_blocked`
+        self.sockets_by_owner: dict[int, dict[MemorySocket, None]] = {}  # open sockets
+        self.datagram_endpoints: dict[Address, DatagramEndpoint] = {}  # removed with their agent
+        # Called with each piece that an agent sends; returns the bytes to transmit and the count reported to the agent.
+        self.on_agent_send: Callable[[MemorySocket, bytes], tuple[bytes, int]] | None = None
+        self.broadcast_address: Address | None = None  # datagrams sent there go to every other endpoint
+        self._last_fd = FIRST_FD
+
+    def next_fd(self) -> int:
+        """Returns a descriptor number that was never used in this run."""
+        self._last_fd += 1
+        return self._last_fd
 
     def serve(self, address: Address, machine: Machine, protocol: Callable[[], asyncio.Protocol]) -> None:
-        """Peers that agents connect to."""
+        """Registers a server that agents connect to."""
         self.servers[address] = machine, protocol
 
     def dial(self, sock: MemorySocket, address: Address) -> None:
-        """An agent connects: there and back once before the first byte."""
+        """Connects an agent's socket; this takes one round trip."""
         found = self.servers.get(address)
         if found is None:
-            self.loop.call_later(0.0, sock.fail, errno.ECONNREFUSED, context=self.context)
+            self.loop.call_later(0.0, sock.on_connect_failed, errno.ECONNREFUSED, context=self.context)
             return
         machine, protocol = found
         if self.paths.refuses(sock.machine, machine):
-            self.loop.call_later(0.0, sock.fail, errno.ECONNREFUSED, context=self.context)
+            self.loop.call_later(0.0, sock.on_connect_failed, errno.ECONNREFUSED, context=self.context)
             return
         if not self.paths.reaches(sock.machine, machine):
-            self.dials.append((sock, address))
+            self.blocked_dials.append((sock, address))
             return
-        there = self.paths.delay(sock.machine, machine) / 1000
-        back = self.paths.delay(machine, sock.machine) / 1000
-        self.loop.call_later(there, self._dialled, sock, address, back, context=self.context)
+        forward_delay = self.paths.delay(sock.machine, machine) / 1000
+        return_delay = self.paths.delay(machine, sock.machine) / 1000
+        self.loop.call_later(
+            forward_delay, self._on_dial_arrived, sock, address, return_delay, context=self.context
+        )
 
-    def _dialled(self, sock: MemorySocket, address: Address, back: float) -> None:
+    def _on_dial_arrived(self, sock: MemorySocket, address: Address, return_delay: float) -> None:
         if sock.closed:
             return
         machine, protocol = self.servers[address]
         if not self.paths.reaches(sock.machine, machine) or not self.paths.reaches(machine, sock.machine):
-            self.dials.append((sock, address))  # nothing came, or no answer to it
+            self.blocked_dials.append((sock, address))  # the connection request or its answer was lost
         elif machine.shut:
-            self.loop.call_later(back, sock.fail, errno.ECONNREFUSED, context=self.context)
+            self.loop.call_later(
+                return_delay, sock.on_connect_failed, errno.ECONNREFUSED, context=self.context
+            )
         else:
-            line = Line(self, machine, protocol())
-            line.remote = sock
-            line.up()
-            self.loop.call_later(back, sock.up, line, context=self.context)
+            transport = Line(self, machine, protocol())
+            transport.remote = sock
+            transport.on_connected()
+            self.loop.call_later(return_delay, sock.on_connected, transport, context=self.context)
 
     def connect(self, machine: Machine, protocol: asyncio.Protocol, address: Address) -> None:
-        """A client connects to an agent's listener."""
-        line = Line(self, machine, protocol)
+        """Connects a client to an agent's listener."""
+        transport = Line(self, machine, protocol)
         listener = self.listeners.get(address)
-        if listener is None or not listener.come(line):
+        if listener is None or not listener.add_connection(transport):
             why = ConnectionRefusedError(errno.ECONNREFUSED, "refused")
-            self.loop.call_soon(line.fail, why, context=self.context)
+            self.loop.call_soon(transport.on_connect_failed, why, context=self.context)
         else:
-            self.loop.call_soon(line.up, context=self.context)
-
-    def mended(self) -> None:
-        """Something can be reached again: what was held goes on."""
-        held, self.blocked_ends = list(self.blocked_ends), {}
-        for side in held:
-            if not side.closed or side.unsent:
-                side.flush_unsent()
-        dials, self.dials = self.dials, []
-        for sock, address in dials:
+            self.loop.call_soon(transport.on_connected, context=self.context)
+
+    def flush_blocked(self) -> None:
+        """Sends held chunks and retries unanswered connections after a path has become reachable again."""
+        blocked, self.blocked_ends = list(self.blocked_ends), {}
+        for end in blocked:
+            if not end.closed or end.unsent:
+                end.flush_unsent()
+        blocked_dials, self.blocked_dials = self.blocked_dials, []
+        for sock, address in blocked_dials:
             if not sock.closed:
                 self.dial(sock, address)
 
     def close_owner(self, owner: int) -> None:
-        """An owner's process is killed: its connections are reset, its listeners gone."""
+        """Ends an owner's process: closes its listeners, resets its connections, removes its datagram endpoints."""
         for listener in [s for s in self.listeners.values() if s.owner == owner]:
             listener.close()
-        for sock in list(self.of_owner.pop(owner, {})):
+        for sock in list(self.sockets_by_owner.pop(owner, {})):
             sock.transmit(RST)
-            sock.end()
+            sock.release()
         self.datagram_endpoints = {
-            at: post for at, post in self.datagram_endpoints.items() if post.owner != owner
+            at: endpoint for at, endpoint in self.datagram_endpoints.items() if endpoint.owner != owner
         }
 
-    def refuse(self) -> None:
-        """What is open between machines that refuse each other is reset, at both ends at once."""
-        for sockets in list(self.of_owner.values()):
+    def reset_refused(self) -> None:
+        """Resets open connections between machines that refuse each other, at both ends at the same time."""
+        for sockets in list(self.sockets_by_owner.values()):
             for sock in list(sockets):
                 remote = sock.remote
                 if remote is not None and self.paths.refuses(sock.machine, remote.machine):
-                    for side in (sock, remote):
-                        if not side.closed:
-                            self.loop.call_soon(side.receive, RST, context=self.context)
+                    for end in (sock, remote):
+                        if not end.closed:
+                            self.loop.call_soon(end.receive, RST, context=self.context)
 
     # Datagrams between agents.
 
     def send_datagram(self, machine: Machine, source: Address, address: Address, data: bytes) -> None:
-        for post in self._at(address, source):
-            for took in self.paths.datagram(machine, post.machine):
-                self.loop.call_later(took / 1000, self._hear, post, data, source, context=self.context)
-
-    def _at(self, address: Address, source: Address) -> list[Post]:
+        """Sends a datagram to one endpoint, or to all others through the broadcast address."""
+        for endpoint in self._datagram_endpoints_at(address, source):
+            for delay_ms in self.paths.datagram(machine, endpoint.machine):
+                self.loop.call_later(
+                    delay_ms / 1000, self._deliver_datagram, endpoint, data, source, context=self.context
+                )
+
+    def _datagram_endpoints_at(self, address: Address, source: Address) -> list[DatagramEndpoint]:
         if address == self.broadcast_address:
-            return [post for post in self.datagram_endpoints.values() if post.address != source]
+            return [endpoint for endpoint in self.datagram_endpoints.values() if endpoint.address != source]
         return [self.datagram_endpoints[address]] if address in self.datagram_endpoints else []
 
-    def _hear(self, post: Post, data: bytes, source: Address) -> None:
-        """Its own process takes it, in its turn; one that is gone takes nothing."""
-        if self.datagram_endpoints.get(post.address) is post:
-            with self.loop.owned_by(post.owner):
-                self.loop.call_soon(post.protocol.datagram_received, data, source)
+    def _deliver_datagram(self, endpoint: DatagramEndpoint, data: bytes, source: Address) -> None:
+        """Delivers a datagram as a callback of the receiving process; dropped if the endpoint was removed."""
+        if self.datagram_endpoints.get(endpoint.address) is endpoint:
+            with self.loop.owned_by(endpoint.owner):
+                self.loop.call_soon(endpoint.protocol.datagram_received, data, source)
 
 
 class MemorySockets(Sockets):
-    """One agent's way to the network, handed to it in place of the system's."""
+    """Socket factory given to one agent in place of the operating system's."""
 
-    def __init__(self, net: MemoryNet, machine: Machine, most: int = 1 << 16) -> None:
+    def __init__(self, net: MemoryNet, machine: Machine, max_sockets: int = 1 << 16) -> None:
         self._net = net
         self._machine = machine
-        self._most = most  # sockets that the process may have open
+        self._max_sockets = max_sockets  # limit of open sockets of the process
 
     def stream(self, address: Address) -> Any:
-        if len(self._net.of_owner.get(OWNER.get(), ())) >= self._most:
+        if len(self._net.sockets_by_owner.get(OWNER.get(), ())) >= self._max_sockets:
             raise OSError(errno.EMFILE, "too many open files")
         return MemorySocket(self._net, self._machine)
 
@@ -495,16 +507,16 @@
         return MemoryListener(self._net, self._machine, address)
 
     async def datagrams(self, protocol: Callable[[], asyncio.DatagramProtocol], address: Address) -> None:
-        post = Post(self._machine, address, protocol(), OWNER.get())
-        post.protocol.connection_made(_Datagrams(self._net, post))  # type: ignore[arg-type]
-        self._net.datagram_endpoints[address] = post
+        endpoint = DatagramEndpoint(self._machine, address, protocol(), OWNER.get())
+        endpoint.protocol.connection_made(_Datagrams(self._net, endpoint))  # type: ignore[arg-type]
+        self._net.datagram_endpoints[address] = endpoint
 
 
 class _Datagrams:
-    """The transport of an agent's datagrams."""
+    """Transport for the datagrams of one agent."""
 
-    def __init__(self, net: MemoryNet, post: Post) -> None:
-        self._net, self._post = net, post
+    def __init__(self, net: MemoryNet, endpoint: DatagramEndpoint) -> None:
+        self._net, self._post = net, endpoint
 
     def sendto(self, data: bytes, address: Address) -> None:
         self._net.send_datagram(self._post.machine, self._post.address, address, data)
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -99,7 +99,7 @@
         network = world.network
         self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
         self.net = MemoryNet(self.loop, self.paths)
-        self.net.sends = self._sends
+        self.net.on_agent_send = self._sends
         self.net.broadcast_address = self.addresses.everybody()
         self.clock = VirtualClock(self.loop)
         self.ledger = Ledger(EPOCH + START * 1000)
@@ -130,10 +130,10 @@
         self.net.connect(machine, protocol, address)
 
     def mended(self) -> None:
-        self.net.mended()
+        self.net.flush_blocked()
 
     def refused(self) -> None:
-        self.net.refuse()
+        self.net.reset_refused()
 
     def shut(self, machine: Machine, on: bool) -> None:
         machine.shut = on
@@ -160,7 +160,7 @@
 
     def _break(self, sock: MemorySocket, remote: Any) -> None:
         """The connection goes before the last byte: the kernel has taken half, and then says so."""
-        sock.stopped = True
+        sock.write_blocked = True
         self.loop.call_later(0.001, sock.receive, RST, context=self.net.context)
         self.loop.call_later(0.001, remote.receive, RST, context=self.net.context)
 
