--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -103,7 +103,7 @@
         self._received = net.loop.time()
         self.address: Address | None = None
         self.owner = OWNER.get()
-        net.loop.open(self)
+        net.loop.register_socket(self)
         net.sockets_by_owner.setdefault(self.owner, {})[self] = None
 
     # Interface for the event loop.
@@ -198,7 +198,7 @@
 
     def release(self) -> None:
         """Removes the socket from the event loop and from its owner."""
-        self.net.loop.shut(self)
+        self.net.loop.unregister_socket(self)
         self.closed = True
         self.net.sockets_by_owner.get(self.owner, {}).pop(self, None)
 
@@ -215,12 +215,12 @@
         if not self.closed:
             self.remote, self.connected = remote, True
             self._received = self.net.loop.time()
-            self.net.loop.changed(self)
+            self.net.loop.notify_readiness(self)
 
     def on_connect_failed(self, error: int) -> None:
         if not self.closed:
             self._error = error
-            self.net.loop.changed(self)
+            self.net.loop.notify_readiness(self)
 
     def receive(self, chunk: Any) -> None:
         if chunk is RST:
@@ -232,11 +232,11 @@
             self._received = self.net.loop.time()
         else:
             self._peer_closed = True
-        self.net.loop.changed(self)
+        self.net.loop.notify_readiness(self)
 
     def on_window_update(self) -> None:
         if not self.closed:
-            self.net.loop.changed(self)
+            self.net.loop.notify_readiness(self)
 
 
 class MemoryListener:
@@ -250,7 +250,7 @@
         self._accept_queue: deque[MemorySocket] = deque()
         self._backlog = 0
         self.owner = OWNER.get()
-        net.loop.open(self)
+        net.loop.register_socket(self)
         if address in net.listeners:
             raise OSError(errno.EADDRINUSE, "address in use")
         net.listeners[address] = self
@@ -284,11 +284,11 @@
         sock.remote, sock.connected = transport, True
         transport.remote = sock
         self._accept_queue.append(sock)
-        self.net.loop.changed(self)
+        self.net.loop.notify_readiness(self)
         return True
 
     def close(self) -> None:
-        self.net.loop.shut(self)
+        self.net.loop.unregister_socket(self)
         if self.net.listeners.get(self._address) is self:
             del self.net.listeners[self._address]
         for sock in self._accept_queue:
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -14,7 +14,7 @@
 from lupinreach.bed.peers.backend import Backend
 from lupinreach.bed.ways.disk import STATE_FILE, MemoryDisk
 from lupinreach.bed.ways.faults import FAULTS
-from lupinreach.bed.ways.loop import START, VirtualLoop
+from lupinreach.bed.ways.loop import START_TIME_S, VirtualLoop
 from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySocket, MemorySockets
 from lupinreach.bed.ways.policies import POLICIES, TrueState
 from lupinreach.bed.ways.stage import Stage
@@ -102,7 +102,7 @@
         self.net.on_agent_send = self._sends
         self.net.broadcast_address = self.addresses.everybody()
         self.clock = VirtualClock(self.loop)
-        self.ledger = Ledger(EPOCH + START * 1000)
+        self.ledger = Ledger(EPOCH + START_TIME_S * 1000)
         self._fault = FAULTS.get(world.fault)
         self._tamper = self._fault.tamper() if self._fault and self._fault.tamper else None
         self._decide = (
