--- a/lupinreach/bed/ways/__init__.py
+++ b/lupinreach/bed/ways/__init__.py
@@ -1,1 +1,1 @@
-"""Ways to play a world: the stage, and under it virtual time or loopback; agents other than the program's own."""
+"""Ways to run a world: the stage, on virtual time or loopback, and agents with baseline policies or planted faults."""
--- a/lupinreach/bed/ways/agent.py
+++ b/lupinreach/bed/ways/agent.py
@@ -1,4 +1,7 @@
-"""The agent with another module, a planted fault or a wrong clock: `python -m lupinreach.bed.ways.agent NAME [MS_AHEAD [DRIFT]]`."""
+"""The agent with another policy, a planted fault or a wrong clock.
+
+Usage: `python -m lupinreach.bed.ways.agent NAME [MS_AHEAD [DRIFT]]`.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,10 @@
 from lupinreach.net.clock import Clock
 
 if __name__ == "__main__":
-    known = POLICIES | {
+    balancers = POLICIES | {
         name: fault.make_balancer for name, fault in FAULTS.items() if fault.make_balancer is not None
     }
-    if not 2 <= len(sys.argv) <= 4 or sys.argv[1] not in known:
-        print(f"lupinreach: a policy or a fault is needed, one of {', '.join(known)}", file=sys.stderr)
+    if not 2 <= len(sys.argv) <= 4 or sys.argv[1] not in balancers:
+        print(f"lupinreach: a policy or a fault is needed, one of {', '.join(balancers)}", file=sys.stderr)
         sys.exit(2)
-    sys.exit(serve(known[sys.argv[1]], Clock(*map(float, sys.argv[2:]))))
+    sys.exit(serve(balancers[sys.argv[1]], Clock(*map(float, sys.argv[2:]))))
--- a/lupinreach/bed/ways/disk.py
+++ b/lupinreach/bed/ways/disk.py
@@ -1,4 +1,4 @@
-"""An agent's folder: in memory, where it loses power as a disk does, or on the system's, where faults are put into files."""
+"""An agent's data directory, for fault injection: in memory with simulated power loss, or a real folder."""
 
 from __future__ import annotations
 
@@ -11,138 +11,148 @@
 from lupinreach.bed.world.chance import Stream
 from lupinreach.store.files import Disk
 
-STATE_FILE = "carried"
+STATE_FILE = "carried"  # name of the file that holds an agent's stored state
 
 
-class _File:
-    def __init__(self, text: bytes, safe: int = 0) -> None:
-        self.text = text
-        self.safe = safe  # so many first bytes of it were synced
+class _MemoryFile:
+    def __init__(self, data: bytes, synced_bytes: int = 0) -> None:
+        self.data = data
+        self.synced_bytes = synced_bytes  # length of the prefix that was synced
 
 
 class MemoryDisk(Disk):
-    """Files and names, each with what of it a power loss leaves."""
+    """Files and directory entries; tracks what of each was synced and survives a power loss."""
 
     def __init__(self, chance: Stream) -> None:
         self._chance = chance
-        self._names: dict[str, _File] = {}
-        self._kept: dict[str, _File] = {}  # names that were synced
-        self._number = 0
+        self._names: dict[str, _MemoryFile] = {}
+        self._synced_names: dict[str, _MemoryFile] = {}  # directory entries as of the last sync
+        self._temp_file_count = 0
         self.writes_fail = False  # read-only, or full
-        self._hangs_until = 0.0  # s, by the loop's clock
+        self._stalled_until = 0.0  # s, loop time
 
-    def read(self, path: str, most: int) -> bytes:
+    def read(self, path: str, limit: int) -> bytes:
         if path not in self._names:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT))
-        return self._names[path].text[:most]
+        return self._names[path].data[:limit]
 
-    def write(self, folder: str, text: bytes, sync: bool) -> str:
+    def write(self, folder: str, data: bytes, sync: bool) -> str:
         if self.writes_fail:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        self._number += 1
-        fresh = f"{folder}/fresh-{self._number}"
-        self._names[fresh] = _File(text, len(text) if sync else 0)
-        return fresh
+        self._temp_file_count += 1
+        temp_path = f"{folder}/fresh-{self._temp_file_count}"
+        self._names[temp_path] = _MemoryFile(data, len(data) if sync else 0)
+        return temp_path
 
-    def append(self, path: str, text: bytes, sync: bool) -> None:
+    def append(self, path: str, data: bytes, sync: bool) -> None:
         if self.writes_fail:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         if path not in self._names:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT))
         file = self._names[path]
-        file.text += text
+        file.data += data
         if sync:
-            file.safe = len(file.text)
+            file.synced_bytes = len(file.data)
 
-    def rename(self, fresh: str, path: str) -> None:
-        self._names[path] = self._names.pop(fresh)
+    def rename(self, temp_path: str, path: str) -> None:
+        self._names[path] = self._names.pop(temp_path)
 
     def sync(self, folder: str) -> None:
-        self._kept = dict(self._names)
+        self._synced_names = dict(self._names)
 
-    async def away(self, work: Callable[[], bool]) -> bool:
-        while (left := self._hangs_until - asyncio.get_running_loop().time()) > 0:
-            await asyncio.sleep(left)
-        return work()
+    async def away(self, operation: Callable[[], bool]) -> bool:
+        while (remaining_s := self._stalled_until - asyncio.get_running_loop().time()) > 0:
+            await asyncio.sleep(remaining_s)
+        return operation()
 
     def hang(self, ms: float) -> None:
-        """From now on for so long nothing that is written comes to its end."""
-        self._hangs_until = asyncio.get_running_loop().time() + ms / 1000
+        """Blocks the completion of writes for the given time from now."""
+        self._stalled_until = asyncio.get_running_loop().time() + ms / 1000
 
     def lose_power(self) -> None:
-        """Of a name that was not synced either state may be there; of bytes that were not, any first part."""
-        found = {}
-        for name in sorted({*self._names, *self._kept}):
-            file = (self._names if self._chance.random() < 0.5 else self._kept).get(name)
+        """Simulates a power loss: unsynced directory entries are the old or the new ones, unsynced bytes any prefix."""
+        surviving = {}
+        for name in sorted({*self._names, *self._synced_names}):
+            file = (self._names if self._chance.random() < 0.5 else self._synced_names).get(name)
             if file is not None:
-                file.text = file.text[
-                    : file.safe + int(self._chance.random() * (len(file.text) - file.safe + 1))
+                file.data = file.data[
+                    : file.synced_bytes
+                    + int(self._chance.random() * (len(file.data) - file.synced_bytes + 1))
                 ]
-                found[name] = file
-        self._names, self._kept = dict(found), found
+                surviving[name] = file
+        self._names, self._synced_names = dict(surviving), surviving
 
     def outcomes(self, name: str) -> Iterator[bytes | None]:
-        """All that a power loss now can leave of a file: either name, and of unsynced bytes each first part, or zeros."""
-        for names in (self._names, self._kept):
+        """All contents that a power loss can leave now.
+
+        The directory entry is the old or the new one; of unsynced bytes any prefix is left, alone or padded with zeros.
+        """
+        for names in (self._names, self._synced_names):
             file = names.get(name)
             if file is None:
                 yield None
                 continue
-            for end in range(file.safe, len(file.text) + 1):
-                yield file.text[:end]
-                yield file.text[:end] + bytes(len(file.text) - end)
+            for end in range(file.synced_bytes, len(file.data) + 1):
+                yield file.data[:end]
+                yield file.data[:end] + bytes(len(file.data) - end)
 
-    # Faults, as in a folder.
+    # Fault injection, with the interface of `Folder`.
 
     def copy(self) -> bytes | None:
+        """The state file's content; None if there is no such file."""
         file = self._names.get(STATE_FILE)
-        return file.text if file else None
+        return file.data if file else None
 
-    def put(self, text: bytes | None) -> None:
+    def put(self, data: bytes | None) -> None:
+        """Replaces the state file's content as if synced; None removes the file."""
         self._names.pop(STATE_FILE, None)
-        if text is not None:
-            self._names[STATE_FILE] = _File(text, len(text))
-        self._kept = dict(self._names)
+        if data is not None:
+            self._names[STATE_FILE] = _MemoryFile(data, len(data))
+        self._synced_names = dict(self._names)
 
 
 class Folder:
-    """The same faults put into an agent's real folder."""
+    """Injects the same faults into an agent's real data directory."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._away = path.with_name(path.name + "-away")
-        if not path.exists():  # while it is stuck it is a file
+        self._moved_path = path.with_name(path.name + "-away")
+        if not path.exists():  # while writes fail it is a file
             path.mkdir()
 
     @property
     def file(self) -> Path:
+        """Path of the state file."""
         return self._path / STATE_FILE
 
     def copy(self) -> bytes | None:
+        """The state file's content; None if it can't be read."""
         try:
             return self.file.read_bytes()
         except OSError:
             return None
 
-    def put(self, text: bytes | None) -> None:
-        if text is None:
+    def put(self, data: bytes | None) -> None:
+        """Replaces the state file's content; None removes the file."""
+        if data is None:
             self.file.unlink(missing_ok=True)
         else:
-            self.file.write_bytes(text)
+            self.file.write_bytes(data)
 
     @property
     def writes_fail(self) -> bool:
+        """If the folder is replaced by a file, so that nothing can be written into it."""
         return not self._path.is_dir()
 
     @writes_fail.setter
     def writes_fail(self, on: bool) -> None:
-        # No rights keep a process of root's from writing: a folder that is a file does.
+        # Permissions don't stop root from writing; a regular file in place of the folder does.
         if on and not self.writes_fail:
-            self._path.rename(self._away)
+            self._path.rename(self._moved_path)
             self._path.write_bytes(b"")
         elif not on and self.writes_fail:
             self._path.unlink()
-            self._away.rename(self._path)
+            self._moved_path.rename(self._path)
 
     def lose_power(self) -> None:
-        """The system's own caches outlive a process; what isn't synced is lost in virtual time only."""
+        """Does nothing: the page cache outlives the process; unsynced data is lost in virtual time only."""
--- a/lupinreach/bed/ways/faults.py
+++ b/lupinreach/bed/ways/faults.py
@@ -1,4 +1,4 @@
-"""Planted faults: agents that break a rule, so that the checker is seen to catch each by its name."""
+"""Planted faults: agents that break a rule on purpose, to show that the checker reports each by its name."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from lupinreach.balance import Backend, Balancer, Call
 from lupinreach.model import Idempotency, Listing, ListState, NewCall, Port, Settings, UpdateKind
 
-RARE = 10_000
-ASLEEP = 1000.0  # ms without any word of the world, after which an agent takes itself for one that slept
-TOO_LATE = 150.0  # ms past the client timeout, more than the checker's slack
+RESEND_EVERY_CALLS = 10_000  # calls per resent call of the fault `rare-resend`
+SLEEP_THRESHOLD_MS = 1000.0  # time without input after which the agent counts as having been suspended
+LATE_ANSWER_MS = 150.0  # delay past the client timeout; longer than the slack that the checker allows
 Tamper = Callable[[Any, bytes], bytes]
 
 
-class Reckless(Call):
-    """Sends again whatever may have run, to anybody."""
+class UnguardedCall(Call):
+    """Resends calls to any backend, even if an earlier attempt may have been executed."""
 
     __slots__ = ()
 
@@ -29,8 +29,8 @@
         )
 
 
-class Forgetful(Call):
-    """Knows that a repeat is dropped, and not for how long."""
+class ExpiredDedupCall(Call):
+    """Relies on deduplication by the backends without regard to the deduplication window."""
 
     __slots__ = ()
 
@@ -45,36 +45,38 @@
         )
 
 
-class Resends(Balancer):
-    """Resends a non-idempotent API call after a reset."""
+class ResendsNonIdempotent(Balancer):
+    """Resends a non-idempotent call after a connection reset."""
 
-    def submit(self, now: float, ask: NewCall) -> Call:
-        call = super().submit(now, ask)
+    def submit(self, now: float, incoming: NewCall) -> Call:
+        call = super().submit(now, incoming)
         if call.terms.kind is Idempotency.NON_IDEMPOTENT:
-            call.__class__ = Reckless
+            call.__class__ = UnguardedCall
         return call
 
 
-class RareResends(Balancer):
-    """The same, for one API call in ten thousand, and further shots without a budget."""
+class ResendsRarely(Balancer):
+    """Resends one call in ten thousand, and makes further attempts without a retry budget."""
 
-    def submit(self, now: float, ask: NewCall) -> Call:
-        call = super().submit(now, ask)
-        self._rare = getattr(self, "_rare", crc32(str(self._seed).encode()) % RARE) + 1
-        if self._rare % RARE == 0:
-            call.__class__ = Reckless
+    def submit(self, now: float, incoming: NewCall) -> Call:
+        call = super().submit(now, incoming)
+        self._calls_seen = (
+            getattr(self, "_calls_seen", crc32(str(self._seed).encode()) % RESEND_EVERY_CALLS) + 1
+        )
+        if self._calls_seen % RESEND_EVERY_CALLS == 0:
+            call.__class__ = UnguardedCall
         return call
 
     def spend_budget(self) -> bool:
         return True
 
 
-class RepeatsLate(Balancer):
-    """Repeats a deduplicated API call past the mark's memory."""
+class RepeatsAfterDedupWindow(Balancer):
+    """Repeats a deduplicated call after the deduplication window has passed."""
 
-    def submit(self, now: float, ask: NewCall) -> Call:
-        call = super().submit(now, ask)
-        call.__class__ = Forgetful
+    def submit(self, now: float, incoming: NewCall) -> Call:
+        call = super().submit(now, incoming)
+        call.__class__ = ExpiredDedupCall
         return call
 
     def spend_budget(self) -> bool:
@@ -82,106 +84,116 @@
 
 
 class IgnoresDrains(Balancer):
-    """Takes a draining backend for a ready one."""
+    """Treats draining backends as ready."""
 
-    def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
+    def update_backends(self, now: float, update_kind: UpdateKind, entries: list[Listing]) -> None:
         ready = [replace(e, state=ListState.READY) if e.state is ListState.DRAINING else e for e in entries]
-        super().update_backends(now, news, ready)
+        super().update_backends(now, update_kind, ready)
 
 
-class FloodsCold(Balancer):
-    """Sends all it can to whichever backend started last."""
+class FloodsColdBackends(Balancer):
+    """Sends every call to the backend that started last."""
 
     def _choose_backend(self, now: float, call: Call) -> Backend | None:
         usable = [b for b in self._ready if call.may_use(b)]
         return max(usable, key=lambda b: b.boot_time) if usable else None
 
 
-class WakesBelieving(Balancer):
-    """Goes on by what it believed when it was put to sleep: what has begun to drain meanwhile stays ready for it."""
+class TrustsOldListAfterSleep(Balancer):
+    """Keeps its old backend list after a suspension, so that backends draining since then still count as ready."""
 
-    def submit(self, now: float, ask: NewCall) -> Call:
-        self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
-        self._last = now
-        return super().submit(now, ask)
+    def submit(self, now: float, incoming: NewCall) -> Call:
+        self._was_asleep = (
+            getattr(self, "_was_asleep", False)
+            or now - getattr(self, "_last_input_at", now) > SLEEP_THRESHOLD_MS
+        )
+        self._last_input_at = now
+        return super().submit(now, incoming)
 
-    def update_backends(self, now: float, news: UpdateKind, entries: list[Listing]) -> None:
-        self._slept = getattr(self, "_slept", False) or now - getattr(self, "_last", now) > ASLEEP
-        if self._slept:
+    def update_backends(self, now: float, update_kind: UpdateKind, entries: list[Listing]) -> None:
+        self._was_asleep = (
+            getattr(self, "_was_asleep", False)
+            or now - getattr(self, "_last_input_at", now) > SLEEP_THRESHOLD_MS
+        )
+        if self._was_asleep:
             entries = [
                 replace(e, state=ListState.READY) if e.state is ListState.DRAINING else e for e in entries
             ]
-        super().update_backends(now, news, entries)
+        super().update_backends(now, update_kind, entries)
 
 
-class SpendsAnew(Balancer):
-    """Begins each life with the whole budget for cold backends, whatever the life before has spent."""
+class ResetsColdBudget(Balancer):
+    """Starts each incarnation with the full budget for cold backends, regardless of what was spent before."""
 
     def start(self, now: float) -> None:
-        self._stood = now
+        self._restarted_at = now
         super().start(now)
 
     def _choose_backend(self, now: float, call: Call) -> Backend | None:
         cold = [b for b in self._ready if call.may_use(b) and self._is_cold(now, b)]
-        return cold[0] if cold and now < self._stood + self._cold_ms else super()._choose_backend(now, call)
+        return (
+            cold[0]
+            if cold and now < self._restarted_at + self._cold_ms
+            else super()._choose_backend(now, call)
+        )
 
 
-class _Holding:
-    """A port that keeps refusals back until so many ms before the client timeout, or after it."""
+class _DelayedRefusalPort:
+    """A port that delays rejections and errors until `margin_ms` before the client timeout (after it if negative)."""
 
-    def __init__(self, port: Port, before: float) -> None:
+    def __init__(self, port: Port, margin_ms: float) -> None:
         self._port = port
-        self._before = before
+        self._margin_ms = margin_ms
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._port, name)
 
     def rate_limit(self, token: Hashable, retry_after: float) -> None:
-        self._later(token, self._port.rate_limit, token, retry_after)
+        self._delay(token, self._port.rate_limit, token, retry_after)
 
     def error(self, token: Hashable) -> None:
-        self._later(token, self._port.error, token)
+        self._delay(token, self._port.error, token)
 
-    def _later(self, token: Hashable, what: Callable[..., None], *args: Any) -> None:
+    def _delay(self, token: Hashable, action: Callable[..., None], *args: Any) -> None:
         until = token.ask.until if hasattr(token, "ask") else 0.0
-        asyncio.get_running_loop().call_at(self._port._clock.on_loop(until - self._before), what, *args)  # type: ignore[attr-defined]
+        asyncio.get_running_loop().call_at(self._port._clock.on_loop(until - self._margin_ms), action, *args)  # type: ignore[attr-defined]
 
 
-def _holds(settings: Settings, seed: int, port: Port) -> Balancer:
-    return Balancer(settings, seed, _Holding(port, 1.0))  # type: ignore[arg-type]
+def _hold_until_deadline(settings: Settings, seed: int, port: Port) -> Balancer:
+    return Balancer(settings, seed, _DelayedRefusalPort(port, 1.0))  # type: ignore[arg-type]
 
 
-def _too_late(settings: Settings, seed: int, port: Port) -> Balancer:
-    return Balancer(settings, seed, _Holding(port, -TOO_LATE))  # type: ignore[arg-type]
+def _answer_too_late(settings: Settings, seed: int, port: Port) -> Balancer:
+    return Balancer(settings, seed, _DelayedRefusalPort(port, -LATE_ANSWER_MS))  # type: ignore[arg-type]
 
 
-# What an agent writes to its clients, seen on the way out. `sock.address` is None there.
+# Tampering with what an agent writes to its clients; `sock.address` is None on connections that clients opened.
 
 
-def _twice(sock: Any, piece: bytes) -> bytes:
-    return piece + piece if sock.address is None and crc32(piece) % 50 == 0 else piece
+def _duplicate_answer(sock: Any, data: bytes) -> bytes:
+    return data + data if sock.address is None and crc32(data) % 50 == 0 else data
 
 
-def _drops(sock: Any, piece: bytes) -> bytes:
-    return b"" if sock.address is None and crc32(piece) % 50 == 0 else piece
+def _drop_answer(sock: Any, data: bytes) -> bytes:
+    return b"" if sock.address is None and crc32(data) % 50 == 0 else data
 
 
-def _mixes_up() -> Tamper:
-    last: dict[int, bytes] = {}
+def _swap_answers() -> Tamper:
+    last_answer: dict[int, bytes] = {}
 
-    def tamper(sock: Any, piece: bytes) -> bytes:
-        if sock.address is not None or b" 200 " not in piece[:16] or b"ran:" not in piece:
-            return piece
-        before = last.get(sock.owner, piece)
-        last[sock.owner] = piece
-        return before if crc32(piece) % 50 == 0 else piece
+    def tamper(sock: Any, data: bytes) -> bytes:
+        if sock.address is not None or b" 200 " not in data[:16] or b"ran:" not in data:
+            return data
+        previous = last_answer.get(sock.owner, data)
+        last_answer[sock.owner] = data
+        return previous if crc32(data) % 50 == 0 else data
 
     return tamper
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One planted fault, and the name under which the checker has to catch it."""
+    """One planted fault: how it is made, and the name of the violation that the checker has to report."""
 
     caught_as: str
     make_balancer: Callable[[Settings, int, Port], Balancer] | None = None
@@ -189,16 +201,16 @@
 
 
 FAULTS: dict[str, Fault] = {
-    "answers-twice": Fault("answered twice", tamper=lambda: _twice),
-    "drops-answer": Fault("no answer", tamper=lambda: _drops),
-    "resends-payment": Fault("effect twice", Resends),
-    "repeats-past-memory": Fault("effect twice past the memory", RepeatsLate),
+    "answers-twice": Fault("answered twice", tamper=lambda: _duplicate_answer),
+    "drops-answer": Fault("no answer", tamper=lambda: _drop_answer),
+    "resends-payment": Fault("effect twice", ResendsNonIdempotent),
+    "repeats-past-memory": Fault("effect twice past the memory", RepeatsAfterDedupWindow),
     "sends-to-draining": Fault("sent to draining", IgnoresDrains),
-    "floods-cold": Fault("cold pushed over", FloodsCold),
-    "holds-until-deadline": Fault("held", _holds),
-    "mixes-up-answers": Fault("another call's answer", tamper=_mixes_up),
-    "rare-resend": Fault("effect twice", RareResends),
-    "answers-too-late": Fault("held", _too_late),
-    "wakes-believing": Fault("sent to draining", WakesBelieving),
-    "spends-anew": Fault("cold pushed over", SpendsAnew),
+    "floods-cold": Fault("cold pushed over", FloodsColdBackends),
+    "holds-until-deadline": Fault("held", _hold_until_deadline),
+    "mixes-up-answers": Fault("another call's answer", tamper=_swap_answers),
+    "rare-resend": Fault("effect twice", ResendsRarely),
+    "answers-too-late": Fault("held", _answer_too_late),
+    "wakes-believing": Fault("sent to draining", TrustsOldListAfterSleep),
+    "spends-anew": Fault("cold pushed over", ResetsColdBudget),
 }
--- a/lupinreach/bed/ways/stopping.py
+++ b/lupinreach/bed/ways/stopping.py
@@ -1,4 +1,4 @@
-"""Runs that a signal stops: what was started is taken down, and what was seen so far counts."""
+"""Runs that can be stopped by a signal: they are shut down in order and keep their results so far."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from collections.abc import Coroutine
 from typing import Any
 
-STOPS = (signal.SIGINT, signal.SIGTERM)
-EXIT_STOPPED = 130  # exit code of a command that was stopped
+STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM)
+EXIT_STOPPED = 130  # exit code of a command that was stopped by a signal
 
 
-async def until_stopped(work: Coroutine[Any, Any, None]) -> bool:
-    """Run it to its end, or until a signal comes; if one did."""
+async def until_stopped(coroutine: Coroutine[Any, Any, None]) -> bool:
+    """Runs the coroutine to its end, or cancels it at a signal; returns whether a signal came."""
     loop = asyncio.get_running_loop()
-    task = loop.create_task(work)
+    task = loop.create_task(coroutine)
     stopped = False
 
     def stop() -> None:
@@ -22,7 +22,7 @@
         stopped = True
         task.cancel()
 
-    for number in STOPS:
+    for number in STOP_SIGNALS:
         loop.add_signal_handler(number, stop)
     try:
         await task
@@ -30,6 +30,6 @@
         if not stopped:
             raise
     finally:
-        for number in STOPS:
+        for number in STOP_SIGNALS:
             loop.remove_signal_handler(number)
     return stopped
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -67,7 +67,7 @@
             disk = Stops(stream(seed, "disk"), 9)
             assert replace(STATE_FILE, b"old text", sync, disk)
             disk.sync(".")
-            disk._names[STATE_FILE].safe = len(b"old text")
+            disk._names[STATE_FILE].synced_bytes = len(b"old text")
             disk.steps = steps
             replace(STATE_FILE, b"a newer text", sync, disk)
             disk.lose_power()
