--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -1,4 +1,4 @@
-"""Virtual time: all agents, clients and servers of a world in one process, on the bed's own event loop."""
+"""Runs on virtual time: all agents, clients and servers of a world in one process, on the bed's event loop."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 from lupinreach.net.log import Log
 from lupinreach.ops.outlives import take_up
 
-NAME = b"Req-Id: "
+REQUEST_ID_PREFIX = b"Req-Id: "
 
 
 class VirtualClock(Clock):
-    """The agent's clock on the loop's time, so many ms ahead of it, and gaining."""
+    """An agent's clock on virtual time: `ahead` ms ahead of it, and gaining `drift` ms per ms."""
 
     def __init__(self, loop: VirtualLoop, ahead: float = 0.0, drift: float = 0.0) -> None:
         self._loop = loop
@@ -46,20 +46,20 @@
 
 
 class VirtualLog(Log):
-    """Books what an agent says of its store and its fleet, and drops the rest: faults are counted by the agent."""
+    """Passes an agent's events about its store and fleet to the ledger; drops the rest, since the agent counts faults."""
 
-    def __init__(self, say: Callable[[str, dict[str, object]], None]) -> None:
+    def __init__(self, on_event: Callable[[str, dict[str, object]], None]) -> None:
         logging.Handler.__init__(self, logging.ERROR)
         self.dropped = 0
-        self._say = say
+        self._on_event = on_event
 
     def event(self, event: str, **fields: object) -> None:
         if event in books.BOOKED:
-            self._say(event, fields)
+            self._on_event(event, fields)
 
 
-class Life:
-    """One agent from start to end."""
+class AgentRun:
+    """One incarnation of an agent, from start to end."""
 
     def __init__(self, owner: int, agent: Agent, log: VirtualLog) -> None:
         self.owner = owner
@@ -67,55 +67,58 @@
         self.log = log
 
 
-class Seen:
-    """The true state, as far as one agent could act on it."""
+class ReachableBackends:
+    """The true state of the backends that one agent can reach."""
 
     def __init__(self, ground: VirtualGround, machine: Machine, agent: Agent) -> None:
         self._ground, self._machine, self._agent = ground, machine, agent
 
     def backend(self, index: int) -> Backend | None:
-        ground, place = self._ground, self._agent.directory.place(index)
-        host = ground.hosts[ground.backend_at[place.address]]
-        there = ground.paths.reaches(self._machine, host.machine) and ground.paths.reaches(
+        ground, entry = self._ground, self._agent.directory.place(index)
+        host = ground.hosts[ground.backend_at[entry.address]]
+        reachable = ground.paths.reaches(self._machine, host.machine) and ground.paths.reaches(
             host.machine, self._machine
         )
-        if not there or not host.backend.up:
+        if not reachable or not host.backend.up:
             return None
         host.step()
         return host.backend
 
     def work(self, product: int) -> float:
-        return self._ground.works[product]
+        return self._ground.mean_work[product]
 
 
 class VirtualGround:
+    """Clock, network and agents of one run on virtual time."""
+
     exact = True
     addresses = Addresses(7000)
 
     def __init__(self, world: World, seed: int) -> None:
         self.loop = VirtualLoop()
         self._seed = seed
-        self._disks: dict[int, MemoryDisk] = {}  # one an agent, over all its lives
+        self._disks: dict[int, MemoryDisk] = {}  # by agent; kept over all its incarnations
         network = world.network
         self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
         self.net = MemoryNet(self.loop, self.paths)
-        self.net.on_agent_send = self._sends
+        self.net.on_agent_send = self._on_agent_send
         self.net.broadcast_address = self.addresses.everybody()
         self.clock = VirtualClock(self.loop)
         self.ledger = Ledger(EPOCH + START_TIME_S * 1000)
         self._fault = FAULTS.get(world.fault)
         self._tamper = self._fault.tamper() if self._fault and self._fault.tamper else None
-        self._decide = (
+        self._make_balancer = (
             self._fault.make_balancer if self._fault and self._fault.make_balancer else POLICIES[world.policy]
         )
-        self._machines: Callable[[int], Machine] = lambda _: Machine("", 0)
-        self._lives: dict[int, Life] = {}
-        self._twins: dict[int, Life] = {}  # second processes; each leaves as it ends
-        self._owners: dict[int, tuple[int, int]] = {}  # owner: agent, life; as many as there were lives
+        self._machine_of: Callable[[int], Machine] = lambda _: Machine("", 0)
+        self._agent_runs: dict[int, AgentRun] = {}
+        self._twin_runs: dict[int, AgentRun] = {}  # second processes; removed when they end
+        # By owner: agent, incarnation; grows by one per incarnation.
+        self._owners: dict[int, tuple[int, int]] = {}
         self._chance = stream(seed, "breaks")
-        self.works = [p.work for p in world.products]
+        self.mean_work = [p.work for p in world.products]
         self._tasks: set[asyncio.Task[None]] = set()
-        self._ends: dict[int, Callable[[], None]] = {}  # of the agents that run
+        self._on_ended: dict[int, Callable[[], None]] = {}  # callbacks by running agent
         self.agent_faults: Counter[str] = Counter()
 
     def now(self) -> float:
@@ -138,16 +141,16 @@
     def shut(self, machine: Machine, on: bool) -> None:
         machine.shut = on
 
-    def _sends(self, sock: MemorySocket, piece: bytes) -> tuple[bytes, int]:
-        """What an agent writes: booked, tampered with, or broken off."""
+    def _on_agent_send(self, sock: MemorySocket, data: bytes) -> tuple[bytes, int]:
+        """Records data that an agent writes; may tamper with it or break its connection."""
         if sock.address is not None:
-            at = piece.find(NAME)
+            at = data.find(REQUEST_ID_PREFIX)
             if at >= 0:
-                name = piece[at + len(NAME) : piece.index(b"\r", at)].decode()
-                agent, life = self._owners[sock.owner]
+                request_id = data[at + len(REQUEST_ID_PREFIX) : data.index(b"\r", at)].decode()
+                agent, incarnation = self._owners[sock.owner]
                 backend = self.backend_at.get(sock.address)
                 if backend is not None:
-                    self.ledger.note(books.SENT, self.now(), agent, life, backend, name)
+                    self.ledger.note(books.SENT, self.now(), agent, incarnation, backend, request_id)
                 remote = sock.remote
                 if (
                     remote is not None
@@ -155,11 +158,11 @@
                     and self._chance.random() < remote.machine.breaks
                 ):
                     self._break(sock, remote)
-                    return piece[: len(piece) // 2], len(piece) // 2
-        return (self._tamper(sock, piece) if self._tamper is not None else piece), len(piece)
+                    return data[: len(data) // 2], len(data) // 2
+        return (self._tamper(sock, data) if self._tamper is not None else data), len(data)
 
     def _break(self, sock: MemorySocket, remote: Any) -> None:
-        """The connection goes before the last byte: the kernel has taken half, and then says so."""
+        """Breaks a connection before the last byte: the kernel accepts half of the data, then reports a reset."""
         sock.write_blocked = True
         self.loop.call_later(0.001, sock.receive, RST, context=self.net.context)
         self.loop.call_later(0.001, remote.receive, RST, context=self.net.context)
@@ -169,40 +172,43 @@
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
         drift: float = 0.0,
     ) -> None:
-        self._lives[number] = await self._begin(number, life, raw, ahead, drift)
-        self._ends[number] = ended
+        self._agent_runs[number] = await self._start_run(number, incarnation, raw, ahead, drift)
+        self._on_ended[number] = ended
 
     async def start_twin(self, number: int, raw: dict[str, Any]) -> None:
-        self._twins[number] = await self._begin(number, 0, raw)
+        self._twin_runs[number] = await self._start_run(number, 0, raw)
 
     def stop_twin(self, number: int) -> None:
-        self._kill(self._twins.pop(number))
+        self._kill_run(self._twin_runs.pop(number))
 
-    async def _begin(
-        self, number: int, life: int, raw: dict[str, Any], ahead: float = 0.0, drift: float = 0.0
-    ) -> Life:
+    async def _start_run(
+        self, number: int, incarnation: int, raw: dict[str, Any], ahead: float = 0.0, drift: float = 0.0
+    ) -> AgentRun:
         owner = len(self._owners) + 1
-        self._owners[owner] = number, life
+        self._owners[owner] = number, incarnation
         log = VirtualLog(
             lambda event, fields: self.ledger.note(books.SAID, self.now(), number, event, fields)
         )
         with self.loop.owned_by(owner):
-            sockets = MemorySockets(self.net, self._machines(number), raw["limits"]["sockets"])
-            agent = Agent(_config(raw), log, VirtualClock(self.loop, ahead, drift), sockets, self._decide)
-            begun = Life(owner, agent, log)
-            if life:
-                self._lives[number] = begun  # one that is killed while it starts has an owner too
+            sockets = MemorySockets(self.net, self._machine_of(number), raw["limits"]["sockets"])
+            agent = Agent(
+                _config(raw), log, VirtualClock(self.loop, ahead, drift), sockets, self._make_balancer
+            )
+            run = AgentRun(owner, agent, log)
+            if incarnation:
+                # Set before the start, so that an agent that is killed while it starts has an owner too.
+                self._agent_runs[number] = run
             if isinstance(agent.balancer, TrueState):
-                agent.balancer.truth = Seen(self, self._machines(number), agent)
+                agent.balancer.truth = ReachableBackends(self, self._machine_of(number), agent)
             take_up(agent, self.disk(number), agent.config.seed & 0xFFFFFFFF)
             await self.loop.create_task(agent.start())
-        return begun
+        return run
 
     def disk(self, number: int) -> MemoryDisk:
         return self._disks.setdefault(number, MemoryDisk(stream(self._seed, "disk", number)))
@@ -211,57 +217,58 @@
         return STATE_FILE
 
     def stop_agent(self, number: int) -> None:
-        life = self._lives[number]
+        run = self._agent_runs[number]
 
         async def stop() -> None:
-            await life.agent.stop()
-            self.net.close_owner(life.owner)
-            self._close(life)
-            self._ends[number]()
+            await run.agent.stop()
+            self.net.close_owner(run.owner)
+            self._collect_faults(run)
+            self._on_ended[number]()
 
-        with self.loop.owned_by(life.owner):
+        with self.loop.owned_by(run.owner):
             task = self.loop.create_task(stop())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def kill_agent(self, number: int) -> None:
-        self._kill(self._lives[number])
+        self._kill_run(self._agent_runs[number])
 
-    def _kill(self, life: Life) -> None:
-        self.loop.kill(life.owner)
-        self.net.close_owner(life.owner)
-        self._close(life)
+    def _kill_run(self, run: AgentRun) -> None:
+        self.loop.kill(run.owner)
+        self.net.close_owner(run.owner)
+        self._collect_faults(run)
 
-    def _close(self, life: Life) -> None:
-        for what, times in life.agent.counters.others.items():
-            if what.startswith("fault"):
-                self.agent_faults[what] += times
+    def _collect_faults(self, run: AgentRun) -> None:
+        for fault_name, count in run.agent.counters.others.items():
+            if fault_name.startswith("fault"):
+                self.agent_faults[fault_name] += count
 
     def hold_agent(self, number: int, ms: float) -> None:
-        self.loop.hold(self._lives[number].owner, ms)
+        self.loop.hold(self._agent_runs[number].owner, ms)
 
     def pools(self) -> dict[int, int]:
-        found = dict.fromkeys(self.backend_at.values(), 0)  # one that is in no pool counts too
-        for life in self._lives.values():
-            for b in life.agent.balancer._ready:
+        pool_counts = dict.fromkeys(self.backend_at.values(), 0)  # includes backends that are in no pool
+        for run in self._agent_runs.values():
+            for b in run.agent.balancer._ready:
                 if not any(b.ejected_until):
-                    backend = self.backend_at.get(life.agent.directory.place(b.index).address)
+                    backend = self.backend_at.get(run.agent.directory.place(b.index).address)
                     if backend is not None:
-                        found[backend] += 1
-        return found
+                        pool_counts[backend] += 1
+        return pool_counts
 
     def bind(self, stage: Stage, backends: dict[Address, int]) -> None:
+        """Connects the ground to its stage; `backends` are the backends' numbers by address."""
         self.hosts = stage.hosts
-        self._machines = stage.machine
+        self._machine_of = stage.machine
         self.backend_at = backends
 
     def close(self) -> None:
-        for life in self._lives.values():
-            self._close(life)
+        for run in self._agent_runs.values():
+            self._collect_faults(run)
 
 
 def _config(raw: dict[str, Any]) -> AgentConfig:
-    """What `read_agent` makes of a file, without the file."""
+    """Builds the configuration that `read_agent` would read from a file."""
     top = Section(raw)
     return AgentConfig(
         raw["name"],
@@ -285,20 +292,20 @@
 
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
-    """One run; its ledger, in which a fault stands where anything raised that nobody caught."""
+    """Plays one run and returns its ledger; unhandled exceptions are recorded in it as faults."""
     ground = VirtualGround(world, seed)
     loop = ground.loop
     asyncio.set_event_loop(loop)
-    frozen = gc.isenabled()
-    gc.disable()  # guards against a collector whose turns cost a third of the run
+    gc_was_enabled = gc.isenabled()
+    gc.disable()  # garbage collection cost a third of the run time
     try:
-        IOLoop.current()  # makes Tornado's own for this loop, outside of all owners
+        IOLoop.current()  # creates Tornado's loop for this one outside of all owners
         stage = Stage(world, seed, ground, progress)
         ground.bind(stage, {ground.addresses.backend(n): n for n in range(world.fleet)})
         loop.run_until_complete(stage.play())
         ground.close()
-        for what, times in sorted(ground.agent_faults.items()):
-            ground.ledger.note(books.FAULT, ground.now(), f"{what} x{times}")
+        for fault_name, count in sorted(ground.agent_faults.items()):
+            ground.ledger.note(books.FAULT, ground.now(), f"{fault_name} x{count}")
         for context in loop.faults:
             raised = context.get("exception")
             ground.ledger.note(
@@ -308,11 +315,11 @@
         ledger = ground.ledger
         ledger.seal()
         loop.end()
-        # What killed agents left half-way ends while there still is a loop that it can call.
+        # Pending work of killed agents is destroyed while its cleanup code can still call the loop.
         stage = ground = None  # type: ignore[assignment]
-        IOLoop._ioloop_for_asyncio.pop(loop, None)  # holds their streams
+        IOLoop._ioloop_for_asyncio.pop(loop, None)  # it holds references to their streams
         gc.collect()
-        if frozen:
+        if gc_was_enabled:
             gc.enable()
         asyncio.set_event_loop(None)
         loop.close()
