--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -1,9 +1,9 @@
-"""Loopback: the same world with real agent processes and sockets on 127.0.0.0/8, in real time.
+"""Runs on loopback: the same world with real agent processes and sockets on 127.0.0.0/8, in real time.
 
-Clients, backends and the registry run in this process, by the same models and protocols as in virtual time. What
-can't be done to the system's sockets without privileges is done at the servers' side: delays and cuts hold bytes
-back there, a connection to what can't be reached is accepted and silent, and a break before the last byte comes
-as a reset after it.
+Clients, backends and the registry run in this process, with the same models and protocols as in virtual time. Network
+faults that would need privileges on real sockets are approximated on the server side: delays and cuts hold bytes
+back there, a connection to an unreachable machine is accepted and stays silent, and a break before the last byte
+is a reset after it.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 from lupinreach.bed.world.spec import World
 from lupinreach.config import Address
 
-NAME = b"Req-Id: "
-AGENT_EXIT_TIMEOUT_S = 10.0  # s for an agent to end after its signal
-BACKLOG = 512
+REQUEST_ID_PREFIX = b"Req-Id: "
+AGENT_EXIT_TIMEOUT_S = 10.0  # for an agent to end after its signal
+BACKLOG = 512  # connections per listening socket
 
 
 def free_port() -> int:
-    """A port that is free on the addresses of a first agent and the one after it, as far as can be told."""
+    """Returns a port that is free on a first agent's address, with the next port free too; not a reservation."""
     while True:
         with socket.socket() as first, socket.socket() as second:
             first.bind(("127.1.0.1", 0))
@@ -51,68 +51,72 @@
             return port
 
 
-class Slowed(asyncio.Protocol):
-    """Stands between a server's protocol and its connection: bytes take their time, or wait until a cut is over.
+class DelayedConnection(asyncio.Protocol):
+    """Sits between a server's protocol and its connection; delays bytes, or holds them until a cut is over.
 
-    To the protocol it is the transport.
+    It is the transport of the inner protocol.
     """
 
-    def __init__(self, ground: LoopbackGround, machine: Machine, inner: asyncio.Protocol) -> None:
+    def __init__(self, ground: LoopbackGround, machine: Machine, protocol: asyncio.Protocol) -> None:
         self._ground = ground
         self._machine = machine
-        self._inner = inner
+        self._protocol = protocol
         self._transport: Any = None
-        self._from = machine  # the agent's, once it is known
-        self._due = [0.0, 0.0]  # in, out: nothing overtakes
-        self._held: list[deque[Callable[[], None]]] = [deque(), deque()]  # emptied by `again`
+        self._agent_machine = machine  # the server's own until a request identifies the agent
+        self._next_delivery = [0.0, 0.0]  # s, earliest delivery in and out, so that bytes stay in order
+        self._held: list[deque[Callable[[], None]]] = [deque(), deque()]  # in, out; emptied by `flush_held`
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
-        self._inner.connection_made(self)  # type: ignore[arg-type]
+        self._protocol.connection_made(self)  # type: ignore[arg-type]
 
     def data_received(self, data: bytes) -> None:
-        at = data.find(NAME)
+        at = data.find(REQUEST_ID_PREFIX)
         if at >= 0:
-            self._from = (
-                self._ground.client_machine_of(data[at + len(NAME) : data.find(b"\r", at)]) or self._from
+            self._agent_machine = (
+                self._ground.client_machine_of(data[at + len(REQUEST_ID_PREFIX) : data.find(b"\r", at)])
+                or self._agent_machine
             )
-        self._pass(0, lambda: self._inner.data_received(data))
+        self._deliver(0, lambda: self._protocol.data_received(data))
 
-    def _pass(self, way: int, what: Callable[[], None]) -> None:
+    def _deliver(self, direction: int, action: Callable[[], None]) -> None:
         ground = self._ground
-        ends = (self._machine, self._from) if way else (self._from, self._machine)
-        if self._held[way] or not ground.paths.reaches(*ends):
-            self._held[way].append(what)
-            ground.waiting[self] = None
+        endpoints = (
+            (self._machine, self._agent_machine) if direction else (self._agent_machine, self._machine)
+        )
+        if self._held[direction] or not ground.paths.reaches(*endpoints):
+            self._held[direction].append(action)
+            ground.blocked[self] = None
             return
-        took = ground.paths.delay(self._from, self._machine) / 1000
-        self._due[way] = max(self._due[way], ground.loop.time() + took)
-        ground.loop.call_at(self._due[way], what)
+        delay_s = ground.paths.delay(self._agent_machine, self._machine) / 1000
+        self._next_delivery[direction] = max(self._next_delivery[direction], ground.loop.time() + delay_s)
+        ground.loop.call_at(self._next_delivery[direction], action)
 
-    def again(self) -> None:
-        for way in (0, 1):
-            held, self._held[way] = self._held[way], deque()
-            for what in held:
-                self._pass(way, what)
+    def flush_held(self) -> None:
+        """Delivers what was held; it is held once more if the path is still cut."""
+        for direction in (0, 1):
+            pending, self._held[direction] = self._held[direction], deque()
+            for action in pending:
+                self._deliver(direction, action)
 
     def eof_received(self) -> bool:
-        self._pass(0, self._ended)
+        self._deliver(0, self._ended)
         return True
 
     def _ended(self) -> None:
-        if not self._inner.eof_received():
+        if not self._protocol.eof_received():
             self._transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._inner.connection_lost(exc)
+        self._protocol.connection_lost(exc)
 
-    # As a transport.
+    # Transport interface for the inner protocol.
 
     def write(self, data: bytes) -> None:
-        self._pass(1, lambda: self._transport.write(data))
+        self._deliver(1, lambda: self._transport.write(data))
 
     def close(self) -> None:
-        self._pass(1, lambda: self._transport.close())
+        self._deliver(1, lambda: self._transport.close())
 
     def abort(self) -> None:
         self._transport.abort()
@@ -125,24 +129,27 @@
 
 
 class LoopbackGround:
+    """Clock, network and agents of one run on loopback."""
+
     exact = False
 
     def __init__(self, world: World, seed: int, folder: Path, tree: Path | None = None) -> None:
-        self._tree = tree  # of another version of the agent; None: this one
-        self.costs: dict[int, tuple[float, float]] = {}  # by agent at its end: s of CPU, MB at most
+        self._source_tree = tree  # checkout of another version of the agent; None: this version
+        # At the end of the run: CPU s, peak MB.
+        self.resource_usage_by_agent: dict[int, tuple[float, float]] = {}
         self.loop = asyncio.get_running_loop()
         network = world.network
         self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
         self.addresses = Addresses(free_port())
         self.ledger = Ledger(self.now())
-        self._runs = world.fault or world.policy
+        self._policy = world.fault or world.policy
         self._folder = folder
-        self._served: dict[Machine, list[tuple[Address, Callable[[], asyncio.Protocol]]]] = {}
+        self._services: dict[Machine, list[tuple[Address, Callable[[], asyncio.Protocol]]]] = {}
         self._servers: dict[Machine, list[asyncio.Server]] = {}
         self._shut: set[Machine] = set()
         self._agents: dict[int, asyncio.subprocess.Process] = {}
-        self._tasks: set[asyncio.Task[Any]] = set()  # each leaves when it ends
-        self.waiting: dict[Slowed, None] = {}  # with something held; emptied by `mended`
+        self._tasks: set[asyncio.Task[Any]] = set()  # removed when they end
+        self.blocked: dict[DelayedConnection, None] = {}  # with held bytes; emptied by `mended`
         self.client_machine_of: Callable[[bytes], Machine | None] = lambda _: None
         self.ended_badly: list[str] = []
 
@@ -160,14 +167,17 @@
     async def serve(
         self, address: Address, machine: Machine, protocol: Callable[[], asyncio.Protocol]
     ) -> None:
-        self._served.setdefault(machine, []).append((address, protocol))
+        self._services.setdefault(machine, []).append((address, protocol))
         await self._open(machine, address, protocol)
 
     async def _open(
         self, machine: Machine, address: Address, protocol: Callable[[], asyncio.Protocol]
     ) -> None:
         server = await self.loop.create_server(
-            lambda: Slowed(self, machine, protocol()), *address, backlog=BACKLOG, reuse_address=True
+            lambda: DelayedConnection(self, machine, protocol()),
+            *address,
+            backlog=BACKLOG,
+            reuse_address=True,
         )
         if machine in self._shut:
             server.close()
@@ -181,7 +191,7 @@
                 server.close()
         elif not on and machine in self._shut:
             self._shut.discard(machine)
-            for address, protocol in self._served.get(machine, ()):
+            for address, protocol in self._services.get(machine, ()):
                 self._spawn(self._open(machine, address, protocol))
 
     def connect(self, machine: Machine, protocol: asyncio.Protocol, address: Address) -> None:
@@ -194,33 +204,33 @@
             protocol.connection_lost(failed)
 
     def mended(self) -> None:
-        held, self.waiting = list(self.waiting), {}
-        for line in held:
-            line.again()
+        pending, self.blocked = list(self.blocked), {}
+        for connection in pending:
+            connection.flush_held()
 
     def refused(self) -> None:
-        """Cut off in either way, connections here stay open and silent; the relay of a trial resets them."""
+        """Does nothing: connections across any cut stay open and silent here; only the relay of a trial resets them."""
 
     # Agents.
 
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
         drift: float = 0.0,
     ) -> None:
-        await self._launch(number, raw, ended, ahead, drift)
+        await self._spawn_agent(number, raw, ended, ahead, drift)
 
     async def start_twin(self, number: int, raw: dict[str, Any]) -> None:
-        await self._launch(-1 - number, raw, lambda: None)
+        await self._spawn_agent(-1 - number, raw, lambda: None)
 
     def stop_twin(self, number: int) -> None:
         self._signal(-1 - number, signal.SIGTERM)
 
-    async def _launch(
+    async def _spawn_agent(
         self,
         number: int,
         raw: dict[str, Any],
@@ -228,40 +238,44 @@
         ahead: float = 0.0,
         drift: float = 0.0,
     ) -> None:
-        """Numbers below 0 are second processes."""
+        """Starts an agent process and waits until it listens; numbers below 0 are second processes."""
         path = self._folder / f"agent-{number}.json"
         path.write_text(json.dumps(raw))
-        plain = self._runs == "lupinreach" and not ahead and not drift
-        program = (
+        unmodified = self._policy == "lupinreach" and not ahead and not drift
+        arguments = (
             ["-m", "lupinreach"]
-            if plain
-            else ["-m", "lupinreach.bed.ways.agent", self._runs, f"{ahead:.0f}", f"{drift}"]
+            if unmodified
+            else ["-m", "lupinreach.bed.ways.agent", self._policy, f"{ahead:.0f}", f"{drift}"]
         )
         env = {**os.environ, "PROXY_CONFIG": str(path)}
-        if self._tree is not None:
-            env["PYTHONPATH"] = str(self._tree)
-        # In a session of its own: a Ctrl-C is the run's, which stops its agents itself.
+        if self._source_tree is not None:
+            env["PYTHONPATH"] = str(self._source_tree)
+        # In its own session, so that Ctrl-C reaches only the run, which stops its agents itself.
         agent = await asyncio.create_subprocess_exec(
             sys.executable,
-            *program,
+            *arguments,
             stdout=asyncio.subprocess.PIPE,
             env=env,
-            cwd=self._tree,
+            cwd=self._source_tree,
             start_new_session=True,
         )
         self._agents[number] = agent
-        up = asyncio.Event()
-        self._spawn(self._follow(number, agent, up, ended))
-        await up.wait()
+        started = asyncio.Event()
+        self._spawn(self._follow_output(number, agent, started, ended))
+        await started.wait()
 
-    async def _follow(
-        self, number: int, agent: asyncio.subprocess.Process, up: asyncio.Event, ended: Callable[[], None]
+    async def _follow_output(
+        self,
+        number: int,
+        agent: asyncio.subprocess.Process,
+        started: asyncio.Event,
+        ended: Callable[[], None],
     ) -> None:
         assert agent.stdout is not None
         async for line in agent.stdout:
             event = json.loads(line)
             if event["event"] == "started":
-                up.set()
+                started.set()
             elif event["event"] in books.BOOKED:
                 self.ledger.note(books.SAID, self.now(), number, event.pop("event"), event)
             elif event["event"] == "fault":
@@ -269,7 +283,7 @@
         code = await agent.wait()
         if code not in (0, -signal.SIGKILL):
             self.ended_badly.append(f"agent {number} ended with {code}")
-        up.set()
+        started.set()
         ended()
 
     def disk(self, number: int) -> Folder:
@@ -288,9 +302,9 @@
         self._signal(number, signal.SIGSTOP)
         self.loop.call_later(ms / 1000, self._signal, number, signal.SIGCONT)
 
-    def _signal(self, number: int, what: int) -> None:
+    def _signal(self, number: int, signal_number: int) -> None:
         if self._agents[number].returncode is None:
-            self._agents[number].send_signal(what)
+            self._agents[number].send_signal(signal_number)
 
     def pools(self) -> dict[int, int]:
         return {}
@@ -298,7 +312,7 @@
     async def close(self) -> None:
         for number, agent in self._agents.items():
             if agent.returncode is None:
-                self.costs[number] = cost(agent.pid)
+                self.resource_usage_by_agent[number] = resource_usage(agent.pid)
         for number in self._agents:
             self._signal(number, signal.SIGCONT)
             self._signal(number, signal.SIGTERM)
@@ -317,13 +331,13 @@
             task.cancel()
 
 
-def cost(pid: int) -> tuple[float, float]:
-    """S of CPU that a process has used, and MB that it held at most."""
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    peak = re.search(r"VmHWM:\s+([0-9]+) kB", Path(f"/proc/{pid}/status").read_text())
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), int(
-        peak[1]
-    ) / 1024 if peak else 0.0
+def resource_usage(pid: int) -> tuple[float, float]:
+    """CPU seconds used by a process, and its peak resident memory in MB."""
+    stat_fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    peak_rss = re.search(r"VmHWM:\s+([0-9]+) kB", Path(f"/proc/{pid}/status").read_text())
+    return (int(stat_fields[11]) + int(stat_fields[12])) / os.sysconf("SC_CLK_TCK"), int(
+        peak_rss[1]
+    ) / 1024 if peak_rss else 0.0
 
 
 async def play_on(
@@ -334,9 +348,10 @@
     tree: Path | None = None,
     costs: dict[int, tuple[float, float]] | None = None,
 ) -> Ledger:
-    """One run on the running event loop. `watch` is handed the stage before it begins, `costs` what agents used.
+    """Plays one run on the current event loop and returns its ledger.
 
-    `tree` is the checkout of another version, whose agents are run in place of this one's.
+    `watch` is called with the stage before it begins; `costs` receives the resources that each agent used. `tree` is
+    the checkout of another version whose agents run in place of this version's.
     """
     with tempfile.TemporaryDirectory(prefix="lupinreach-bed-") as folder:
         ground = LoopbackGround(world, seed, Path(folder), tree)
@@ -349,14 +364,14 @@
                 ground.ledger.stop()
         finally:
             await ground.close()
-            for what in ground.ended_badly:
-                ground.ledger.note(books.FAULT, ground.now(), what)
+            for failure in ground.ended_badly:
+                ground.ledger.note(books.FAULT, ground.now(), failure)
             ground.ledger.seal()
             if costs is not None:
-                costs.update(ground.costs)
+                costs.update(ground.resource_usage_by_agent)
     return ground.ledger
 
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
-    """One run; its ledger."""
+    """Plays one run and returns its ledger."""
     return asyncio.run(play_on(world, seed, progress))
