--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -146,7 +146,7 @@
         self._folder = folder
         self._services: dict[Machine, list[tuple[Address, Callable[[], asyncio.Protocol]]]] = {}
         self._servers: dict[Machine, list[asyncio.Server]] = {}
-        self._shut: set[Machine] = set()
+        self._closed_machines: set[Machine] = set()
         self._agents: dict[int, asyncio.subprocess.Process] = {}
         self._tasks: set[asyncio.Task[Any]] = set()  # removed when they end
         self.blocked: dict[DelayedConnection, None] = {}  # with held bytes; emptied by `mended`
@@ -179,18 +179,18 @@
             backlog=BACKLOG,
             reuse_address=True,
         )
-        if machine in self._shut:
+        if machine in self._closed_machines:
             server.close()
         else:
             self._servers.setdefault(machine, []).append(server)
 
     def shut(self, machine: Machine, on: bool) -> None:
-        if on and machine not in self._shut:
-            self._shut.add(machine)
+        if on and machine not in self._closed_machines:
+            self._closed_machines.add(machine)
             for server in self._servers.pop(machine, ()):
                 server.close()
-        elif not on and machine in self._shut:
-            self._shut.discard(machine)
+        elif not on and machine in self._closed_machines:
+            self._closed_machines.discard(machine)
             for address, protocol in self._services.get(machine, ()):
                 self._spawn(self._open(machine, address, protocol))
 
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -51,7 +51,7 @@
         self, machine: Machine, address: Address, protocol: Callable[[], asyncio.Protocol]
     ) -> None:
         server = await self.loop.create_server(protocol, *address, backlog=BACKLOG, reuse_address=True)
-        if machine in self._shut:
+        if machine in self._closed_machines:
             server.close()
         else:
             self._servers.setdefault(machine, []).append(server)
