--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -151,7 +151,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()  # removed when they end
         self.blocked: dict[DelayedConnection, None] = {}  # with held bytes; emptied by `mended`
         self.client_machine_of: Callable[[bytes], Machine | None] = lambda _: None
-        self.ended_badly: list[str] = []
+        self.process_failures: list[str] = []
 
     def now(self) -> float:
         return time.time() * 1000
@@ -279,10 +279,10 @@
             elif event["event"] in books.BOOKED:
                 self.ledger.note(books.SAID, self.now(), number, event.pop("event"), event)
             elif event["event"] == "fault":
-                self.ended_badly.append(f"agent {number}: {event.get('why')}")
+                self.process_failures.append(f"agent {number}: {event.get('why')}")
         code = await agent.wait()
         if code not in (0, -signal.SIGKILL):
-            self.ended_badly.append(f"agent {number} ended with {code}")
+            self.process_failures.append(f"agent {number} ended with {code}")
         started.set()
         ended()
 
@@ -364,7 +364,7 @@
                 ground.ledger.stop()
         finally:
             await ground.close()
-            for failure in ground.ended_badly:
+            for failure in ground.process_failures:
                 ground.ledger.note(books.FAULT, ground.now(), failure)
             ground.ledger.seal()
             if costs is not None:
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -432,7 +432,7 @@
             ended, until = time.monotonic(), ground.now()
             await ground.close()
             closed = time.monotonic()
-        for what in ground.ended_badly:
+        for what in ground.process_failures:
             ground.ledger.note(books.FAULT, ground.now(), what)
         ground.ledger.seal()
         longest = max(p.timeout for p in world.products)
