--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -168,9 +168,9 @@
         self, address: Address, machine: Machine, protocol: Callable[[], asyncio.Protocol]
     ) -> None:
         self._services.setdefault(machine, []).append((address, protocol))
-        await self._open(machine, address, protocol)
+        await self._start_server(machine, address, protocol)
 
-    async def _open(
+    async def _start_server(
         self, machine: Machine, address: Address, protocol: Callable[[], asyncio.Protocol]
     ) -> None:
         server = await self.loop.create_server(
@@ -192,7 +192,7 @@
         elif not on and machine in self._closed_machines:
             self._closed_machines.discard(machine)
             for address, protocol in self._services.get(machine, ()):
-                self._spawn(self._open(machine, address, protocol))
+                self._spawn(self._start_server(machine, address, protocol))
 
     def connect(self, machine: Machine, protocol: asyncio.Protocol, address: Address) -> None:
         self._spawn(self._connect(protocol, address))
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -47,7 +47,7 @@
         self.addresses = places
         self.ledger = Ledger(begin)
 
-    async def _open(
+    async def _start_server(
         self, machine: Machine, address: Address, protocol: Callable[[], asyncio.Protocol]
     ) -> None:
         server = await self.loop.create_server(protocol, *address, backlog=BACKLOG, reuse_address=True)
