--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -1,4 +1,4 @@
-"""Plays a world on a ground: builds the fleet, lets clients ask, and makes trouble when it is due."""
+"""Plays a world on a ground: builds the fleet, sends the clients' requests, causes troubles when they are due."""
 
 from __future__ import annotations
 
@@ -21,31 +21,32 @@
 from lupinreach.config import ASK, BEAT, Address
 from lupinreach.model import DedupScope, Idempotency
 
-READY_WITHIN = 5.0  # s for an agent to listen
-SETTLE_TIMEOUTS = 1.5  # x longest client timeout: after the last arrival, until all is answered
-THIEF = 2000.0  # ms of a thief's on and off together
-BUSY_EVERY = 1000.0  # ms between two times that an agent's event loop is held up
-NOBODY = 1  # a port that nothing listens on
-UNDRAINED = 0.05  # s between the end of a drain and the end of its process
+AGENT_START_TIMEOUT_S = 5.0  # until an agent listens
+SETTLE_TIMEOUTS = 1.5  # run time after the last arrival, in multiples of the longest client timeout
+STEAL_CYCLE_MS = 2000.0  # one on and off phase of CPU theft (`thief`)
+BUSY_INTERVAL_MS = 1000.0  # between two times that `busy-agents` blocks an event loop
+UNUSED_PORT = 1  # a port without a listener
+RESTART_DELAY_S = 0.05  # from the end of a drained backend's process to its restart
 
 
 def format_address(address: Address) -> str:
+    """The address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 @dataclass
 class Fleet:
-    """What a world's backends are drawn as."""
+    """The backends drawn for a run, with the kind of each."""
 
     backends: list[Backend]
     kinds: list[str]
 
 
 def draw_fleet(world: World, seed: int) -> Fleet:
-    """The backends of a run; their true speeds and times come from the seed."""
+    """Draws the backends of a run; their true speeds and times come from the seed."""
     chance, rules = stream(seed, "fleet"), world.rules
     groups = {p.group for p in world.products if p.kind is Idempotency.DEDUPLICATED}
-    memories: dict[Any, Marks] = {}
+    dedup_memories: dict[Any, Marks] = {}
     fleet = Fleet([], [])
     for kind in world.backends:
         for i in range(kind.count):
@@ -53,7 +54,7 @@
             zones = kind.zones or tuple(range(len(world.zones)))
             zone = zones[i % len(zones)]
             cell = number // world.backend.cell_size
-            shared = (
+            memory_scope = (
                 "all" if DedupScope.ALL in groups else zone if DedupScope.ZONE in groups else ("cell", cell)
             )
             speed, idle, report = (float(chance.random()) for _ in range(3))
@@ -67,7 +68,7 @@
                     rules,
                     world.backend.idle.at(idle),
                     world.backend.report_every.at(report),
-                    memories.setdefault(shared, Marks()),
+                    dedup_memories.setdefault(memory_scope, Marks()),
                 )
             )
             fleet.kinds.append(kind.name)
@@ -75,7 +76,10 @@
 
 
 class Stage:
-    """One run."""
+    """Plays one run: holds the fleet, starts and stops agents, and causes troubles.
+
+    Each kind of trouble has a handler method of its name, with `_` for `-`; the other kinds change the traffic only.
+    """
 
     def __init__(
         self,
@@ -91,14 +95,13 @@
         self._chance = stream(seed, "stage")
         fleet = draw_fleet(world, seed)
         self.registry = Registry()
-        self.incarnations = [0] * world.agents  # their lives
+        self.incarnations = [0] * world.agents  # by agent, counted from 1
         self.up: set[int] = set()
-        self._begins: set[int] = set()  # agents that are being started; each leaves as it is up
-        self._stopping: set[int] = set()  # whose process was told to stop; each leaves as it has ended
-        self._twinned: dict[
-            int, Trouble
-        ] = {}  # agents that have a second process, and of which trouble; each leaves with that
-        self._again: set[int] = set()  # of those, the ones to start after that
+        self._starting_agents: set[int] = set()  # agents that are being started
+        self._stopping: set[int] = set()  # agents that were asked to stop and have not ended
+        # By agent with a second process: the trouble it belongs to.
+        self._twin_troubles: dict[int, Trouble] = {}
+        self._restart_after_stop: set[int] = set()  # agents to start once they have stopped
         self._client_machines = [Machine(f"agent {n}", n % len(world.zones)) for n in range(world.agents)]
         self.clients = [
             ClientHost(ground, world, n, self._client_machines[n], ground.addresses.agent(n))
@@ -117,28 +120,26 @@
         self.entries: list[Entry] = []
         for b, kind in zip(fleet.backends, fleet.kinds, strict=True):
             self._add_host(b, kind)
-        self._starting: dict[
-            asyncio.Task[None], None
-        ] = {}  # agents that come back; each leaves when it is up
-        self._agent_of: list[int] = []  # by API call
-        self._lists: dict[int, dict[str, tuple[int, Entry]]] = {}  # kept for a return, by trouble
-        self._copies: dict[int, dict[int, bytes | None]] = {}  # of disks, by the trouble that puts them back
-        self._parted: Counter[tuple[str, str]] = (
-            Counter()
-        )  # by how many troubles; as many as the world has pairs
-        self._missed: dict[
-            str, int
-        ] = {}  # uids of backends that changed unseen by the registry; emptied as it is back
-        self._ahead = [0.0] * world.agents  # ms by which the clock of an agent that starts is wrong
-        self._drift = [0.0] * world.agents  # and what it gains of each ms
+        self._start_tasks: dict[asyncio.Task[None], None] = {}  # removed when the agent is up
+        self._agent_by_call: list[int] = []  # by call number
+        # Registry contents by trouble that restores them.
+        self._saved_lists: dict[int, dict[str, tuple[int, Entry]]] = {}
+        # Disk contents by trouble that restores them.
+        self._saved_disks: dict[int, dict[int, bytes | None]] = {}
+        # Troubles that cut each pair; bounded by the world's pairs.
+        self._cut_pair_counts: Counter[tuple[str, str]] = Counter()
+        self._missed_changes: dict[str, int] = {}  # uids of backends that changed while the registry was down
+        self._clock_ahead_ms = [0.0] * world.agents  # clock error of an agent that starts
+        self._clock_drift = [0.0] * world.agents  # ms gained per ms
 
     def machine(self, agent: int) -> Machine:
+        """The machine that an agent and its clients run on."""
         return self._client_machines[agent]
 
-    def client_machine_of(self, name: bytes) -> Machine | None:
-        """The machine of the agent that a try is made through."""
-        found = self._asked(name.decode("latin-1"))
-        return self._client_machines[found[0]] if found else None
+    def client_machine_of(self, request_id: bytes) -> Machine | None:
+        """The machine of the agent that an attempt with this request id goes through; None if unknown."""
+        attempt = self._find_attempt(request_id.decode("latin-1"))
+        return self._client_machines[attempt[0]] if attempt else None
 
     def _add_host(self, b: Backend, kind: str, suffix: str = "") -> BackendHost:
         machine = Machine(f"backend {b.number}", b.zone)
@@ -148,7 +149,7 @@
             b,
             machine,
             stream(self._seed, "backend", b.number),
-            self._asked,
+            self._find_attempt,
             self._on_overload_crash,
         )
         self.hosts.append(host)
@@ -165,19 +166,19 @@
         )
         return host
 
-    def _asked(self, name: str) -> tuple[int, int, int] | None:
-        """Whose try it is, in which life, and its product; None if nobody asked under this name."""
-        call, _, _ = name.partition(".")
+    def _find_attempt(self, request_id: str) -> tuple[int, int, int] | None:
+        """The agent of a client's attempt, its incarnation, and the product; None for an unknown request id."""
+        call, _, _ = request_id.partition(".")
         try:
-            agent = self._agent_of[int(call, 16)]
+            agent = self._agent_by_call[int(call, 16)]
         except (ValueError, IndexError):
             return None
-        return self.clients[agent].names.get(name)
+        return self.clients[agent].names.get(request_id)
 
-    # From start to end.
+    # The course of a run.
 
     async def play(self) -> None:
-        """All of it; the ledger holds what happened."""
+        """Plays the whole run and records it in the ledger."""
         ground, world = self.ground, self.world
         facts = {**plain(world), "seed": self._seed, "mode": "", "measure": []}
         ground.ledger.note(books.WORLD, ground.now(), facts)
@@ -194,11 +195,11 @@
         for first in range(0, world.agents, 16):
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
         calls = arrivals(world, self._seed)
-        self._agent_of = [a.agent for a in calls]
+        self._agent_by_call = [a.agent for a in calls]
         begin = ground.now()
         loop = ground.loop
         self._schedule_troubles()
-        loop.call_later(SAMPLE / 1000, self._sample)
+        loop.call_later(SAMPLE / 1000, self._record_load)
         for number, arrival in enumerate(calls):
             wait = begin + arrival.at - ground.now()
             if wait > 0:
@@ -217,27 +218,32 @@
 
     async def _start_agent(self, n: int) -> None:
         self.incarnations[n] += 1
-        life = self.incarnations[n]
-        self.clients[n].life = life
+        incarnation = self.incarnations[n]
+        self.clients[n].life = incarnation
         known = self.registry.whole()
-        raw = self._adapt_agent_config(n, self._agent_config(n, life))
+        raw = self._adapt_agent_config(n, self._agent_config(n, incarnation))
         self.registry_host.told(n, self.registry.version, known, True)
-        self.ground.ledger.note(books.AGENT, self.ground.now(), n, life, "started")
-        async with asyncio.timeout(READY_WITHIN):
+        self.ground.ledger.note(books.AGENT, self.ground.now(), n, incarnation, "started")
+        async with asyncio.timeout(AGENT_START_TIMEOUT_S):
             await self.ground.start_agent(
-                n, life, raw, lambda: self._ended(n, life), self._ahead[n], self._drift[n]
+                n,
+                incarnation,
+                raw,
+                lambda: self._on_agent_ended(n, incarnation),
+                self._clock_ahead_ms[n],
+                self._clock_drift[n],
             )
         self.up.add(n)
-        self._begins.discard(n)
+        self._starting_agents.discard(n)
 
-    def _agent_config(self, n: int, life: int) -> dict[str, Any]:
-        """What an agent is told at its start."""
+    def _agent_config(self, n: int, incarnation: int) -> dict[str, Any]:
+        """The configuration of an agent that starts."""
         known, at = self.registry.whole(), self.ground.addresses
         raw = {
             "name": f"agent-{n}",
             "listen": format_address(at.agent(n)),
             "discovery": format_address(at.registry(n)),
-            "seed": f"{int(stream(self._seed, 'agent', n, life).integers(1 << 48)):x}",
+            "seed": f"{int(stream(self._seed, 'agent', n, incarnation).integers(1 << 48)):x}",
             "limits": {"sockets": self.world.sockets},
             "known": {
                 "rev": self.registry.version,
@@ -261,17 +267,17 @@
         return raw
 
     def _adapt_agent_config(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
-        """What an agent is told at its start, where others than the stage stand between it and its peers."""
+        """Hook for stages with relays between an agent and its peers: adapts the addresses in its configuration."""
         return raw
 
-    def _ended(self, n: int, life: int) -> None:
-        self.ground.ledger.note(books.AGENT, self.ground.now(), n, life, "ended")
+    def _on_agent_ended(self, n: int, incarnation: int) -> None:
+        self.ground.ledger.note(books.AGENT, self.ground.now(), n, incarnation, "ended")
         self._stopping.discard(n)
-        if n in self._again:
-            self._again.discard(n)
-            self._revive(n)
+        if n in self._restart_after_stop:
+            self._restart_after_stop.discard(n)
+            self._start_once_stopped(n)
 
-    def _sample(self) -> None:
+    def _record_load(self) -> None:
         now = self.ground.now()
         for host in self.hosts:
             host.step()
@@ -283,25 +289,25 @@
         pools = self.ground.pools()
         if pools:
             self.ground.ledger.note(books.POOLS, now, sorted(pools.items()))
-        self.ground.loop.call_later(SAMPLE / 1000, self._sample)
+        self.ground.loop.call_later(SAMPLE / 1000, self._record_load)
 
     # Troubles.
 
     def _schedule_troubles(self) -> None:
-        """All of it, when it is due from now."""
+        """Schedules all troubles of the world, counted from now."""
         loop = self.ground.loop
         for number, trouble in enumerate(self.world.troubles):
-            targets = self._targets(number, trouble)
+            targets = self._choose_targets(number, trouble)
             if trouble.kind == "registry-older":
-                loop.call_later(max(0.0, trouble.at / 1000 - trouble.strength), self._keep_list, number)
+                loop.call_later(max(0.0, trouble.at / 1000 - trouble.strength), self._save_list, number)
             if trouble.kind == "disk-older":
                 loop.call_later(
-                    max(0.0, trouble.at / 1000 - trouble.strength), self._keep_disks, number, targets
+                    max(0.0, trouble.at / 1000 - trouble.strength), self._save_disks, number, targets
                 )
-            loop.call_later(trouble.at / 1000, self._begin, number, trouble, targets)
+            loop.call_later(trouble.at / 1000, self._begin_trouble, number, trouble, targets)
 
-    def _targets(self, number: int, trouble: Trouble) -> list[int]:
-        """What it strikes: what the world names, else drawn."""
+    def _choose_targets(self, number: int, trouble: Trouble) -> list[int]:
+        """The targets of a trouble: those that the world names, else drawn at random."""
         if trouble.names:
             return list(trouble.names)
         pool = {"backends": len(self.hosts), "agents": self.world.agents, "zones": len(self.world.zones)}
@@ -312,22 +318,22 @@
         chance = stream(self._seed, "trouble", number)
         return sorted(int(n) for n in chance.permutation(total)[:wanted])
 
-    def _begin(self, number: int, trouble: Trouble, targets: list[int]) -> None:
+    def _begin_trouble(self, number: int, trouble: Trouble, targets: list[int]) -> None:
         self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "begins", targets)
         self._apply_trouble(trouble, targets, True)
-        self.ground.loop.call_later(trouble.length / 1000, self._end, number, trouble, targets)
+        self.ground.loop.call_later(trouble.length / 1000, self._end_trouble, number, trouble, targets)
 
-    def _end(self, number: int, trouble: Trouble, targets: list[int]) -> None:
+    def _end_trouble(self, number: int, trouble: Trouble, targets: list[int]) -> None:
         self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "ends", targets)
         self._apply_trouble(trouble, targets, False)
 
     def _apply_trouble(self, trouble: Trouble, targets: list[int], on: bool) -> None:
-        strike = getattr(self, "_" + trouble.kind.replace("-", "_"), None)
-        if strike is not None:
-            strike(trouble, targets, on)
+        handler = getattr(self, "_" + trouble.kind.replace("-", "_"), None)
+        if handler is not None:
+            handler(trouble, targets, on)
             self.registry_host.mended()
 
-    def _each(self, targets: list[int], change: Callable[[BackendHost], None]) -> None:
+    def _change_backends(self, targets: list[int], change: Callable[[BackendHost], None]) -> None:
         for n in targets:
             host = self.hosts[n]
             host.step()
@@ -338,46 +344,50 @@
         def change(host: BackendHost) -> None:
             host.backend.slower *= t.strength if on else 1 / t.strength
 
-        self._each(targets, change)
+        self._change_backends(targets, change)
 
-    def _set(self, targets: list[int], name: str, value: float, machine: bool = False) -> None:
-        self._each(targets, lambda host: setattr(host.machine if machine else host.backend, name, value))
+    def _set_attribute(self, targets: list[int], name: str, value: float, machine: bool = False) -> None:
+        self._change_backends(
+            targets, lambda host: setattr(host.machine if machine else host.backend, name, value)
+        )
 
     def _silent(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "silent", t.strength if on else 0.0)
+        self._set_attribute(targets, "silent", t.strength if on else 0.0)
 
     def _fail(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "fails", t.strength if on else 0.0)
+        self._set_attribute(targets, "fails", t.strength if on else 0.0)
 
     def _stall(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "stalls", t.strength if on else 0.0)
+        self._set_attribute(targets, "stalls", t.strength if on else 0.0)
 
     def _late_reports(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "report_age", t.strength if on else 1.0)
+        self._set_attribute(targets, "report_age", t.strength if on else 1.0)
 
     def _reset(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "resets", t.strength if on else 0.0, machine=True)
+        self._set_attribute(targets, "resets", t.strength if on else 0.0, machine=True)
 
     def _break(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "breaks", t.strength if on else 0.0, machine=True)
+        self._set_attribute(targets, "breaks", t.strength if on else 0.0, machine=True)
 
     def _latency(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "slower", t.strength if on else 0.0, machine=True)
+        self._set_attribute(targets, "slower", t.strength if on else 0.0, machine=True)
 
     def _narrow(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "narrow", t.strength if on else 0.0, machine=True)
+        self._set_attribute(targets, "narrow", t.strength if on else 0.0, machine=True)
 
     def _apart(self, t: Trouble, targets: list[int], on: bool, both: bool = True) -> None:
         number, total = self.world.troubles.index(t), self.world.agents
-        some = stream(self._seed, "apart", number).permutation(total)[: round(t.strength * total)]
+        chosen_agents = stream(self._seed, "apart", number).permutation(total)[: round(t.strength * total)]
         pairs = [
-            (self.hosts[b].machine.name, self._client_machines[int(n)].name) for b in targets for n in some
+            (self.hosts[b].machine.name, self._client_machines[int(n)].name)
+            for b in targets
+            for n in chosen_agents
         ]
         pairs += [(agent, backend) for backend, agent in pairs] if both else []
         for pair in pairs:
-            # Counted, so that one of two troubles that part the same pair doesn't heal the other's.
-            self._parted[pair] += 1 if on else -1
-        self.ground.paths.parted = {pair for pair, times in self._parted.items() if times}
+            # Counted, so that of two troubles cutting the same pair the first to end doesn't restore the path.
+            self._cut_pair_counts[pair] += 1 if on else -1
+        self.ground.paths.parted = {pair for pair, times in self._cut_pair_counts.items() if times}
         if not on:
             self.ground.mended()
 
@@ -385,34 +395,36 @@
         self._apart(t, targets, on, both=False)
 
     def _thief(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._set(targets, "stolen", t.strength if on else 0.0)
+        self._set_attribute(targets, "stolen", t.strength if on else 0.0)
         if on:
             until = self.ground.now() + t.length
 
-            def turn(now_on: bool) -> None:
+            def toggle(now_on: bool) -> None:
                 if self.ground.now() < until - 1:
-                    self._set(targets, "stolen", t.strength if now_on else 0.0)
-                    self.ground.loop.call_later(THIEF / 2000, turn, not now_on)
+                    self._set_attribute(targets, "stolen", t.strength if now_on else 0.0)
+                    self.ground.loop.call_later(STEAL_CYCLE_MS / 2000, toggle, not now_on)
 
-            self.ground.loop.call_later(THIEF / 2000, turn, False)
+            self.ground.loop.call_later(STEAL_CYCLE_MS / 2000, toggle, False)
 
     def _vanish(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             host = self.hosts[n]
             host.machine.vanished = on
             if not on:
-                host.reset()  # what was open is reset when it is back
+                host.reset()  # open connections are reset when the machine is back
             else:
-                self._later(self.world.registry.silent_lag, self._unlist_lost, n, host.backend.life)
+                self._call_after_lag(
+                    self.world.registry.silent_lag, self._remove_lost_backend, n, host.backend.life
+                )
         if not on:
             self.ground.mended()
             for n in targets:
-                self._announce(n, state="Ready")
+                self._announce_after_lag(n, state="Ready")
 
-    def _unlist_lost(self, n: int, life: int) -> None:
+    def _remove_lost_backend(self, n: int, incarnation: int) -> None:
         host = self.hosts[n]
-        if host.backend.life == life and (host.machine.vanished or not host.backend.up):
-            self._list(n, state="Gone")
+        if host.backend.life == incarnation and (host.machine.vanished or not host.backend.up):
+            self._update_registry(n, state="Gone")
 
     def _cut(self, t: Trouble, targets: list[int], on: bool) -> None:
         self.ground.paths.cut = (
@@ -437,40 +449,40 @@
     def _loss(self, t: Trouble, targets: list[int], on: bool) -> None:
         self.ground.paths.loss = t.strength if on else self.world.network.loss
 
-    # Backends that come and go.
+    # Backends that stop and return.
 
-    def _later(self, lag: Any, what: Callable[..., None], *args: Any) -> None:
-        self.ground.loop.call_later(lag.at(float(self._chance.random())) / 1000, what, *args)
+    def _call_after_lag(self, lag: Any, action: Callable[..., None], *args: Any) -> None:
+        self.ground.loop.call_later(lag.at(float(self._chance.random())) / 1000, action, *args)
 
-    def _announce(self, n: int, **changed: Any) -> None:
-        """The registry gets to know it after its lag."""
-        self._later(self.world.registry.lag, lambda: self._list(n, **changed))
+    def _announce_after_lag(self, n: int, **changed: Any) -> None:
+        """Reports a change of a backend to the registry after the registry's lag."""
+        self._call_after_lag(self.world.registry.lag, lambda: self._update_registry(n, **changed))
 
-    def _list(self, n: int, **changed: Any) -> None:
+    def _update_registry(self, n: int, **changed: Any) -> None:
         entry = self.entries[n] = replace(self.entries[n], **changed)
         if not self.registry.up:
-            self._missed.setdefault(entry.uid, n)  # what has no power learns of nothing
+            self._missed_changes.setdefault(entry.uid, n)  # a registry that is down receives no changes
             return
         self.registry.set(entry)
         self.registry_host.changed()
 
     def _replay_missed_changes(self) -> None:
-        """The registry is back: what changed meanwhile reaches it after its lag, as any change does."""
-        missed, self._missed = self._missed, {}
+        """Reports the changes that a returning registry missed, after its lag as with any change."""
+        missed, self._missed_changes = self._missed_changes, {}
         for uid, n in missed.items():
-            # Of a machine that was replaced meanwhile, only the last is there.
-            gone = {"state": "Gone"} if self.entries[n].uid != uid else {}
-            self._later(self.world.registry.lag, self._list_late, uid, n, gone)
+            # If a backend was replaced meanwhile, all but its last uid are reported as gone.
+            changed_state = {"state": "Gone"} if self.entries[n].uid != uid else {}
+            self._call_after_lag(self.world.registry.lag, self._update_missed, uid, n, changed_state)
 
-    def _list_late(self, uid: str, n: int, gone: dict[str, str]) -> None:
-        entry = replace(self.entries[n], uid=uid, **gone)  # type: ignore[arg-type]
+    def _update_missed(self, uid: str, n: int, changed_state: dict[str, str]) -> None:
+        entry = replace(self.entries[n], uid=uid, **changed_state)  # type: ignore[arg-type]
         if self.registry.up:
             self.registry.set(entry)
             self.registry_host.changed()
         else:
-            self._missed.setdefault(uid, n)
+            self._missed_changes.setdefault(uid, n)
 
-    def _die(self, n: int) -> None:
+    def _stop_backend(self, n: int) -> None:
         host = self.hosts[n]
         host.die()
         b = host.backend
@@ -478,23 +490,27 @@
             books.STATE, self.ground.now(), n, b.life, "Gone", 0.0, 0.0, 0.0, b.zone, b.cell
         )
 
-    def _return(self, n: int) -> None:
+    def _restart_backend(self, n: int) -> None:
         self.hosts[n].boot(cold=True)
-        self._announce(n, state="Ready", boot=int(self.ground.now()))
+        self._announce_after_lag(n, state="Ready", boot=int(self.ground.now()))
 
     def _on_overload_crash(self, host: BackendHost) -> None:
-        """Pushed over: it stays down."""
+        """A backend crashed from overload while cold; it stays down."""
         host.backend.up = False
-        self.ground.loop.call_soon(self._die, host.backend.number)
-        self._later(self.world.registry.silent_lag, self._unlist_lost, host.backend.number, host.backend.life)
+        self.ground.loop.call_soon(self._stop_backend, host.backend.number)
+        self._call_after_lag(
+            self.world.registry.silent_lag, self._remove_lost_backend, host.backend.number, host.backend.life
+        )
 
     def _crash(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on and self.hosts[n].backend.up:
-                self._die(n)
-                self._later(self.world.registry.silent_lag, self._unlist_lost, n, self.hosts[n].backend.life)
+                self._stop_backend(n)
+                self._call_after_lag(
+                    self.world.registry.silent_lag, self._remove_lost_backend, n, self.hosts[n].backend.life
+                )
             elif not on and not self.hosts[n].backend.fallen:
-                self._return(n)
+                self._restart_backend(n)
 
     def _drain(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -503,23 +519,23 @@
                 self.ground.ledger.note(
                     books.STATE, self.ground.now(), n, b.life, "Terminating", 0.0, 0.0, 0.0, b.zone, b.cell
                 )
-                self._announce(n, state="Terminating")
+                self._announce_after_lag(n, state="Terminating")
             else:
-                self._die(n)
-                self._list(n, state="Gone")
-                self.ground.loop.call_later(UNDRAINED, self._return, n)
+                self._stop_backend(n)
+                self._update_registry(n, state="Gone")
+                self.ground.loop.call_later(RESTART_DELAY_S, self._restart_backend, n)
 
     def _replace(self, t: Trouble, targets: list[int], on: bool) -> None:
-        """As a deployment does: it drains, and another machine under another name takes its place."""
+        """Replaces backends as a deployment does: each drains, then a machine with a new uid takes its place."""
         for n in targets:
             if on:
                 self._drain(t, [n], True)
                 continue
-            self._die(n)
-            self._list(n, state="Gone")
+            self._stop_backend(n)
+            self._update_registry(n, state="Gone")
             old = self.entries[n]
             self.entries[n] = replace(old, uid=f"{old.uid}-{self.hosts[n].backend.life}")
-            self.ground.loop.call_later(UNDRAINED, self._return, n)
+            self.ground.loop.call_later(RESTART_DELAY_S, self._restart_backend, n)
 
     # The registry and the agents.
 
@@ -536,13 +552,13 @@
         if not on:
             self.registry.restart(self.world.registry.restart_version)
 
-    def _keep_list(self, number: int) -> None:
-        self._lists[number] = self.registry.copy()
+    def _save_list(self, number: int) -> None:
+        self._saved_lists[number] = self.registry.copy()
 
     def _registry_older(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._registry_down(t, targets, on)
         if not on:
-            self.registry.restore(self._lists.pop(self.world.troubles.index(t)))
+            self.registry.restore(self._saved_lists.pop(self.world.troubles.index(t)))
 
     def _sleep_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -551,30 +567,30 @@
 
     def _twin_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
-            if on is (n in self._twinned):
-                continue  # one second process an agent, whatever is drawn
+            if on is (n in self._twin_troubles):
+                continue  # at most one second process per agent, whatever targets are drawn
             if on:
-                self._twinned[n] = t
-                # Where nobody sends and with a registry that refuses: what it can touch is the disk.
+                self._twin_troubles[n] = t
+                # At an unused address and without a registry: the disk is all that it can affect.
                 where = self.ground.addresses.twin(n)
                 raw = self._adapt_agent_config(n, self._agent_config(n, 0)) | {
                     "listen": format_address(where),
-                    "discovery": format_address((where[0], NOBODY)),
+                    "discovery": format_address((where[0], UNUSED_PORT)),
                 }
                 if "peer_listen" in raw:
                     raw["peer_listen"] = format_address((where[0], where[1] + 1))
-                self._run(self.ground.start_twin(n, raw))
-            elif self._twinned[n] is t:
-                del self._twinned[n]
+                self._spawn(self.ground.start_twin(n, raw))
+            elif self._twin_troubles[n] is t:
+                del self._twin_troubles[n]
                 self.ground.stop_twin(n)
 
     def _deaf_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._unheard(self.ground.paths.deaf, targets, on)
+        self._isolate_agents(self.ground.paths.deaf, targets, on)
 
     def _dumb_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._unheard(self.ground.paths.dumb, targets, on)
+        self._isolate_agents(self.ground.paths.dumb, targets, on)
 
-    def _unheard(self, struck: set[Machine], targets: list[int], on: bool) -> None:
+    def _isolate_agents(self, struck: set[Machine], targets: list[int], on: bool) -> None:
         machines = {self._client_machines[n] for n in targets}
         struck.update(machines) if on else struck.difference_update(machines)
         if not on:
@@ -582,15 +598,15 @@
 
     def _clock_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
-            self._ahead[n] = t.strength * 1000 if on else 0.0
+            self._clock_ahead_ms[n] = t.strength * 1000 if on else 0.0
 
-    # Their disks.
+    # The agents' disks.
 
     def _disk_torn(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            text = self.ground.disk(n).copy()
-            if text is not None:
-                self.ground.disk(n).put(text[: int(t.strength * len(text))])
+            data = self.ground.disk(n).copy()
+            if data is not None:
+                self.ground.disk(n).put(data[: int(t.strength * len(data))])
 
     def _disk_lost(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
@@ -598,16 +614,16 @@
 
     def _disk_other(self, t: Trouble, targets: list[int], on: bool) -> None:
         copies = {n: self.ground.disk((n + 1) % self.world.agents).copy() for n in targets} if on else {}
-        for n, text in copies.items():
-            self.ground.disk(n).put(text)
+        for n, data in copies.items():
+            self.ground.disk(n).put(data)
 
     def _disk_older(self, t: Trouble, targets: list[int], on: bool) -> None:
-        copies = self._copies.pop(self.world.troubles.index(t), {}) if on else {}
-        for n, text in copies.items():
-            self.ground.disk(n).put(text)
+        copies = self._saved_disks.pop(self.world.troubles.index(t), {}) if on else {}
+        for n, data in copies.items():
+            self.ground.disk(n).put(data)
 
-    def _keep_disks(self, number: int, targets: list[int]) -> None:
-        self._copies[number] = {n: self.ground.disk(n).copy() for n in targets}
+    def _save_disks(self, number: int, targets: list[int]) -> None:
+        self._saved_disks[number] = {n: self.ground.disk(n).copy() for n in targets}
 
     def _disk_stuck(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -619,38 +635,38 @@
 
     def _drift_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
-            self._drift[n] = t.strength if on else 0.0
+            self._clock_drift[n] = t.strength if on else 0.0
 
     def _restart_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._down_and_up(targets, on, "stopping", self.ground.stop_agent)
+        self._stop_and_restart(targets, on, "stopping", self.ground.stop_agent)
 
     def _kill_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._down_and_up(targets, on, "killed", self.ground.kill_agent)
+        self._stop_and_restart(targets, on, "killed", self.ground.kill_agent)
 
-    def _down_and_up(self, targets: list[int], on: bool, how: str, act: Callable[[int], None]) -> None:
+    def _stop_and_restart(self, targets: list[int], on: bool, how: str, act: Callable[[int], None]) -> None:
         for n in targets:
             killed = how == "killed"
             if on and (n in self.up or (killed and n in self._stopping)):
                 self.ground.ledger.note(books.AGENT, self.ground.now(), n, self.incarnations[n], how)
                 self.up.discard(n)
-                self._again.discard(n)
+                self._restart_after_stop.discard(n)
                 (self._stopping.discard if killed else self._stopping.add)(n)
                 act(n)
             elif not on:
-                self._revive(n)
+                self._start_once_stopped(n)
 
-    def _revive(self, n: int) -> None:
-        """Start it, once the process before has ended. Guards against two that one machine would have at one address."""
+    def _start_once_stopped(self, n: int) -> None:
+        """Starts an agent, once its previous process has ended: two processes can't share one address."""
         if n in self._stopping:
-            self._again.add(n)
-        elif n not in self.up and n not in self._begins:
-            self._begins.add(n)
-            self._run(self._start_agent(n))
+            self._restart_after_stop.add(n)
+        elif n not in self.up and n not in self._starting_agents:
+            self._starting_agents.add(n)
+            self._spawn(self._start_agent(n))
 
-    def _run(self, start: Coroutine[Any, Any, None]) -> None:
+    def _spawn(self, start: Coroutine[Any, Any, None]) -> None:
         task = self.ground.loop.create_task(start)
-        self._starting[task] = None
-        task.add_done_callback(lambda done: self._starting.pop(done, None))
+        self._start_tasks[task] = None
+        task.add_done_callback(lambda done: self._start_tasks.pop(done, None))
 
     def _busy_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         if not on:
@@ -662,6 +678,6 @@
                 for n in targets:
                     if n in self.up:
                         self.ground.hold_agent(n, t.strength)
-                self.ground.loop.call_later(BUSY_EVERY / 1000, again)
+                self.ground.loop.call_later(BUSY_INTERVAL_MS / 1000, again)
 
         again()
