--- a/lupinreach/bed/commands/__init__.py
+++ b/lupinreach/bed/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What the command line does with it: runs, searches, reports, the demo."""
+"""The commands of the bed: runs, comparisons, searches, reports and the demo."""
--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -1,4 +1,4 @@
-"""The commands of `lupinreach`, but for what they do."""
+"""The command line of `lupinreach`: options, output and exit codes of its commands."""
 
 from __future__ import annotations
 
@@ -22,24 +22,26 @@
 from lupinreach.bed.world.spec import World
 from lupinreach.config import BadConfig
 
-EXIT_KEPT, EXIT_BROKEN, EXIT_USAGE = 0, 1, 2
-MAX_PRINTED_VIOLATIONS = 10  # breaches on standard error
+EXIT_KEPT, EXIT_BROKEN, EXIT_USAGE = 0, 1, 2  # rules kept, a rule violated, invalid input
+MAX_PRINTED_VIOLATIONS = 10  # printed to standard error per run
 
 stderr_console = Console(stderr=True, highlight=False)
 
 
-def exit_with_usage_error(why: object) -> NoReturn:
-    print(f"lupinreach: {why}", file=sys.stderr)
+def exit_with_usage_error(reason: object) -> NoReturn:
+    """Prints why the input is invalid and exits with EXIT_USAGE."""
+    print(f"lupinreach: {reason}", file=sys.stderr)
     sys.exit(EXIT_USAGE)
 
 
-def world_of(
+def load_world(
     file: str, seed: tuple[int, ...] = (), mode: str | None = None, policy: str | None = None
 ) -> World:
+    """Reads a world by name or path and replaces seeds, mode and policy where given; exits if it is invalid."""
     try:
         world = spec.read_file(file)
-    except BadConfig as wrong:
-        exit_with_usage_error(wrong)
+    except BadConfig as error:
+        exit_with_usage_error(error)
     world = replace(world, seeds=seed or world.seeds, mode=mode or world.mode, policy=policy or world.policy)
     if world.mode == "loopback" and world.fault:
         exit_with_usage_error("fault: can be planted in virtual time only")
@@ -48,7 +50,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def lupinreach() -> None:
-    """A client-side load balancer, and the bed that it is tried on."""
+    """A client-side load balancer and its test bed."""
 
 
 @lupinreach.command()
@@ -62,13 +64,13 @@
 @lupinreach.command("logs")
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def read_logs(files: tuple[str, ...]) -> None:
-    """Count over a whole fleet what agents wrote to their logs: any number of files, one object of JSON."""
+    """Summarise the logs of a fleet's agents, from any number of files, as one JSON object."""
     from lupinreach import logs
 
     try:
         fleet = logs.read([Path(file).read_bytes().splitlines() for file in files])
-    except OSError as wrong:
-        exit_with_usage_error(f"{wrong.filename}: {wrong.strerror}")
+    except OSError as error:
+        exit_with_usage_error(f"{error.filename}: {error.strerror}")
     if not fleet.lives:
         exit_with_usage_error(f"{', '.join(files)}: no line of an agent's log in it")
     found = logs.summary(fleet)
@@ -76,63 +78,63 @@
     for column in ("group", "what", "count", "share"):
         table.add_column(column, justify="left" if column in ("group", "what") else "right")
     for group in (*logs.GROUPS, "events"):
-        whole = sum(found[group].values()) or 1
+        total = sum(found[group].values()) or 1
         for what, count in sorted(found[group].items(), key=lambda pair: -pair[1]):
-            table.add_row(group, what, str(count), f"{count / whole:.1%}")
+            table.add_row(group, what, str(count), f"{count / total:.1%}")
     stderr_console.print(table)
     print(json.dumps(found))
 
 
 @lupinreach.group("fleet")
 def fleet_group() -> None:
-    """What agents of one fleet hold of each other."""
+    """Inspect what the agents of a fleet know of each other."""
 
 
 @fleet_group.command("show")
 @click.argument("doors", nargs=-1, required=True)
 def fleet_show(doors: tuple[str, ...]) -> None:
-    """Ask the operators' DOORs (host:port) what each agent holds, and say where two disagree: 1 if any does, or is silent."""
+    """Query the agents at DOORS (host:port for operators); exit 1 if two disagree or one doesn't answer."""
     from lupinreach.fleet import show
 
     for door in doors:
         if not door.rpartition(":")[2].isdecimal():
             exit_with_usage_error(f"{door}: a door is host:port")
     with ThreadPoolExecutor(min(32, len(doors))) as pool:
-        said = dict(zip(doors, pool.map(show.asked, doors), strict=True))
-    held = {door: found for door, found in said.items() if isinstance(found, dict)}
-    silent = {door: why for door, why in said.items() if isinstance(why, str)}
+        responses = dict(zip(doors, pool.map(show.asked, doors), strict=True))
+    states = {door: found for door, found in responses.items() if isinstance(found, dict)}
+    unreachable = {door: reason for door, reason in responses.items() if isinstance(reason, str)}
     table = Table(box=None)
     for column in show.COLUMNS:
         table.add_column(column)
-    for door, found in held.items():
+    for door, found in states.items():
         table.add_row(door, *show.row(found))
     stderr_console.print(table)
-    for door, why in silent.items():
-        stderr_console.print(f"{door}: {why}")
-    apart = show.disagreements(held) if held else []
-    for line in apart:
+    for door, reason in unreachable.items():
+        stderr_console.print(f"{door}: {reason}")
+    conflicts = show.disagreements(states) if states else []
+    for line in conflicts:
         stderr_console.print(line)
-    print(json.dumps({"agents": held, "silent": silent, "disagreements": apart}))
-    sys.exit(EXIT_BROKEN if apart or silent else EXIT_KEPT)
+    print(json.dumps({"agents": states, "silent": unreachable, "disagreements": conflicts}))
+    sys.exit(EXIT_BROKEN if conflicts or unreachable else EXIT_KEPT)
 
 
 @lupinreach.command()
 @click.option("--seconds", type=click.FloatRange(3, 3600), default=20.0, show_default=True)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 def demo(seconds: float, seed: int) -> None:
-    """Agents, stand-in backends, a registry and clients on loopback; a trouble after some seconds."""
-    from lupinreach.bed.commands.demo import demo as show
+    """Run agents, simulated backends, a registry and clients on loopback, with a trouble after some seconds."""
+    from lupinreach.bed.commands.demo import demo as run_demo
 
-    world = world_of("demo")
-    share = seconds * 1000 / world.length
+    world = load_world("demo")
+    scale = seconds * 1000 / world.length
     world = replace(
         world,
         length=seconds * 1000,
-        troubles=tuple(replace(t, at=t.at * share, length=t.length * share) for t in world.troubles),
+        troubles=tuple(replace(t, at=t.at * scale, length=t.length * scale) for t in world.troubles),
     )
     console = Console(highlight=False)
-    result, stopped = show(world, seed, console)
-    _tell_breaches([result])
+    result, stopped = run_demo(world, seed, console)
+    _print_violations([result])
     if stopped:
         stderr_console.print("stopped: this is what was seen so far")
     print(json.dumps(experiment.summary(world, [result]) | ({"stopped": True} if stopped else {})))
@@ -141,24 +143,24 @@
 
 @lupinreach.group()
 def bed() -> None:
-    """Worlds: play one, compare policies on it, search round it."""
+    """Play a world, compare policies on it, or search its variants."""
 
 
 @bed.command("list")
 def list_worlds() -> None:
-    """The worlds that come with the bed."""
+    """List the built-in worlds."""
     for path in sorted(spec.WORLDS.glob("*.toml")):
         print(path.stem)
 
 
 @bed.command()
 @click.argument("file")
-@click.option(
-    "--seed", type=click.IntRange(0), multiple=True, help="in place of the file's; may be given again"
-)
+@click.option("--seed", type=click.IntRange(0), multiple=True, help="instead of the file's; may be repeated")
 @click.option("--mode", type=click.Choice(list(spec.MODES)))
 @click.option("--policy", type=click.Choice(list(POLICIES)))
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="write every run's figures to a file")
+@click.option(
+    "--json", "out", type=click.Path(dir_okay=False), help="write the metrics of every run to a file"
+)
 @click.option(
     "--ledger", type=click.Path(dir_okay=False), help="write the ledger of the first seed to a file"
 )
@@ -172,25 +174,25 @@
     ledger: str | None,
     report: str | None,
 ) -> None:
-    """Play a world; ends with one line of JSON. Exit 0: rules kept, 1: one broken, 2: a bad file."""
-    world = world_of(file, seed, mode, policy)
+    """Play a world; ends with one line of JSON. Exit 0: rules kept, 1: a rule broken, 2: invalid file."""
+    world = load_world(file, seed, mode, policy)
     results, stopped = [], False
     for number, one in enumerate(world.seeds):
-        with _progress(f"seed {one}", world.length) as progress:
-            book = experiment.play(world, one, progress)
-        result = experiment.judge(world, one, book)
+        with _ProgressBar(f"seed {one}", world.length) as progress:
+            played = experiment.play(world, one, progress)
+        result = experiment.judge(world, one, played)
         results.append(result)
-        stopped = book.stopped
+        stopped = played.stopped
         if ledger and not number:
-            book.save(Path(ledger))
+            played.save(Path(ledger))
         if report:
             from lupinreach.bed.commands.report import write
 
-            stderr_console.print(f"report: {write(Path(report), world, result, book.records)}")
+            stderr_console.print(f"report: {write(Path(report), world, result, played.records)}")
         if stopped:
             stderr_console.print(f"stopped in run {number + 1} of {len(world.seeds)}")
             break
-    _tell_breaches(results)
+    _print_violations(results)
     if out:
         rows = [
             {
@@ -211,55 +213,55 @@
 @click.argument("file")
 @click.option("--against", type=click.Choice(list(POLICIES)), multiple=True, required=True)
 @click.option("--seed", type=click.IntRange(0), multiple=True)
-@click.option("--jobs", type=click.IntRange(1), help="runs beside each other")
+@click.option("--jobs", type=click.IntRange(1), help="parallel runs")
 def compare(file: str, against: tuple[str, ...], seed: tuple[int, ...], jobs: int | None) -> None:
-    """The same seeds under two policies or more: the difference with its noise."""
-    world = world_of(file, seed)
+    """Compare two or more policies on the same seeds: the difference and its standard error."""
+    world = load_world(file, seed)
     found = experiment.compare(world, list(against), jobs)
     table = Table(box=None)
     for column in ("policy", "service", "worst 10 s", "p99 ms", "rules", "ours less this", "noise"):
         table.add_column(column, justify="left" if column in ("policy", "rules") else "right")
-    ours, lines = found[world.policy], {}
+    own_results, lines = found[world.policy], {}
     for name, results in found.items():
         total = experiment.summary(replace(world, policy=name), results)
-        gap = experiment.difference(ours, results, "service")
-        worst = experiment.difference(ours, results, "service_worst_10s")
+        service_difference = experiment.difference(own_results, results, "service")
+        worst_difference = experiment.difference(own_results, results, "service_worst_10s")
         table.add_row(
             name,
             f"{total['service']:.4f}",
             f"{total['service_worst_10s']:.4f}",
             f"{total['latency_ms']['p99']:.0f}",
             total["verdict"],
-            "" if results is ours else f"{gap.mean:+.4f}",
-            "" if results is ours else f"{gap.noise:.4f}",
+            "" if results is own_results else f"{service_difference.mean:+.4f}",
+            "" if results is own_results else f"{service_difference.noise:.4f}",
         )
         lines[name] = {
             "service": total["service"],
             "service_worst_10s": total["service_worst_10s"],
             "verdict": total["verdict"],
-            "difference": round(gap.mean, 4),
-            "noise": round(gap.noise, 4),
-            "difference_worst_10s": round(worst.mean, 4),
-            "noise_worst_10s": round(worst.noise, 4),
+            "difference": round(service_difference.mean, 4),
+            "noise": round(service_difference.noise, 4),
+            "difference_worst_10s": round(worst_difference.mean, 4),
+            "noise_worst_10s": round(worst_difference.noise, 4),
         }
     stderr_console.print(table)
-    print(json.dumps({"world": world.name, "seeds": [r.seed for r in ours], "policies": lines}))
-    sys.exit(EXIT_KEPT if all(r.kept for r in ours) else EXIT_BROKEN)
+    print(json.dumps({"world": world.name, "seeds": [r.seed for r in own_results], "policies": lines}))
+    sys.exit(EXIT_KEPT if all(r.kept for r in own_results) else EXIT_BROKEN)
 
 
 @bed.command()
 @click.argument("file")
-@click.option("--budget", type=click.IntRange(1), default=100, show_default=True, help="worlds to draw")
+@click.option("--budget", type=click.IntRange(1), default=100, show_default=True, help="variants to draw")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--jobs", type=click.IntRange(1), help="runs beside each other")
+@click.option("--jobs", type=click.IntRange(1), help="parallel runs")
 @click.option("--out", type=click.Path(file_okay=False), default="found", show_default=True)
 def search(file: str, budget: int, seed: int, jobs: int | None, out: str) -> None:
-    """Draw worlds round the file, keep the worst, and shrink a broken rule to a small file that replays it."""
-    from lupinreach.bed.commands.search import search as look
+    """Draw variants of a world, keep the worst, and shrink a violation to a small file that reproduces it."""
+    from lupinreach.bed.commands.search import search as run_search
     from lupinreach.bed.commands.search import size
 
-    world = world_of(file)
-    broken, worst = look(world, budget, seed, jobs, lambda text: stderr_console.print(text))
+    world = load_world(file)
+    broken, worst = run_search(world, budget, seed, jobs, lambda text: stderr_console.print(text))
     folder = Path(out)
     folder.mkdir(parents=True, exist_ok=True)
     files = []
@@ -281,7 +283,7 @@
     sys.exit(EXIT_BROKEN if broken else EXIT_KEPT)
 
 
-def _tell_breaches(results: list[experiment.Result]) -> None:
+def _print_violations(results: list[experiment.Result]) -> None:
     for r in results:
         for b in r.violations[:MAX_PRINTED_VIOLATIONS]:
             stderr_console.print(
@@ -289,8 +291,8 @@
             )
 
 
-class _progress:
-    """A bar on a terminal, nothing elsewhere; to be called with the ms that have been played."""
+class _ProgressBar:
+    """A progress bar on a terminal, nothing elsewhere; call it with the ms that have been played."""
 
     def __init__(self, what: str, total: float) -> None:
         self._bar = Progress(
@@ -308,5 +310,5 @@
         self._bar.__enter__()
         return lambda ms: self._bar.update(self._task, completed=ms)
 
-    def __exit__(self, *how: Any) -> None:
-        self._bar.__exit__(*how)
+    def __exit__(self, *exc_info: Any) -> None:
+        self._bar.__exit__(*exc_info)
--- a/lupinreach/bed/commands/demo.py
+++ b/lupinreach/bed/commands/demo.py
@@ -1,4 +1,4 @@
-"""The demo: agents, stand-in backends, a registry and clients on loopback, a live table, and troubles on the way."""
+"""The demo: agents, simulated backends, a registry and clients on loopback, with troubles and a live table."""
 
 from __future__ import annotations
 
@@ -18,70 +18,75 @@
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.spec import World
 
-EVERY = 0.5  # s between two looks
-LATELY = 2.0  # s that the table speaks of
+REFRESH_INTERVAL_S = 0.5  # on a terminal; elsewhere a table is printed every fourth time
+WINDOW_S = 2.0  # length of the period that the table covers
 
 
-class Board:
-    """What the table shows, read off the ledger as it grows."""
+class Dashboard:
+    """The live table, computed from the ledger while it grows."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._stage: Stage | None = None
-        self._since = time.monotonic()
+        self._started_at = time.monotonic()
 
     def watch(self, stage: Stage) -> None:
+        """Shows this stage from now on."""
         self._stage = stage
 
-    def _lately(self) -> tuple[Counter[str], Counter[int], list[float]]:
+    def _recent(self) -> tuple[Counter[str], Counter[int], list[float]]:
+        """Calls by outcome, attempts by backend, and sorted latencies in ms, over the last `WINDOW_S`."""
         assert self._stage is not None
         records = self._stage.ground.ledger.records
-        begin = records[-1][1] - LATELY * 1e6 if records else 0
-        kinds: Counter[str] = Counter()
-        came: Counter[int] = Counter()
-        asked: dict[str, int] = {}
-        took: list[float] = []
+        window_start_us = records[-1][1] - WINDOW_S * 1e6 if records else 0
+        outcomes: Counter[str] = Counter()
+        attempts_by_backend: Counter[int] = Counter()
+        asked_at_us: dict[str, int] = {}
+        latencies_ms: list[float] = []
         for r in reversed(records):
-            if r[1] < begin - 2e6:
+            if r[1] < window_start_us - 2e6:
                 break
             if r[0] == "asked":
-                asked[r[2]] = r[1]
+                asked_at_us[r[2]] = r[1]
         for r in reversed(records):
-            if r[1] < begin:
+            if r[1] < window_start_us:
                 break
             if r[0] == "got":
-                kinds[
+                outcomes[
                     "fulfilled" if r[3] == 200 else "rate-limited" if r[3] in (429, 503) else "errored"
                 ] += 1
-                if r[3] == 200 and r[2] in asked:
-                    took.append((r[1] - asked[r[2]]) / 1000)
+                if r[3] == 200 and r[2] in asked_at_us:
+                    latencies_ms.append((r[1] - asked_at_us[r[2]]) / 1000)
             elif r[0] in ("left", "lost"):
-                kinds[r[0]] += 1
+                outcomes[r[0]] += 1
             elif r[0] == "came":
-                came[r[2]] += 1
-        return kinds, came, sorted(took)
+                attempts_by_backend[r[2]] += 1
+        return outcomes, attempts_by_backend, sorted(latencies_ms)
 
     def render(self) -> Any:
+        """The table as it is now."""
         stage = self._stage
         if stage is None or not stage.ground.ledger.records:
             return Text("starting agents ...")
-        kinds, came, took = self._lately()
-        on = [(r[3], r[4], r[5]) for r in stage.ground.ledger.records if r[0] == "trouble"]
-        now = {}
-        for kind, what, targets in on:
+        outcomes, attempts_by_backend, latencies_ms = self._recent()
+        trouble_records = [(r[3], r[4], r[5]) for r in stage.ground.ledger.records if r[0] == "trouble"]
+        active_troubles = {}
+        for kind, what, targets in trouble_records:
             if what == "begins":
-                now[kind] = targets
+                active_troubles[kind] = targets
             else:
-                now.pop(kind, None)
-        total = sum(kinds.values())
-        head = Text.assemble(
-            (f"{time.monotonic() - self._since:5.1f} s  ", "bold"),
-            f"{total / LATELY:5.0f} API calls a second  ",
-            (f"fulfilled {100 * kinds['fulfilled'] / max(1, total):5.1f}%  ", "green"),
-            f"median {_at(took, 0.5):5.0f} ms  p99 {_at(took, 0.99):5.0f} ms  ",
+                active_troubles.pop(kind, None)
+        total = sum(outcomes.values())
+        header = Text.assemble(
+            (f"{time.monotonic() - self._started_at:5.1f} s  ", "bold"),
+            f"{total / WINDOW_S:5.0f} API calls a second  ",
+            (f"fulfilled {100 * outcomes['fulfilled'] / max(1, total):5.1f}%  ", "green"),
+            f"median {_quantile(latencies_ms, 0.5):5.0f} ms  p99 {_quantile(latencies_ms, 0.99):5.0f} ms  ",
             (
-                "trouble: " + ", ".join(f"{k} at {t}" for k, t in now.items()) if now else "no trouble",
-                "bold red" if now else "dim",
+                "trouble: " + ", ".join(f"{k} at {t}" for k, t in active_troubles.items())
+                if active_troubles
+                else "no trouble",
+                "bold red" if active_troubles else "dim",
             ),
         )
         table = Table(box=None, pad_edge=False)
@@ -97,30 +102,30 @@
                 str(b.number),
                 self._world.zones[b.zone],
                 state,
-                f"{came[b.number] / LATELY:.1f}",
+                f"{attempts_by_backend[b.number] / WINDOW_S:.1f}",
                 str(len(b.running)),
                 str(len(b.queue)),
             )
-        return Group(head, table)
+        return Group(header, table)
 
 
-def _at(ordered: list[float], share: float) -> float:
+def _quantile(ordered: list[float], share: float) -> float:
     return ordered[int(len(ordered) * share)] if ordered else 0.0
 
 
-async def _show(board: Board, console: Console) -> None:
+async def _show(board: Dashboard, console: Console) -> None:
     if console.is_terminal:
         with Live(board.render(), console=console, refresh_per_second=4) as live:
             while True:
-                await asyncio.sleep(EVERY)
+                await asyncio.sleep(REFRESH_INTERVAL_S)
                 live.update(board.render())
     while True:
-        await asyncio.sleep(4 * EVERY)
+        await asyncio.sleep(4 * REFRESH_INTERVAL_S)
         console.print(board.render())
 
 
 async def _play(world: World, seed: int, console: Console) -> Ledger:
-    board = Board(world)
+    board = Dashboard(world)
     showing = asyncio.create_task(_show(board, console))
     try:
         return await loopback.play_on(world, seed, watch=board.watch)
@@ -130,6 +135,6 @@
 
 
 def demo(world: World, seed: int, console: Console) -> tuple[Result, bool]:
-    """Play it and show it; judged at the end, or at what was seen until a signal stopped it."""
+    """Plays the world and shows it; returns the result, and whether a signal stopped the run before its end."""
     ledger = asyncio.run(_play(world, seed, console))
     return judge(world, seed, ledger), ledger.stopped
--- a/lupinreach/bed/commands/experiment.py
+++ b/lupinreach/bed/commands/experiment.py
@@ -1,4 +1,4 @@
-"""Runs of a world: played, judged, counted; and two policies on the same seeds set beside each other."""
+"""Runs of a world and their results, and comparisons of policies on the same seeds."""
 
 from __future__ import annotations
 
@@ -16,30 +16,33 @@
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.spec import World
 
-SEEDS = 6  # that a comparison plays where the file names one
+DEFAULT_SEEDS = 6  # seeds of a comparison if the world names only one
 
 
 @dataclass
 class Result:
-    """One run, judged and counted."""
+    """The result of one run: violations of the rules and metrics."""
 
     seed: int
     violations: list[Breach]
     rules: dict[str, str]
     figures: dict[str, Any]
     digest: str
-    unheard: int = 0  # tries whose answer what stands between a client and its agent held up
+    unheard: int = 0  # attempts whose answer was held up between the agent and its client
 
     @property
     def kept(self) -> bool:
+        """If no rule was violated."""
         return not self.violations
 
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
+    """Plays the world in its mode and returns the ledger."""
     return (virtual if world.mode == "virtual" else loopback).play(world, seed, progress)
 
 
 def judge(world: World, seed: int, ledger: Ledger) -> Result:
+    """Checks the rules and computes the metrics of a played run."""
     checker = check.Checker(world)
     breaches = checker.read(ledger.records)
     return Result(
@@ -53,6 +56,7 @@
 
 
 def run(world: World, seed: int) -> Result:
+    """Plays and judges one run."""
     return judge(world, seed, play(world, seed))
 
 
@@ -61,7 +65,7 @@
     workers: int | None = None,
     done: Callable[[int, Result], None] | None = None,
 ) -> list[Result]:
-    """Runs beside each other, in processes of their own where there are several; in the order given."""
+    """Runs jobs in parallel processes (on loopback in sequence); returns results in the order of the jobs."""
     workers = min(len(jobs), workers or os.cpu_count() or 1)
     if workers <= 1 or any(world.mode == "loopback" for world, _ in jobs):
         workers = 1
@@ -82,26 +86,26 @@
 
 
 def summary(world: World, results: list[Result]) -> dict[str, Any]:
-    """The last line of `bed run`: means over seeds, the worst of what has a worst."""
-    many = len(results)
+    """The JSON line that `bed run` ends with: means over seeds; for the worst 10 s the minimum."""
+    run_count = len(results)
     answers: dict[str, int] = {}
     for r in results:
         for what, times in r.figures["answers"].items():
             answers[what] = answers.get(what, 0) + times
 
     def mean(name: str) -> float:
-        return round(sum(r.figures[name] for r in results) / many, 4)
+        return round(sum(r.figures[name] for r in results) / run_count, 4)
 
     def means(name: str) -> dict[str, float]:
         keys = sorted({k for r in results for k in r.figures[name]})
-        return {k: round(sum(r.figures[name].get(k, 0.0) for r in results) / many, 4) for k in keys}
+        return {k: round(sum(r.figures[name].get(k, 0.0) for r in results) / run_count, 4) for k in keys}
 
     digest = (
         results[0].digest
-        if many == 1
+        if run_count == 1
         else blake2b("".join(r.digest for r in results).encode(), digest_size=16).hexdigest()
     )
-    told = {
+    line = {
         "verdict": "kept" if all(r.kept for r in results) else "broken",
         "rules": {
             rule: "; ".join(f"seed {r.seed}: {r.rules[rule]}" for r in results if r.rules[rule] != "kept")
@@ -121,13 +125,13 @@
     }
     for name, figure in (("products", "by_product"), ("customers", "by_customer")):
         if name in world.measure:
-            told[figure] = means(figure)
-    return told
+            line[figure] = means(figure)
+    return line
 
 
 @dataclass
 class Difference:
-    """Two policies on the same seeds: ours less the other's."""
+    """The difference between two policies on the same seeds: ours minus theirs."""
 
     mean: float
     noise: float  # standard error of the mean
@@ -135,16 +139,17 @@
 
     @property
     def clear(self) -> bool:
-        """If it is more than twice its noise."""
+        """If the difference is more than twice its standard error."""
         return abs(self.mean) > 2 * self.noise
 
 
 def difference(ours: list[Result], theirs: list[Result], figure: str) -> Difference:
+    """The difference in one metric, over the seeds."""
     each = [(a.seed, a.figures[figure], b.figures[figure]) for a, b in zip(ours, theirs, strict=True)]
-    gaps = [a - b for _, a, b in each]
-    mean = sum(gaps) / len(gaps)
-    spread = sqrt(sum((g - mean) ** 2 for g in gaps) / max(1, len(gaps) - 1))
-    return Difference(mean, spread / sqrt(len(gaps)) if len(gaps) > 1 else float("inf"), each)
+    differences = [a - b for _, a, b in each]
+    mean = sum(differences) / len(differences)
+    spread = sqrt(sum((g - mean) ** 2 for g in differences) / max(1, len(differences) - 1))
+    return Difference(mean, spread / sqrt(len(differences)) if len(differences) > 1 else float("inf"), each)
 
 
 def compare(
@@ -153,8 +158,8 @@
     workers: int | None = None,
     done: Callable[[int, Result], None] | None = None,
 ) -> dict[str, list[Result]]:
-    """The world under its own policy and the others, on the same seeds."""
-    seeds = world.seeds if len(world.seeds) > 1 else tuple(world.seeds[0] + i for i in range(SEEDS))
+    """Plays the world under its own policy and the others, on the same seeds; results by policy."""
+    seeds = world.seeds if len(world.seeds) > 1 else tuple(world.seeds[0] + i for i in range(DEFAULT_SEEDS))
     names = list(dict.fromkeys([world.policy, *against]))
     jobs = [
         (replace(world, policy=name, fault=world.fault if name == world.policy else ""), seed)
--- a/lupinreach/bed/commands/report.py
+++ b/lupinreach/bed/commands/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page about a run, from its ledger: plots over time and the verdict."""
+"""A self-contained HTML page about a run, made from its ledger: plots over time and the verdict."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from lupinreach.bed.world.ledger import Record
 from lupinreach.bed.world.spec import World
 
-SECOND = 1000.0
+SECOND_MS = 1000.0
 COLOURS = {
     "fulfilled": "#2a7f62",
     "rate-limited": "#e0a030",
@@ -28,14 +28,14 @@
     "lost": "#606060",
     "none": "#202020",
 }
-MOST_ROWS = 60  # backends that a map shows each for itself
+MAX_BACKEND_ROWS = 60  # backends that a heat map shows
 STYLE = """body{font:15px/1.5 system-ui,sans-serif;max-width:70em;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse}td,th{border-bottom:1px solid #ccc;padding:.2em .8em;text-align:left}
 .broken{color:#b00020;font-weight:bold}svg{max-width:100%;height:auto}"""
 
 
 def write(folder: Path, world: World, result: Result, records: list[Record]) -> Path:
-    """The page's path."""
+    """Writes the page of a run into the folder and returns its path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{world.name}-{world.policy}-{result.seed}.html"
     path.write_text(page(world, result, records), encoding="utf-8")
@@ -43,6 +43,7 @@
 
 
 def page(world: World, result: Result, records: list[Record]) -> str:
+    """Renders the page of a run as HTML."""
     calls = list(service.calls(world, records).values())
     troubles = _troubles(records)
     figures = [
@@ -69,10 +70,10 @@
         ("Answers by kind", "API calls a second by how they ended.", _answers(calls, troubles)),
     ]
     rules = "".join(
-        f"<tr><td>{rule}</td><td class='{'' if said == 'kept' else 'broken'}'>{html.escape(said)}</td></tr>"
-        for rule, said in result.rules.items()
+        f"<tr><td>{rule}</td><td class='{'' if verdict == 'kept' else 'broken'}'>{html.escape(verdict)}</td></tr>"
+        for rule, verdict in result.rules.items()
     )
-    facts = {
+    summary = {
         "agents": world.agents,
         "backends": world.fleet,
         "policy": world.policy,
@@ -82,7 +83,7 @@
         "digest": result.digest,
     }
     rows = "".join(
-        f"<tr><td>{html.escape(k)}</td><td>{html.escape(str(v))}</td></tr>" for k, v in facts.items()
+        f"<tr><td>{html.escape(k)}</td><td>{html.escape(str(v))}</td></tr>" for k, v in summary.items()
     )
     first = "".join(
         f"<li>{b.at:.0f} ms: {html.escape(b.name)}: {html.escape(b.what)}</li>"
@@ -98,27 +99,30 @@
 
 
 def _troubles(records: list[Record]) -> list[tuple[str, float, float]]:
-    begun: dict[int, tuple[str, float]] = {}
+    """Kind, begin and end in s of each trouble that ended."""
+    open_troubles: dict[int, tuple[str, float]] = {}
     found = []
     for r in records:
         if r[0] == "trouble":
             if r[4] == "begins":
-                begun[r[2]] = r[3], r[1] / 1e6
-            elif r[2] in begun:
-                kind, at = begun.pop(r[2])
+                open_troubles[r[2]] = r[3], r[1] / 1e6
+            elif r[2] in open_troubles:
+                kind, at = open_troubles.pop(r[2])
                 found.append((kind, at, r[1] / 1e6))
     return found
 
 
 def render_svg(figure: Any) -> str:
-    text = io.StringIO()
-    figure.savefig(text, format="svg", bbox_inches="tight")
+    """Renders a figure as an SVG element and closes it."""
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", bbox_inches="tight")
     plt.close(figure)
-    drawn = text.getvalue()
-    return drawn[drawn.index("<svg") :]
+    document = buffer.getvalue()
+    return document[document.index("<svg") :]
 
 
 def time_plot(troubles: list[tuple[str, float, float]], label: str, height: float = 2.6) -> tuple[Any, Any]:
+    """Creates a figure with time in s on the x axis and shaded periods of trouble."""
     figure, axes = plt.subplots(figsize=(10, height))
     for i, (kind, begin, end) in enumerate(troubles):
         axes.axvspan(begin, end, color="#d8c8a8", alpha=0.45, lw=0)
@@ -131,8 +135,8 @@
 
 def _by_second(calls: list[service.Asked]) -> dict[int, list[service.Asked]]:
     found: dict[int, list[service.Asked]] = defaultdict(list)
-    for one in calls:
-        found[int(one.at // SECOND)].append(one)
+    for call in calls:
+        found[int(call.at // SECOND_MS)].append(call)
     return dict(sorted(found.items()))
 
 
@@ -140,22 +144,24 @@
     seconds = _by_second(calls)
     figure, axes = time_plot(troubles, "share")
     axes.step(
-        list(seconds), [service.share(some) for some in seconds.values()], where="post", color="#2a5f9e"
+        list(seconds), [service.share(members) for members in seconds.values()], where="post", color="#2a5f9e"
     )
     axes.set_ylim(0, 1.02)
     return render_svg(figure)
 
 
 def _latency(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
-    seconds = {s: [c.answered for c in some if c.answered >= 0] for s, some in _by_second(calls).items()}
-    seconds = {s: some for s, some in seconds.items() if some}
+    seconds = {
+        s: [c.answered for c in members if c.answered >= 0] for s, members in _by_second(calls).items()
+    }
+    seconds = {s: members for s, members in seconds.items() if members}
     if not seconds:
         return ""
     figure, axes = time_plot(troubles, "ms")
     for share, colour in ((50, "#2a7f62"), (90, "#e0a030"), (99, "#c04040")):
         axes.plot(
             list(seconds),
-            [np.percentile(some, share) for some in seconds.values()],
+            [np.percentile(members, share) for members in seconds.values()],
             label=f"p{share}",
             color=colour,
         )
@@ -169,10 +175,10 @@
     figure, axes = time_plot(troubles, "API calls a second")
     below = np.zeros(len(seconds))
     for ending, colour in COLOURS.items():
-        some = np.array([sum(c.ending == ending for c in asked) for asked in seconds.values()], dtype=float)
-        if some.any():
-            axes.bar(list(seconds), some, bottom=below, width=1.0, align="edge", label=ending, color=colour)
-            below += some
+        counts = np.array([sum(c.ending == ending for c in asked) for asked in seconds.values()], dtype=float)
+        if counts.any():
+            axes.bar(list(seconds), counts, bottom=below, width=1.0, align="edge", label=ending, color=colour)
+            below += counts
     axes.legend(loc="upper right")
     return render_svg(figure)
 
@@ -185,7 +191,7 @@
                 cells[backend, int(r[1] // 1_000_000)] = value
     if not cells:
         return ""
-    backends = sorted({b for b, _ in cells})[:MOST_ROWS]
+    backends = sorted({b for b, _ in cells})[:MAX_BACKEND_ROWS]
     last = max(s for _, s in cells)
     table = np.full((len(backends), last + 1), np.nan)
     rows = {b: i for i, b in enumerate(backends)}
@@ -193,8 +199,8 @@
         if b in rows:
             table[rows[b], s] = value
     figure, axes = plt.subplots(figsize=(10, 1.2 + 0.14 * len(backends)))
-    drawn = axes.imshow(table, aspect="auto", interpolation="nearest", cmap="viridis", vmin=0)
-    figure.colorbar(drawn, ax=axes, label=label)
+    image = axes.imshow(table, aspect="auto", interpolation="nearest", cmap="viridis", vmin=0)
+    figure.colorbar(image, ax=axes, label=label)
     axes.set_xlabel("s")
     axes.set_ylabel("backend")
     return render_svg(figure)
--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -1,4 +1,4 @@
-"""Looks round a world for ones on which it does badly, and shrinks a broken rule to a small world that replays it."""
+"""Searches variants of a world for poor service or violated rules, and shrinks a violation to a small world."""
 
 from __future__ import annotations
 
@@ -10,40 +10,46 @@
 from lupinreach.bed.world.spec import TROUBLES, BackendKind, Trouble, World
 from lupinreach.model import Idempotency
 
-MOST_TROUBLES = 3  # drawn beside those of the world
-LOADS = 0.6, 1.6  # x the world's arrivals
-KEEPS = 3  # worst worlds that are kept
-TRIES = 8  # seeds on which a smaller world may still show it
-LEAST_LENGTH = 2000.0  # ms
-ROUNDS = 12
-NOT_DRAWN = ("kill-agents", "restart-agents")  # clients lose their agent: low service that says nothing
+MAX_DRAWN_TROUBLES = 3  # in addition to those of the world
+LOAD_RANGE = 0.6, 1.6  # x the world's arrival rate
+KEPT_WORST = 3  # worlds with the least service that are kept
+SHRINK_SEEDS = 8  # seeds tried on each smaller world to reproduce a violation
+MIN_LENGTH_MS = 2000.0  # of a shrunk world
+MAX_SHRINK_ROUNDS = 12  # accepted simplifications
+# Clients without an agent: low service, whatever the policy does.
+EXCLUDED_TROUBLES = (
+    "kill-agents",
+    "restart-agents",
+)
 
 
 @dataclass
-class Found:
-    world: World  # with the one seed that shows it
+class Finding:
+    """A world that was played, and its result."""
+
+    world: World  # with the one seed that was played
     result: Result
 
 
-# What leaves API calls half done, of which one is always drawn, and what else is hard on the rules.
-HALF_DONE = ("stall", "reset")
-STRESSES = (*HALF_DONE, "fail", "silent", "vanish", "cut", "drain", "crash")
-RISKY = 4.0  # x the usual share of what must not run twice
+# Under stress one trouble is drawn that leaves calls half done, and others that put the rules at risk.
+INTERRUPTING_TROUBLES = ("stall", "reset")
+STRESS_TROUBLES = (*INTERRUPTING_TROUBLES, "fail", "silent", "vanish", "cut", "drain", "crash")
+UNSAFE_SHARE_FACTOR = 4.0  # x the world's share of calls that must not run twice
 
 
 def draw(world: World, number: int, chance: Stream) -> World:
-    """One world round the given one; each second one under stress, where rules are looked for and not service."""
-    return _stressed(world, number, chance) if number % 2 else _likely(world, number, chance)
+    """Draws a variant of the world; every second one is under stress, to find violations rather than low service."""
+    return _draw_stressed(world, number, chance) if number % 2 else _draw_ordinary(world, number, chance)
 
 
-def _stressed(world: World, number: int, chance: Stream) -> World:
-    """Endings that are rare elsewhere are common here.
+def _draw_stressed(world: World, number: int, chance: Stream) -> World:
+    """Draws a variant in which otherwise rare failures are common.
 
-    Guards against a fault that needs two rare things at once: drawn apart they would hardly ever meet.
+    This finds faults that need two rare events at once, which independent draws would hardly ever combine.
     """
     drawn = []
-    for i in range(int(chance.integers(1, MOST_TROUBLES + 1))):
-        kinds = STRESSES if i else HALF_DONE
+    for i in range(int(chance.integers(1, MAX_DRAWN_TROUBLES + 1))):
+        kinds = STRESS_TROUBLES if i else INTERRUPTING_TROUBLES
         kind = kinds[int(chance.integers(len(kinds)))]
         drawn.append(
             Trouble(
@@ -56,7 +62,8 @@
             )
         )
     products = tuple(
-        p if p.kind is Idempotency.IDEMPOTENT else replace(p, share=RISKY * p.share) for p in world.products
+        p if p.kind is Idempotency.IDEMPOTENT else replace(p, share=UNSAFE_SHARE_FACTOR * p.share)
+        for p in world.products
     )
     return replace(
         world,
@@ -68,13 +75,17 @@
     )
 
 
-def _likely(world: World, number: int, chance: Stream) -> World:
-    kinds = [k for k in TROUBLES if k not in NOT_DRAWN]
+def _draw_ordinary(world: World, number: int, chance: Stream) -> World:
+    kinds = [k for k in TROUBLES if k not in EXCLUDED_TROUBLES]
     drawn = []
-    for _ in range(int(chance.integers(1, MOST_TROUBLES + 1))):
+    for _ in range(int(chance.integers(1, MAX_DRAWN_TROUBLES + 1))):
         kind = kinds[int(chance.integers(len(kinds)))]
-        _, usual, low, high = TROUBLES[kind]
-        strength = min(high, max(low, usual * float(chance.uniform(0.5, 2.0)))) if high > low else usual
+        _, default_strength, low, high = TROUBLES[kind]
+        strength = (
+            min(high, max(low, default_strength * float(chance.uniform(0.5, 2.0))))
+            if high > low
+            else default_strength
+        )
         at = float(chance.uniform(0.05, 0.6)) * world.length
         drawn.append(
             Trouble(
@@ -86,7 +97,7 @@
                 strength,
             )
         )
-    load = float(chance.uniform(*LOADS))
+    load = float(chance.uniform(*LOAD_RANGE))
     traffic = replace(world.traffic, calls_per_s=world.traffic.calls_per_s * load)
     return replace(
         world,
@@ -103,72 +114,75 @@
     budget: int,
     seed: int = 1,
     workers: int | None = None,
-    told: Callable[[str], None] = lambda _: None,
-) -> tuple[Found | None, list[Found]]:
-    """`budget` runs: the broken rule, shrunk, if one was met; and the worlds with the least service, worst first."""
+    report: Callable[[str], None] = lambda _: None,
+) -> tuple[Finding | None, list[Finding]]:
+    """Plays `budget` variants; returns a shrunk violation, if any, and the worlds with the least service."""
     chance = stream(seed, "search")
-    worst: list[Found] = []
+    worst: list[Finding] = []
     batch = 4 * (workers or 8)
     for begin in range(0, budget, batch):
         worlds = [draw(world, i, chance) for i in range(begin, min(budget, begin + batch))]
         results = run_many([(w, w.seeds[0]) for w in worlds], workers)
-        found = [Found(w, r) for w, r in zip(worlds, results, strict=True)]
+        found = [Finding(w, r) for w, r in zip(worlds, results, strict=True)]
         likely = [f for f in found if not f.world.name.endswith("-stress")]
-        worst = sorted([*worst, *likely], key=lambda f: f.result.figures["service"])[:KEEPS]
-        told(f"{begin + len(worlds)} worlds, least service {worst[0].result.figures['service']:.3f}")
+        worst = sorted([*worst, *likely], key=lambda f: f.result.figures["service"])[:KEPT_WORST]
+        report(f"{begin + len(worlds)} worlds, least service {worst[0].result.figures['service']:.3f}")
         broken = [f for f in found if not f.result.kept]
         if broken:
-            told(f"{broken[0].world.name} breaks {broken[0].result.violations[0].name!r}; shrinking")
-            return shrink(broken[0], workers, told), worst
+            report(f"{broken[0].world.name} breaks {broken[0].result.violations[0].name!r}; shrinking")
+            return shrink(broken[0], workers, report), worst
     return None, worst
 
 
-def shrink(found: Found, workers: int | None = None, told: Callable[[str], None] = lambda _: None) -> Found:
-    """The smallest world met that breaks the same rule in the same way."""
+def shrink(
+    found: Finding, workers: int | None = None, report: Callable[[str], None] = lambda _: None
+) -> Finding:
+    """Simplifies the world as long as the same violation can be reproduced; returns the smallest that shows it."""
     name = found.result.violations[0].name
-    for _ in range(ROUNDS):
-        better = None
+    for _ in range(MAX_SHRINK_ROUNDS):
+        smaller = None
         for world in simplify(found.world):
-            better = _shows(world, name, workers)
-            if better is not None:
+            smaller = _reproduce(world, name, workers)
+            if smaller is not None:
                 break
-        if better is None:
+        if smaller is None:
             break
-        found = better
-        told(f"{size(found.world)}: still {name!r}")
+        found = smaller
+        report(f"{size(found.world)}: still {name!r}")
     return found
 
 
 def size(world: World) -> str:
+    """The size of a world in words."""
     return (
         f"{len(world.troubles)} troubles, {world.agents} agents, {world.fleet} backends, "
         f"{world.length / 1000:.1f} s, {world.traffic.calls_per_s:.0f} API calls a second"
     )
 
 
-def _shows(world: World, name: str, workers: int | None) -> Found | None:
-    """This world on a seed on which it breaks the rule in this way; the seed it has goes first."""
-    seeds = [world.seeds[0], *(world.seeds[0] + i for i in range(1, TRIES))]
+def _reproduce(world: World, name: str, workers: int | None) -> Finding | None:
+    """Tries seeds, beginning with the world's own, until the violation shows; None if it doesn't."""
+    seeds = [world.seeds[0], *(world.seeds[0] + i for i in range(1, SHRINK_SEEDS))]
     for result in run_many([(world, s) for s in seeds], workers):
         if any(b.name == name for b in result.violations):
-            return Found(replace(world, seeds=(result.seed,)), result)
+            return Finding(replace(world, seeds=(result.seed,)), result)
     return None
 
 
 def simplify(world: World) -> Iterator[World]:
-    """Worlds a step smaller, the greatest steps first."""
+    """Yields worlds that are one step simpler, the largest steps first."""
     for i in range(len(world.troubles)):
         yield replace(world, troubles=world.troubles[:i] + world.troubles[i + 1 :])
     if world.agents > 1:
         yield replace(world, agents=max(1, world.agents // 2))
-    if world.length / 2 >= LEAST_LENGTH:
+    if world.length / 2 >= MIN_LENGTH_MS:
         yield replace(
             world,
             length=world.length / 2,
             troubles=tuple(replace(t, at=t.at / 2, length=t.length / 2) for t in world.troubles),
         )
     if world.fleet > 2 and not any(t.names for t in world.troubles):
-        halves = tuple(_half(kind) for kind in world.backends)
+        halves = tuple(_halve(kind) for kind in world.backends)
         if sum(k.count for k in halves) < world.fleet:
             yield replace(world, backends=halves)
     if world.traffic.calls_per_s > 2:
@@ -182,5 +196,5 @@
         yield replace(world, customers=())
 
 
-def _half(kind: BackendKind) -> BackendKind:
+def _halve(kind: BackendKind) -> BackendKind:
     return replace(kind, count=max(1, kind.count // 2))
