--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -396,7 +396,7 @@
     from lupinreach.bed.commands import search as searching
     from lupinreach.bed.commands.search import search
 
-    monkeypatch.setattr(searching, "TRIES", 2)
+    monkeypatch.setattr(searching, "SHRINK_SEEDS", 2)
     one = world(fault="resends-payment", seconds=3, traffic={"calls_per_s": 60})
     broken, _ = search(one, budget=8, seed=1, workers=1)
     assert broken is not None
