--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""An agent's disk: what a power loss leaves, every cut of the file, and fleets whose disks lie."""
+"""An agent's data directory: contents after a power loss, torn, lost and foreign files, and disks that hang."""
 
 import asyncio
 import time
@@ -20,8 +20,8 @@
 from lupinreach.trial import play, spec
 
 POWER = {"kind": "power", "at": 6, "agents": 1, "backends": 0.8, "registry": 0.5}
-DISK = {"agents": {"count": 4, "carry_s": 60}}
-LEARNT = PolicySnapshot(
+CARRY = {"agents": {"count": 4, "carry_s": 60}}
+SNAPSHOT = PolicySnapshot(
     (400.0,),
     False,
     ((30.0, 40.0, 20.0, 25.0),),
@@ -29,8 +29,8 @@
 )
 
 
-class Stops(MemoryDisk):
-    """Loses power after so many steps of a writing."""
+class PowerLossDisk(MemoryDisk):
+    """Fails after the given number of steps of a write, as if power were lost."""
 
     def __init__(self, chance, steps):
         super().__init__(chance)
@@ -59,12 +59,12 @@
         super().sync(folder)
 
 
-def left_by(sync):
-    """What the file is after a power loss at each step of its second writing, whatever the disk does."""
+def contents_after_power_loss(sync):
+    """All contents of the file that a power loss at any step of its second write leaves, over 40 seeds a step."""
     found = set()
     for steps in range(4):
         for seed in range(40):
-            disk = Stops(stream(seed, "disk"), 9)
+            disk = PowerLossDisk(stream(seed, "disk"), 9)
             assert replace(STATE_FILE, b"old text", sync, disk)
             disk.sync(".")
             disk._names[STATE_FILE].synced_bytes = len(b"old text")
@@ -75,10 +75,10 @@
     return found
 
 
-def test_a_power_loss_at_any_step_leaves_the_file_of_before_or_the_new_one():
-    assert left_by(sync=True) == {b"old text", b"a newer text"}
-    # The carried file as it was written until now, never synced: empty or torn.
-    assert b"" in left_by(sync=False) and len(left_by(sync=False)) > 3
+def test_a_power_loss_during_a_synced_write_leaves_the_old_or_the_new_file():
+    assert contents_after_power_loss(sync=True) == {b"old text", b"a newer text"}
+    # Without syncs, as the file was written before, it can be empty or torn.
+    assert b"" in contents_after_power_loss(sync=False) and len(contents_after_power_loss(sync=False)) > 3
 
 
 @pytest.mark.parametrize(
@@ -92,31 +92,33 @@
         ("disk-stuck", 0.0),
     ],
 )
-def test_a_fleet_whose_disks_lie_after_a_power_loss_keeps_the_rules(kind, strength):
+def test_a_fleet_with_disk_faults_after_a_power_loss_keeps_the_rules(kind, strength):
     fault = {"kind": kind, "at": 6.5, "seconds": 4, "share": 1.0, "strength": strength}
     one = spec.read(
         SMALL
-        | DISK
+        | CARRY
         | {"faults": [POWER], "troubles": [fault] if kind != "disk-lost" else [fault | {"at": 6.0}]}
     )
     assert play.run(one, 3).verdict == play.KEPT
 
 
-def test_an_agent_goes_on_with_what_its_life_before_has_synced(monkeypatch):
-    recalled = []
-    recall = Balancer.restore
+def test_an_agent_restores_the_state_that_its_previous_incarnation_synced(monkeypatch):
+    restored = []
+    restore = Balancer.restore
     monkeypatch.setattr(
-        Balancer, "restore", lambda self, *given: recalled.append(given[0]) or recall(self, *given)
+        Balancer, "restore", lambda self, *given: restored.append(given[0]) or restore(self, *given)
     )
-    assert play.run(spec.read(SMALL | DISK | {"faults": [POWER]}), 3).verdict == play.KEPT
-    assert len(recalled) == 4 and all(learnt.backends for learnt in recalled)
-    recalled.clear()
+    assert play.run(spec.read(SMALL | CARRY | {"faults": [POWER]}), 3).verdict == play.KEPT
+    assert len(restored) == 4 and all(snapshot.backends for snapshot in restored)
+    restored.clear()
     torn = {"kind": "disk-torn", "at": 6.5, "seconds": 1, "targets": [0, 1, 2], "strength": 0.5}
-    assert play.run(spec.read(SMALL | DISK | {"faults": [POWER], "troubles": [torn]}), 3).verdict == play.KEPT
-    assert len(recalled) == 1
+    assert (
+        play.run(spec.read(SMALL | CARRY | {"faults": [POWER], "troubles": [torn]}), 3).verdict == play.KEPT
+    )
+    assert len(restored) == 1
 
 
-def test_a_folder_takes_the_same_faults(tmp_path):
+def test_faults_are_injected_into_a_real_folder(tmp_path):
     folder = Folder(tmp_path / "disk-1")
     path = str(folder.file)
     assert folder.copy() is None and replace(path, b"one", True) and folder.copy() == b"one"
@@ -139,29 +141,32 @@
         ],
     }
 )
-def test_processes_with_torn_and_foreign_disks_keep_the_rules(played):
+def test_processes_with_torn_and_foreign_state_files_keep_the_rules(played):
     assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
 
 
-class Hangs(Disk):
+class SlowSyncDisk(Disk):
     def sync(self, folder):
         time.sleep(0.4)
         super().sync(folder)
 
 
-def test_an_event_loop_goes_on_while_a_disk_hangs_in_a_sync(tmp_path):
+def test_a_hanging_sync_does_not_block_the_event_loop(tmp_path):
     class Agent:
-        balancer, clock = SimpleNamespace(snapshot=lambda: LEARNT), SimpleNamespace(now=lambda: 1000.0)
+        balancer, clock = SimpleNamespace(snapshot=lambda: SNAPSHOT), SimpleNamespace(now=lambda: 1000.0)
         counters = SimpleNamespace(others=Counter())
 
     async def main():
-        carry = Carry(Agent(), Store(str(tmp_path / STATE_FILE), "a", Hangs()), 1e4)
-        leaves, ticks = asyncio.create_task(carry.leave()), [time.monotonic()]
-        while not leaves.done():
+        carry = Carry(Agent(), Store(str(tmp_path / STATE_FILE), "a", SlowSyncDisk()), 1e4)
+        leaving, ticks = asyncio.create_task(carry.leave()), [time.monotonic()]
+        while not leaving.done():
             await asyncio.sleep(0.005)
             ticks.append(time.monotonic())
         return max(b - a for a, b in zip(ticks, ticks[1:], strict=False)), ticks[-1] - ticks[0]
 
     longest, took = asyncio.run(main())
     assert took >= 0.4 and longest < 0.3
-    assert judged(records.read((tmp_path / STATE_FILE).read_bytes(), "a").state["learnt"]) == (1000.0, LEARNT)
+    assert judged(records.read((tmp_path / STATE_FILE).read_bytes(), "a").state["learnt"]) == (
+        1000.0,
+        SNAPSHOT,
+    )
--- a/tests/test_mistakes.py
+++ b/tests/test_mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes planted in agents of a failing fleet: each is caught by its name, and the same trial without it is clean."""
+"""Planted faults in trials with failures: each is reported by its name, and the same trial without it is clean."""
 
 import pytest
 from test_rig import SMALL as RIG
@@ -13,7 +13,7 @@
 DRAIN = {"kind": "drain", "at": 2, "seconds": 6, "targets": [0, 1]}
 CRASH = {"kind": "crash", "at": 2, "seconds": 0.8, "targets": [2]}
 BUSY = {"traffic": {"calls_per_s": 125}, "rules": {"cold": 8000.0, "drain_grace": 500.0, "fall": 1000.0}}
-SHOWS = {
+TRIALS_BY_FAULT = {
     "answers-too-late": {"faults": [POWER | {"backends": 2.5}]},
     "wakes-believing": {
         "troubles": [DRAIN, {"kind": "sleep-agents", "at": 1.5, "seconds": 2.5, "targets": [0, 1, 2]}]
@@ -32,16 +32,16 @@
 }
 
 
-def caught(raw, fault):
-    one = play.run(spec.read(raw | ({"fault": fault} if fault else {})), 3)
+def reported_violations(trial, fault):
+    one = play.run(spec.read(trial | ({"fault": fault} if fault else {})), 3)
     return {b.name for b in one.result.violations}, one.verdict
 
 
-@pytest.mark.parametrize("fault", SHOWS)
-def test_a_mistake_of_agents_in_a_failing_fleet_is_caught_by_its_name(fault):
-    names, verdict = caught(SMALL | SHOWS[fault], fault)
+@pytest.mark.parametrize("fault", TRIALS_BY_FAULT)
+def test_a_planted_fault_is_reported_by_its_name(fault):
+    names, verdict = reported_violations(SMALL | TRIALS_BY_FAULT[fault], fault)
     assert FAULTS[fault].caught_as in names and verdict == play.BROKEN
-    assert caught(SMALL | SHOWS[fault], "") == (set(), play.KEPT)
+    assert reported_violations(SMALL | TRIALS_BY_FAULT[fault], "") == (set(), play.KEPT)
 
 
 def rig(fault, more):
@@ -55,48 +55,51 @@
         rig("answers-too-late", {"faults": [{"kind": "power", "at": 0.5, "backends": 2}]}),
     ],
 )
-def test_and_so_it_is_with_processes(fault, played):
+def test_a_planted_fault_is_reported_by_its_name_with_processes(fault, played):
     assert FAULTS[fault].caught_as in {b.name for b in played.result.violations}
 
 
-def test_what_can_be_played_in_virtual_time_only_is_refused_by_its_key():
+def test_worlds_that_need_virtual_time_are_rejected_with_the_key():
     assert fits(spec.read(RIG | {"fault": "answers-twice"}).world).startswith("fault: ")
-    hangs = {"troubles": [{"kind": "disk-hangs"}]}
-    assert fits(spec.read(RIG | hangs).world).startswith("troubles[0].kind: ")
+    hanging_disks = {"troubles": [{"kind": "disk-hangs"}]}
+    assert fits(spec.read(RIG | hanging_disks).world).startswith("troubles[0].kind: ")
     assert fits(spec.read(RIG | {"policy": "true-state"}).world).startswith("policy: ")
     assert fits(spec.read(RIG | {"fault": "sends-to-draining"}).world) == ""
 
 
-def test_a_policy_that_sees_the_true_state_does_what_can_be_done_and_pushes_nothing_over():
-    plain, best = (
+def test_the_true_state_policy_outdoes_least_request_and_overloads_no_cold_backend():
+    least_request, true_state = (
         play.run(spec.read(SMALL | BUSY | {"faults": [POWER], "policy": name}), 3).recovery
         for name in ("least-request", "true-state")
     )
-    assert best.done_10s > max(0.95, plain.done_10s) and best.cold_load <= 1.0 < plain.cold_load
+    assert (
+        true_state.done_10s > max(0.95, least_request.done_10s)
+        and true_state.cold_load <= 1.0 < least_request.cold_load
+    )
 
 
-def test_a_clock_that_gains_is_kept_in_step_with_the_event_loop():
+def test_a_drifting_clock_converts_its_time_to_event_loop_time():
     clock = Clock(5000.0, 0.01)
     for later in (0.0, 60_000.0):
-        at = clock.now() + later
-        assert clock._anchor + clock.on_loop(at) * 1000 * 1.01 == pytest.approx(at, abs=0.01)
+        time = clock.now() + later
+        assert clock._anchor + clock.on_loop(time) * 1000 * 1.01 == pytest.approx(time, abs=0.01)
     assert Clock(0.0, 0.01).now() == pytest.approx(Clock().now(), abs=50.0)
 
 
-def test_wall_clocks_that_step_while_an_agent_runs_are_not_seen_by_it(monkeypatch):
+def test_a_step_of_the_wall_clock_does_not_change_a_running_clock(monkeypatch):
     clock = Clock()
     before = clock.now()
     monkeypatch.setattr("time.time", lambda: 0.0)
     assert 0 <= clock.now() - before < 1000.0
 
 
-def test_agents_whose_clocks_drift_keep_the_rules():
-    for gains in (0.05, -0.05):
+def test_agents_with_drifting_clocks_keep_the_rules():
+    for drift in (0.05, -0.05):
         one = spec.read(
             SMALL
             | {
                 "troubles": [
-                    {"kind": "drift-agents", "at": 2, "seconds": 9, "share": 0.5, "strength": gains}
+                    {"kind": "drift-agents", "at": 2, "seconds": 9, "share": 0.5, "strength": drift}
                 ],
                 "faults": [POWER],
             }
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import settings as played
 from hypothesis import strategies as some
-from test_disk import Stops
+from test_disk import PowerLossDisk
 
 from lupinreach.bed.ways.disk import STATE_FILE, MemoryDisk
 from lupinreach.bed.world.chance import stream
@@ -106,7 +106,7 @@
 def test_after_a_power_loss_at_any_step_what_was_flushed_is_there_and_nothing_that_was_not_put():
     outcomes = 0
     for steps in range(30):
-        disk, safe, put = Stops(stream(1, "disk"), steps), {}, [{}]
+        disk, safe, put = PowerLossDisk(stream(1, "disk"), steps), {}, [{}]
         store = Store(STATE_FILE, "a", disk)
         state = {}
         for life in range(1, 4):
