--- a/benchmarks/takeover_times.py
+++ b/benchmarks/takeover_times.py
@@ -9,8 +9,8 @@
 import sys
 from statistics import quantiles
 
-from lupinreach.mesh.model.histories import History, Plan, Store
-from lupinreach.mesh.model.ledger import Ledger
+from lupinreach.mesh.model.histories import History, SimulatedStore, SimulationParameters
+from lupinreach.mesh.model.invariants import InvariantChecker
 
 END_S = 40.0
 ORDER_EVERY_S = 0.05
@@ -21,46 +21,46 @@
 class OneLoss(History):
     """A history with one loss and an operator who never rests."""
 
-    def __init__(self, seed: int, plan: Plan, kind: str, of_primary: bool) -> None:
+    def __init__(self, seed: int, plan: SimulationParameters, kind: str, of_primary: bool) -> None:
         super().__init__(seed, plan)
         self.kind, self.of_primary = kind, of_primary
         self.lost_at = 0.0
         self.confirmed_after: float | None = None
         self.safe_after: float | None = None
 
-    def _operate(self) -> None:
-        self.at(ORDER_EVERY_S, self._operate)
-        before = self.ledger.acknowledged
+    def _send_operator_request(self) -> None:
+        self.schedule(ORDER_EVERY_S, self._send_operator_request)
+        before = self.checker.highest_confirmed
         for store in self.stores.values():
-            if store.awake is not None and store.awake.serving:
-                self.sent += 1
-                self._order_version(store, self.sent, "a")
+            if store.running_replica is not None and store.running_replica.serving:
+                self.last_version_sent += 1
+                self._submit_version(store, self.last_version_sent, "a")
         self._look(before)
 
     def _look(self, before: int) -> None:
         if not self.lost_at:
             return
-        if self.confirmed_after is None and self.ledger.acknowledged > self.version_at_loss + 1:
+        if self.confirmed_after is None and self.checker.highest_confirmed > self.version_at_loss + 1:
             self.confirmed_after = self.now - self.lost_at
         if self.safe_after is None and any(self._serves_later_view(store) for store in self.stores.values()):
             self.safe_after = self.now - self.lost_at
 
-    def _serves_later_view(self, store: Store) -> bool:
-        replica = store.awake
+    def _serves_later_view(self, store: SimulatedStore) -> bool:
+        replica = store.running_replica
         return replica is not None and replica.serving and replica.view.epoch > self.epoch_at_loss
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         serving = next(s for s in self.stores.values() if s.replica is not None and s.replica.serving)
         assert serving.replica is not None
         view = serving.replica.view
         wanted = view.copies[0 if self.of_primary else 1]
         store = next(s for s in self.stores.values() if s.replica and s.replica.identity == wanted)
         self.lost_at = self.now
-        self.version_at_loss = self.ledger.acknowledged
+        self.version_at_loss = self.checker.highest_confirmed
         self.epoch_at_loss = view.epoch
-        self._strike(store, self.kind, AWAY_S)
+        self._apply_fault(store, self.kind, AWAY_S)
 
-    def _judge_end(self) -> None:
+    def _check_final_state(self) -> None:
         pass
 
 
@@ -68,9 +68,9 @@
     """Both times of each history."""
     found = []
     for seed in range(count):
-        history = OneLoss(seed, Plan(), kind, of_primary)
-        history.ledger = Ledger()
-        history.play()
+        history = OneLoss(seed, SimulationParameters(), kind, of_primary)
+        history.checker = InvariantChecker()
+        history.run()
         found.append((history.confirmed_after or END_S, history.safe_after or END_S))
     return found
 
--- a/lupinreach/mesh/messages/__init__.py
+++ b/lupinreach/mesh/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages between the processes of the mesh, one module for each pair of ends. Numbers are never reused."""
+"""Typed messages between the processes of the mesh, one module per kind of link. Numbers are never reused."""
 
 from lupinreach.mesh.messages.encoding import Message, UnknownMessage, decode, encode
 from lupinreach.mesh.messages.links import Describe, Description, Ping, Pong
@@ -10,23 +10,23 @@
     BodyPart,
     Cancel,
     Failed,
-    NewsPull,
-    NotTaken,
     PeerHello,
     Request,
+    RequestRejected,
     Shuffle,
     Shuffled,
+    StateUpdatePull,
 )
 from lupinreach.mesh.messages.registry import (
     AgentEntry,
     AgentHello,
     AliveAgents,
-    BeatTaken,
-    ForwardedBeat,
-    News,
-    NewsAcknowledged,
+    ForwardedHeartbeat,
+    HeartbeatAccepted,
     RegistryHello,
     RegistryStatus,
+    StateUpdate,
+    StateUpdateAcknowledged,
 )
 from lupinreach.mesh.messages.stores import (
     Accept,
@@ -51,7 +51,7 @@
     "AliveAgents",
     "Answer",
     "BackendStatus",
-    "BeatTaken",
+    "HeartbeatAccepted",
     "BodyCredit",
     "BodyPart",
     "Cancel",
@@ -59,14 +59,14 @@
     "Describe",
     "Description",
     "Failed",
-    "ForwardedBeat",
+    "ForwardedHeartbeat",
     "Install",
     "Installed",
     "Message",
-    "News",
-    "NewsAcknowledged",
-    "NewsPull",
-    "NotTaken",
+    "StateUpdate",
+    "StateUpdateAcknowledged",
+    "StateUpdatePull",
+    "RequestRejected",
     "Order",
     "OrderResult",
     "Outdated",
--- a/lupinreach/mesh/model/__init__.py
+++ b/lupinreach/mesh/model/__init__.py
@@ -1,1 +1,1 @@
-"""Model checking of the store: the functions that run, under drawn histories and exhaustive search."""
+"""Model checking of the store: random histories and exhaustive search of the production code."""
--- a/lupinreach/net/http.py
+++ b/lupinreach/net/http.py
@@ -7,17 +7,17 @@
 
 from lupinreach.http1.message import (
     CONTINUE,
-    MOST_HEAD,
-    Chunks,
+    MAX_HEAD_BYTES,
+    ChunkedDecoder,
     Head,
     Message,
     Slice,
-    answer,
-    answer_head,
+    forwarded_headers,
     message,
     parse_head,
-    passed_on,
     request,
+    response,
+    response_head,
 )
 from lupinreach.net.channel import Channel
 from lupinreach.net.ends import End, Ended
@@ -25,17 +25,17 @@
 __all__ = [
     "CONTINUE",
     "IN_PLACE",
-    "MOST_HEAD",
+    "MAX_HEAD_BYTES",
     "Body",
-    "Chunks",
+    "ChunkedDecoder",
     "Head",
     "Message",
     "Slice",
-    "answer",
+    "response",
     "answer_body",
-    "answer_head",
+    "response_head",
     "message",
-    "passed_on",
+    "forwarded_headers",
     "read_answer",
     "read_answer_head",
     "read_body",
@@ -75,7 +75,7 @@
         self.done = self.length == 0
         self._channel = channel
         self._most = most
-        self._chunks = Chunks() if head.chunked else None
+        self._chunks = ChunkedDecoder() if head.chunked else None
 
     def here(self) -> list[Slice]:
         """What has come and was not taken yet."""
@@ -135,16 +135,16 @@
     """The head of one answer; interim ones are skipped, as far as there are few."""
     for _ in range(MOST_INTERIM + 1):
         head = await read_head(channel, answer=True)
-        if head.first[2] >= 200:
+        if head.start_line[2] >= 200:
             return head
     raise Ended(End.TOO_LARGE)
 
 
 def answer_body(channel: Channel, head: Head, most: int) -> Body:
-    if head.first[2] in (204, 304):
+    if head.start_line[2] in (204, 304):
         head.length, head.chunked = 0, False
     until_close = head.length is None and not head.chunked
-    if until_close and head.keeps:
+    if until_close and head.keep_alive:
         # Its end would be the connection's, which was to stay: nobody could tell whether it came whole.
         raise Ended(End.CUT_SHORT)
     return Body(channel, head, most, until_close)
