--- a/lupinreach/bed/commands/demo.py
+++ b/lupinreach/bed/commands/demo.py
@@ -71,8 +71,8 @@
         outcomes, attempts_by_backend, latencies_ms = self._recent()
         trouble_records = [(r[3], r[4], r[5]) for r in stage.ground.ledger.records if r[0] == "trouble"]
         active_troubles = {}
-        for kind, what, targets in trouble_records:
-            if what == "begins":
+        for kind, phase, targets in trouble_records:
+            if phase == "begins":
                 active_troubles[kind] = targets
             else:
                 active_troubles.pop(kind, None)
--- a/lupinreach/bed/commands/experiment.py
+++ b/lupinreach/bed/commands/experiment.py
@@ -44,11 +44,11 @@
 def judge(world: World, seed: int, ledger: Ledger) -> Result:
     """Checks the rules and computes the metrics of a played run."""
     checker = check.Checker(world)
-    breaches = checker.read(ledger.records)
+    violations = checker.read(ledger.records)
     return Result(
         seed,
-        breaches,
-        check.verdict(breaches),
+        violations,
+        check.verdict(violations),
         service.count(world, ledger.records),
         ledger.digest(),
         len(checker.unheard),
