--- a/lupinreach/bed/commands/experiment.py
+++ b/lupinreach/bed/commands/experiment.py
@@ -28,7 +28,7 @@
     rules: dict[str, str]
     figures: dict[str, Any]
     digest: str
-    unheard: int = 0  # attempts whose answer was held up between the agent and its client
+    undelivered: int = 0  # attempts whose answer was held up between the agent and its client
 
     @property
     def kept(self) -> bool:
--- a/lupinreach/trial/play.py
+++ b/lupinreach/trial/play.py
@@ -58,7 +58,7 @@
 
     ledger, late, took = stage.play(trial.world, seed)
     played = judge(trial, seed, ledger)
-    played.stopped, played.rig = ledger.stopped, {"late": late, "unheard": played.result.unheard, **took}
+    played.stopped, played.rig = ledger.stopped, {"late": late, "unheard": played.result.undelivered, **took}
     # The coordinator is nobody's peer: that it starts agents for a second makes its troubles late, which are booked as
     # they come.
     peers = {name: each for name, each in late.items() if name != "coordinator"}
