--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -149,7 +149,7 @@
 @bed.command("list")
 def list_worlds() -> None:
     """List the built-in worlds."""
-    for path in sorted(spec.WORLDS.glob("*.toml")):
+    for path in sorted(spec.WORLDS_DIR.glob("*.toml")):
         print(path.stem)
 
 
@@ -204,7 +204,7 @@
             }
             for r in results
         ]
-        Path(out).write_text(json.dumps({"world": spec.plain(world), "runs": rows}, indent=1) + "\n")
+        Path(out).write_text(json.dumps({"world": spec.world_to_dict(world), "runs": rows}, indent=1) + "\n")
     print(json.dumps(experiment.summary(world, results) | ({"stopped": True} if stopped else {})))
     sys.exit(EXIT_STOPPED if stopped else EXIT_KEPT if all(r.kept for r in results) else EXIT_BROKEN)
 
--- a/lupinreach/bed/commands/demo.py
+++ b/lupinreach/bed/commands/demo.py
@@ -37,7 +37,7 @@
     def _recent(self) -> tuple[Counter[str], Counter[int], list[float]]:
         """Calls by outcome, attempts by backend, and sorted latencies in ms, over the last `WINDOW_S`."""
         assert self._stage is not None
-        records = self._stage.ground.ledger.records
+        records = self._stage.environment.ledger.records
         window_start_us = records[-1][1] - WINDOW_S * 1e6 if records else 0
         outcomes: Counter[str] = Counter()
         attempts_by_backend: Counter[int] = Counter()
@@ -66,10 +66,10 @@
     def render(self) -> Any:
         """The table as it is now."""
         stage = self._stage
-        if stage is None or not stage.ground.ledger.records:
+        if stage is None or not stage.environment.ledger.records:
             return Text("starting agents ...")
         outcomes, attempts_by_backend, latencies_ms = self._recent()
-        trouble_records = [(r[3], r[4], r[5]) for r in stage.ground.ledger.records if r[0] == "trouble"]
+        trouble_records = [(r[3], r[4], r[5]) for r in stage.environment.ledger.records if r[0] == "trouble"]
         active_troubles = {}
         for kind, phase, targets in trouble_records:
             if phase == "begins":
--- a/lupinreach/bed/commands/experiment.py
+++ b/lupinreach/bed/commands/experiment.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lupinreach.bed.judging import check, service
-from lupinreach.bed.judging.check import Breach
+from lupinreach.bed.judging.check import Violation
 from lupinreach.bed.ways import loopback, virtual
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.spec import World
@@ -24,7 +24,7 @@
     """The result of one run: violations of the rules and metrics."""
 
     seed: int
-    violations: list[Breach]
+    violations: list[Violation]
     rules: dict[str, str]
     figures: dict[str, Any]
     digest: str
@@ -51,7 +51,7 @@
         check.verdict(violations),
         service.count(world, ledger.records),
         ledger.digest(),
-        len(checker.unheard),
+        len(checker.undelivered),
     )
 
 
--- a/lupinreach/bed/commands/report.py
+++ b/lupinreach/bed/commands/report.py
@@ -75,7 +75,7 @@
     )
     summary = {
         "agents": world.agents,
-        "backends": world.fleet,
+        "backends": world.backend_count,
         "policy": world.policy,
         "seed": result.seed,
         **{k: v for k, v in result.figures.items() if not isinstance(v, dict)},
@@ -133,14 +133,14 @@
     return figure, axes
 
 
-def _by_second(calls: list[service.Asked]) -> dict[int, list[service.Asked]]:
-    found: dict[int, list[service.Asked]] = defaultdict(list)
+def _by_second(calls: list[service.CallOutcome]) -> dict[int, list[service.CallOutcome]]:
+    found: dict[int, list[service.CallOutcome]] = defaultdict(list)
     for call in calls:
         found[int(call.at // SECOND_MS)].append(call)
     return dict(sorted(found.items()))
 
 
-def _service(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
+def _service(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
     seconds = _by_second(calls)
     figure, axes = time_plot(troubles, "share")
     axes.step(
@@ -150,9 +150,9 @@
     return render_svg(figure)
 
 
-def _latency(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
+def _latency(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
     seconds = {
-        s: [c.answered for c in members if c.answered >= 0] for s, members in _by_second(calls).items()
+        s: [c.latency_ms for c in members if c.latency_ms >= 0] for s, members in _by_second(calls).items()
     }
     seconds = {s: members for s, members in seconds.items() if members}
     if not seconds:
@@ -170,12 +170,14 @@
     return render_svg(figure)
 
 
-def _answers(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
+def _answers(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
     seconds = _by_second(calls)
     figure, axes = time_plot(troubles, "API calls a second")
     below = np.zeros(len(seconds))
     for ending, colour in COLOURS.items():
-        counts = np.array([sum(c.ending == ending for c in asked) for asked in seconds.values()], dtype=float)
+        counts = np.array(
+            [sum(c.outcome == ending for c in asked) for asked in seconds.values()], dtype=float
+        )
         if counts.any():
             axes.bar(list(seconds), counts, bottom=below, width=1.0, align="edge", label=ending, color=colour)
             below += counts
--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from lupinreach.bed.commands.experiment import Result, run_many
-from lupinreach.bed.world.chance import Stream, stream
+from lupinreach.bed.world.random_streams import RandomStream, random_stream
 from lupinreach.bed.world.spec import TROUBLES, BackendKind, Trouble, World
 from lupinreach.model import Idempotency
 
@@ -37,28 +37,28 @@
 UNSAFE_SHARE_FACTOR = 4.0  # x the world's share of calls that must not run twice
 
 
-def draw(world: World, number: int, chance: Stream) -> World:
+def draw(world: World, number: int, rng: RandomStream) -> World:
     """Draws a variant of the world; every second one is under stress, to find violations rather than low service."""
-    return _draw_stressed(world, number, chance) if number % 2 else _draw_ordinary(world, number, chance)
+    return _draw_stressed(world, number, rng) if number % 2 else _draw_ordinary(world, number, rng)
 
 
-def _draw_stressed(world: World, number: int, chance: Stream) -> World:
+def _draw_stressed(world: World, number: int, rng: RandomStream) -> World:
     """Draws a variant in which otherwise rare failures are common.
 
     This finds faults that need two rare events at once, which independent draws would hardly ever combine.
     """
     drawn = []
-    for i in range(int(chance.integers(1, MAX_DRAWN_TROUBLES + 1))):
+    for i in range(int(rng.integers(1, MAX_DRAWN_TROUBLES + 1))):
         kinds = STRESS_TROUBLES if i else INTERRUPTING_TROUBLES
-        kind = kinds[int(chance.integers(len(kinds)))]
+        kind = kinds[int(rng.integers(len(kinds)))]
         drawn.append(
             Trouble(
                 kind,
                 0.05 * world.length,
-                float(chance.uniform(0.4, 0.9)) * world.length,
-                float(chance.uniform(0.3, 1.0)),
+                float(rng.uniform(0.4, 0.9)) * world.length,
+                float(rng.uniform(0.3, 1.0)),
                 (),
-                float(chance.uniform(0.2, 0.7)) if TROUBLES[kind][3] == 1.0 else 0.0,
+                float(rng.uniform(0.2, 0.7)) if TROUBLES[kind][3] == 1.0 else 0.0,
             )
         )
     products = tuple(
@@ -70,41 +70,41 @@
         name=f"{world.name}-{number}-stress",
         products=products,
         troubles=(*world.troubles, *drawn),
-        seeds=(int(chance.integers(1 << 30)),),
+        seeds=(int(rng.integers(1 << 30)),),
         mode="virtual",
     )
 
 
-def _draw_ordinary(world: World, number: int, chance: Stream) -> World:
+def _draw_ordinary(world: World, number: int, rng: RandomStream) -> World:
     kinds = [k for k in TROUBLES if k not in EXCLUDED_TROUBLES]
     drawn = []
-    for _ in range(int(chance.integers(1, MAX_DRAWN_TROUBLES + 1))):
-        kind = kinds[int(chance.integers(len(kinds)))]
+    for _ in range(int(rng.integers(1, MAX_DRAWN_TROUBLES + 1))):
+        kind = kinds[int(rng.integers(len(kinds)))]
         _, default_strength, low, high = TROUBLES[kind]
         strength = (
-            min(high, max(low, default_strength * float(chance.uniform(0.5, 2.0))))
+            min(high, max(low, default_strength * float(rng.uniform(0.5, 2.0))))
             if high > low
             else default_strength
         )
-        at = float(chance.uniform(0.05, 0.6)) * world.length
+        at = float(rng.uniform(0.05, 0.6)) * world.length
         drawn.append(
             Trouble(
                 kind,
                 at,
-                float(chance.uniform(0.1, 0.5)) * world.length,
-                float(chance.uniform(0.1, 0.6)),
+                float(rng.uniform(0.1, 0.5)) * world.length,
+                float(rng.uniform(0.1, 0.6)),
                 (),
                 strength,
             )
         )
-    load = float(chance.uniform(*LOAD_RANGE))
+    load = float(rng.uniform(*LOAD_RANGE))
     traffic = replace(world.traffic, calls_per_s=world.traffic.calls_per_s * load)
     return replace(
         world,
         name=f"{world.name}-{number}",
         traffic=traffic,
         troubles=(*world.troubles, *drawn),
-        seeds=(int(chance.integers(1 << 30)),),
+        seeds=(int(rng.integers(1 << 30)),),
         mode="virtual",
     )
 
@@ -117,11 +117,11 @@
     report: Callable[[str], None] = lambda _: None,
 ) -> tuple[Finding | None, list[Finding]]:
     """Plays `budget` variants; returns a shrunk violation, if any, and the worlds with the least service."""
-    chance = stream(seed, "search")
+    rng = random_stream(seed, "search")
     worst: list[Finding] = []
     batch = 4 * (workers or 8)
     for begin in range(0, budget, batch):
-        worlds = [draw(world, i, chance) for i in range(begin, min(budget, begin + batch))]
+        worlds = [draw(world, i, rng) for i in range(begin, min(budget, begin + batch))]
         results = run_many([(w, w.seeds[0]) for w in worlds], workers)
         found = [Finding(w, r) for w, r in zip(worlds, results, strict=True)]
         likely = [f for f in found if not f.world.name.endswith("-stress")]
@@ -155,7 +155,7 @@
 def size(world: World) -> str:
     """The size of a world in words."""
     return (
-        f"{len(world.troubles)} troubles, {world.agents} agents, {world.fleet} backends, "
+        f"{len(world.troubles)} troubles, {world.agents} agents, {world.backend_count} backends, "
         f"{world.length / 1000:.1f} s, {world.traffic.calls_per_s:.0f} API calls a second"
     )
 
@@ -181,9 +181,9 @@
             length=world.length / 2,
             troubles=tuple(replace(t, at=t.at / 2, length=t.length / 2) for t in world.troubles),
         )
-    if world.fleet > 2 and not any(t.names for t in world.troubles):
+    if world.backend_count > 2 and not any(t.targets for t in world.troubles):
         halves = tuple(_halve(kind) for kind in world.backends)
-        if sum(k.count for k in halves) < world.fleet:
+        if sum(k.count for k in halves) < world.backend_count:
             yield replace(world, backends=halves)
     if world.traffic.calls_per_s > 2:
         yield replace(
--- a/lupinreach/bed/ways/disk.py
+++ b/lupinreach/bed/ways/disk.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from lupinreach.bed.world.chance import Stream
+from lupinreach.bed.world.random_streams import RandomStream
 from lupinreach.store.files import Disk
 
 STATE_FILE = "carried"  # name of the file that holds an agent's stored state
@@ -23,8 +23,8 @@
 class MemoryDisk(Disk):
     """Files and directory entries; tracks what of each was synced and survives a power loss."""
 
-    def __init__(self, chance: Stream) -> None:
-        self._chance = chance
+    def __init__(self, rng: RandomStream) -> None:
+        self._rng = rng
         self._names: dict[str, _MemoryFile] = {}
         self._synced_names: dict[str, _MemoryFile] = {}  # directory entries as of the last sync
         self._temp_file_count = 0
@@ -73,11 +73,10 @@
         """Simulates a power loss: unsynced directory entries are the old or the new ones, unsynced bytes any prefix."""
         surviving = {}
         for name in sorted({*self._names, *self._synced_names}):
-            file = (self._names if self._chance.random() < 0.5 else self._synced_names).get(name)
+            file = (self._names if self._rng.random() < 0.5 else self._synced_names).get(name)
             if file is not None:
                 file.data = file.data[
-                    : file.synced_bytes
-                    + int(self._chance.random() * (len(file.data) - file.synced_bytes + 1))
+                    : file.synced_bytes + int(self._rng.random() * (len(file.data) - file.synced_bytes + 1))
                 ]
                 surviving[name] = file
         self._names, self._synced_names = dict(surviving), surviving
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -25,11 +25,11 @@
 from lupinreach.bed.ways.disk import Folder
 from lupinreach.bed.ways.stage import Stage
 from lupinreach.bed.ways.stopping import until_stopped
-from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import Addresses
+from lupinreach.bed.world import ledger as record_kinds
+from lupinreach.bed.world.environment import Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import World
 from lupinreach.config import Address
 
@@ -57,8 +57,8 @@
     It is the transport of the inner protocol.
     """
 
-    def __init__(self, ground: LoopbackGround, machine: Machine, protocol: asyncio.Protocol) -> None:
-        self._ground = ground
+    def __init__(self, environment: LoopbackGround, machine: Machine, protocol: asyncio.Protocol) -> None:
+        self._environment = environment
         self._machine = machine
         self._protocol = protocol
         self._transport: Any = None
@@ -74,23 +74,25 @@
         at = data.find(REQUEST_ID_PREFIX)
         if at >= 0:
             self._agent_machine = (
-                self._ground.client_machine_of(data[at + len(REQUEST_ID_PREFIX) : data.find(b"\r", at)])
+                self._environment.client_machine_of(data[at + len(REQUEST_ID_PREFIX) : data.find(b"\r", at)])
                 or self._agent_machine
             )
         self._deliver(0, lambda: self._protocol.data_received(data))
 
     def _deliver(self, direction: int, action: Callable[[], None]) -> None:
-        ground = self._ground
+        environment = self._environment
         endpoints = (
             (self._machine, self._agent_machine) if direction else (self._agent_machine, self._machine)
         )
-        if self._held[direction] or not ground.paths.reaches(*endpoints):
+        if self._held[direction] or not environment.paths.reaches(*endpoints):
             self._held[direction].append(action)
-            ground.blocked[self] = None
+            environment.blocked[self] = None
             return
-        delay_s = ground.paths.delay(self._agent_machine, self._machine) / 1000
-        self._next_delivery[direction] = max(self._next_delivery[direction], ground.loop.time() + delay_s)
-        ground.loop.call_at(self._next_delivery[direction], action)
+        delay_s = environment.paths.delay(self._agent_machine, self._machine) / 1000
+        self._next_delivery[direction] = max(
+            self._next_delivery[direction], environment.loop.time() + delay_s
+        )
+        environment.loop.call_at(self._next_delivery[direction], action)
 
     def flush_held(self) -> None:
         """Delivers what was held; it is held once more if the path is still cut."""
@@ -131,7 +133,7 @@
 class LoopbackGround:
     """Clock, network and agents of one run on loopback."""
 
-    exact = False
+    sees_agent_traffic = False
 
     def __init__(self, world: World, seed: int, folder: Path, tree: Path | None = None) -> None:
         self._source_tree = tree  # checkout of another version of the agent; None: this version
@@ -139,7 +141,9 @@
         self.resource_usage_by_agent: dict[int, tuple[float, float]] = {}
         self.loop = asyncio.get_running_loop()
         network = world.network
-        self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
+        self.paths = Paths(
+            network.same, network.cross, network.jitter, network.loss, random_stream(seed, "paths")
+        )
         self.addresses = Addresses(free_port())
         self.ledger = Ledger(self.now())
         self._policy = world.fault or world.policy
@@ -149,7 +153,7 @@
         self._closed_machines: set[Machine] = set()
         self._agents: dict[int, asyncio.subprocess.Process] = {}
         self._tasks: set[asyncio.Task[Any]] = set()  # removed when they end
-        self.blocked: dict[DelayedConnection, None] = {}  # with held bytes; emptied by `mended`
+        self.blocked: dict[DelayedConnection, None] = {}  # with held bytes; emptied by `release_held`
         self.client_machine_of: Callable[[bytes], Machine | None] = lambda _: None
         self.process_failures: list[str] = []
 
@@ -184,7 +188,7 @@
         else:
             self._servers.setdefault(machine, []).append(server)
 
-    def shut(self, machine: Machine, on: bool) -> None:
+    def set_refusing(self, machine: Machine, on: bool) -> None:
         if on and machine not in self._closed_machines:
             self._closed_machines.add(machine)
             for server in self._servers.pop(machine, ()):
@@ -203,12 +207,12 @@
         except OSError as failed:
             protocol.connection_lost(failed)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         pending, self.blocked = list(self.blocked), {}
         for connection in pending:
             connection.flush_held()
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         """Does nothing: connections across any cut stay open and silent here; only the relay of a trial resets them."""
 
     # Agents.
@@ -276,8 +280,8 @@
             event = json.loads(line)
             if event["event"] == "started":
                 started.set()
-            elif event["event"] in books.BOOKED:
-                self.ledger.note(books.SAID, self.now(), number, event.pop("event"), event)
+            elif event["event"] in record_kinds.RECORDED_LOG_EVENTS:
+                self.ledger.add_record(record_kinds.SAID, self.now(), number, event.pop("event"), event)
             elif event["event"] == "fault":
                 self.process_failures.append(f"agent {number}: {event.get('why')}")
         code = await agent.wait()
@@ -298,7 +302,7 @@
     def kill_agent(self, number: int) -> None:
         self._signal(number, signal.SIGKILL)
 
-    def hold_agent(self, number: int, ms: float) -> None:
+    def pause_agent(self, number: int, ms: float) -> None:
         self._signal(number, signal.SIGSTOP)
         self.loop.call_later(ms / 1000, self._signal, number, signal.SIGCONT)
 
@@ -354,22 +358,22 @@
     the checkout of another version whose agents run in place of this version's.
     """
     with tempfile.TemporaryDirectory(prefix="lupinreach-bed-") as folder:
-        ground = LoopbackGround(world, seed, Path(folder), tree)
-        stage = Stage(world, seed, ground, progress)
-        ground.client_machine_of = stage.client_machine_of
+        environment = LoopbackGround(world, seed, Path(folder), tree)
+        stage = Stage(world, seed, environment, progress)
+        environment.client_machine_of = stage.client_machine_of
         if watch is not None:
             watch(stage)
         try:
             if await until_stopped(stage.play()):
-                ground.ledger.stop()
+                environment.ledger.stop()
         finally:
-            await ground.close()
-            for failure in ground.process_failures:
-                ground.ledger.note(books.FAULT, ground.now(), failure)
-            ground.ledger.seal()
+            await environment.close()
+            for failure in environment.process_failures:
+                environment.ledger.add_record(record_kinds.FAULT, environment.now(), failure)
+            environment.ledger.seal()
             if costs is not None:
-                costs.update(ground.resource_usage_by_agent)
-    return ground.ledger
+                costs.update(environment.resource_usage_by_agent)
+    return environment.ledger
 
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
--- a/lupinreach/bed/ways/memory.py
+++ b/lupinreach/bed/ways/memory.py
@@ -58,7 +58,7 @@
         size = len(chunk) if isinstance(chunk, bytes | bytearray) else 0
         self._last_arrival = (
             max(self._last_arrival, loop.time() + paths.delay(self.machine, remote.machine) / 1000)
-            + paths.passing(self.machine, remote.machine, size) / 1000
+            + paths.transmission_ms(self.machine, remote.machine, size) / 1000
         )
         loop.call_at(self._last_arrival, self._arrive, remote, chunk, context=self.net.context)
 
@@ -416,7 +416,7 @@
         machine, protocol = self.servers[address]
         if not self.paths.reaches(sock.machine, machine) or not self.paths.reaches(machine, sock.machine):
             self.blocked_dials.append((sock, address))  # the connection request or its answer was lost
-        elif machine.shut:
+        elif machine.refusing:
             self.loop.call_later(
                 return_delay, sock.on_connect_failed, errno.ECONNREFUSED, context=self.context
             )
@@ -473,7 +473,7 @@
     def send_datagram(self, machine: Machine, source: Address, address: Address, data: bytes) -> None:
         """Sends a datagram to one endpoint, or to all others through the broadcast address."""
         for endpoint in self._datagram_endpoints_at(address, source):
-            for delay_ms in self.paths.datagram(machine, endpoint.machine):
+            for delay_ms in self.paths.datagram_delays(machine, endpoint.machine):
                 self.loop.call_later(
                     delay_ms / 1000, self._deliver_datagram, endpoint, data, source, context=self.context
                 )
--- a/lupinreach/bed/ways/policies.py
+++ b/lupinreach/bed/ways/policies.py
@@ -167,8 +167,8 @@
         # Uses as many backends as other agents do: connections are scarce, and backends reject calls over too many.
         for b in self._ready[: self._subset_size()]:
             if call.may_use(b) and (model := self.truth.backend(b.index)) is not None:
-                completion_ms = model.takes(now, work)
-                if completion_ms < best_ms and model.spare(now) >= COLD_HEADROOM_FACTOR * work:
+                completion_ms = model.time_to_finish(now, work)
+                if completion_ms < best_ms and model.cold_headroom(now) >= COLD_HEADROOM_FACTOR * work:
                     best, best_ms = b, completion_ms
         return best
 
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -1,4 +1,4 @@
-"""Plays a world on a ground: builds the fleet, sends the clients' requests, causes troubles when they are due."""
+"""Plays a world in an environment: builds the fleet, sends the clients' requests, causes the troubles."""
 
 from __future__ import annotations
 
@@ -8,15 +8,21 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from lupinreach.bed.peers.backend import Backend, Marks
+from lupinreach.bed.peers.backend import Backend, GroupMemory
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
-from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
-from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import Ground
+from lupinreach.bed.peers.servers import (
+    LOAD_SAMPLE_INTERVAL_MS,
+    BackendConnection,
+    BackendHost,
+    RegistryConnection,
+    RegistryHost,
+)
+from lupinreach.bed.world import ledger as record_kinds
+from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
-from lupinreach.bed.world.spec import Trouble, World, plain
+from lupinreach.bed.world.random_streams import random_stream
+from lupinreach.bed.world.spec import Trouble, World, world_to_dict
 from lupinreach.bed.world.traffic import arrivals
 from lupinreach.config import ASK, BEAT, Address
 from lupinreach.model import DedupScope, Idempotency
@@ -44,9 +50,9 @@
 
 def draw_fleet(world: World, seed: int) -> Fleet:
     """Draws the backends of a run; their true speeds and times come from the seed."""
-    chance, rules = stream(seed, "fleet"), world.rules
+    rng, rules = random_stream(seed, "fleet"), world.rules
     groups = {p.group for p in world.products if p.kind is Idempotency.DEDUPLICATED}
-    dedup_memories: dict[Any, Marks] = {}
+    dedup_memories: dict[Any, GroupMemory] = {}
     fleet = Fleet([], [])
     for kind in world.backends:
         for i in range(kind.count):
@@ -57,7 +63,7 @@
             memory_scope = (
                 "all" if DedupScope.ALL in groups else zone if DedupScope.ZONE in groups else ("cell", cell)
             )
-            speed, idle, report = (float(chance.random()) for _ in range(3))
+            speed, idle, report = (float(rng.random()) for _ in range(3))
             fleet.backends.append(
                 Backend(
                     number,
@@ -68,7 +74,7 @@
                     rules,
                     world.backend.idle.at(idle),
                     world.backend.report_every.at(report),
-                    dedup_memories.setdefault(memory_scope, Marks()),
+                    dedup_memories.setdefault(memory_scope, GroupMemory()),
                 )
             )
             fleet.kinds.append(kind.name)
@@ -85,14 +91,14 @@
         self,
         world: World,
         seed: int,
-        ground: Ground,
+        environment: Environment,
         progress: Callable[[float], None] | None = None,
     ) -> None:
         self.world = world
-        self.ground = ground
+        self.environment = environment
         self._seed = seed
         self._progress = progress
-        self._chance = stream(seed, "stage")
+        self._rng = random_stream(seed, "stage")
         fleet = draw_fleet(world, seed)
         self.registry = Registry()
         self.incarnations = [0] * world.agents  # by agent, counted from 1
@@ -104,12 +110,12 @@
         self._restart_after_stop: set[int] = set()  # agents to start once they have stopped
         self._client_machines = [Machine(f"agent {n}", n % len(world.zones)) for n in range(world.agents)]
         self.clients = [
-            ClientHost(ground, world, n, self._client_machines[n], ground.addresses.agent(n))
+            ClientHost(environment, world, n, self._client_machines[n], environment.addresses.agent(n))
             for n in range(world.agents)
         ]
         self._registry_machine = Machine("registry", 0)
         self.registry_host = RegistryHost(
-            ground,
+            environment,
             self.registry,
             self._registry_machine,
             self.incarnations.__getitem__,
@@ -144,11 +150,11 @@
     def _add_host(self, b: Backend, kind: str, suffix: str = "") -> BackendHost:
         machine = Machine(f"backend {b.number}", b.zone)
         host = BackendHost(
-            self.ground,
+            self.environment,
             self.world,
             b,
             machine,
-            stream(self._seed, "backend", b.number),
+            random_stream(self._seed, "backend", b.number),
             self._find_attempt,
             self._on_overload_crash,
         )
@@ -157,7 +163,7 @@
             Entry(
                 f"b-{b.number:04x}{suffix}",
                 b.number,
-                format_address(self.ground.addresses.backend(b.number)),
+                format_address(self.environment.addresses.backend(b.number)),
                 self.world.zones[b.zone],
                 kind,
                 b.cell,
@@ -173,59 +179,61 @@
             agent = self._agent_by_call[int(call, 16)]
         except (ValueError, IndexError):
             return None
-        return self.clients[agent].names.get(request_id)
+        return self.clients[agent].open_requests.get(request_id)
 
     # The course of a run.
 
     async def play(self) -> None:
         """Plays the whole run and records it in the ledger."""
-        ground, world = self.ground, self.world
-        facts = {**plain(world), "seed": self._seed, "mode": "", "measure": []}
-        ground.ledger.note(books.WORLD, ground.now(), facts)
+        environment, world = self.environment, self.world
+        facts = {**world_to_dict(world), "seed": self._seed, "mode": "", "measure": []}
+        environment.ledger.add_record(record_kinds.WORLD, environment.now(), facts)
         for host in self.hosts:
             await self._serve(host)
             host.boot(cold=False)
             self.registry.set(self.entries[host.backend.number])
         for n in range(world.agents):
-            await ground.serve(
-                ground.addresses.registry(n),
+            await environment.serve(
+                environment.addresses.registry(n),
                 self._registry_machine,
-                lambda n=n: RegistryLine(self.registry_host, n),
+                lambda n=n: RegistryConnection(self.registry_host, n),
             )  # type: ignore[misc]
         for first in range(0, world.agents, 16):
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
         calls = arrivals(world, self._seed)
         self._agent_by_call = [a.agent for a in calls]
-        begin = ground.now()
-        loop = ground.loop
+        begin = environment.now()
+        loop = environment.loop
         self._schedule_troubles()
-        loop.call_later(SAMPLE / 1000, self._record_load)
+        loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._record_load)
         for number, arrival in enumerate(calls):
-            wait = begin + arrival.at - ground.now()
+            wait = begin + arrival.at - environment.now()
             if wait > 0:
                 await asyncio.sleep(wait / 1000)
-            self.clients[arrival.agent].ask(number, arrival)
+            self.clients[arrival.agent].send_request(number, arrival)
             if self._progress and number % 64 == 0:
                 self._progress(arrival.at)
         longest = max(p.timeout for p in world.products)
         await asyncio.sleep(
-            max(0.0, begin + world.length - ground.now()) / 1000 + SETTLE_TIMEOUTS * longest / 1000
+            max(0.0, begin + world.length - environment.now()) / 1000 + SETTLE_TIMEOUTS * longest / 1000
         )
 
     async def _serve(self, host: BackendHost) -> None:
-        address = self.ground.addresses.backend(host.backend.number)
-        await self.ground.serve(address, host.machine, lambda: BackendLine(host))
+        address = self.environment.addresses.backend(host.backend.number)
+        await self.environment.serve(address, host.machine, lambda: BackendConnection(host))
 
     async def _start_agent(self, n: int) -> None:
         self.incarnations[n] += 1
         incarnation = self.incarnations[n]
-        self.clients[n].life = incarnation
-        known = self.registry.whole()
+        self.clients[n].incarnation = incarnation
+        known = self.registry.listed_entries()
         raw = self._adapt_agent_config(n, self._agent_config(n, incarnation))
-        self.registry_host.told(n, self.registry.version, known, True)
-        self.ground.ledger.note(books.AGENT, self.ground.now(), n, incarnation, "started")
+        self.registry_host.record_listing(n, self.registry.version, known, True)
+        self.environment.ledger.add_record(
+            record_kinds.AGENT, self.environment.now(), n, incarnation, "started"
+        )
         async with asyncio.timeout(AGENT_START_TIMEOUT_S):
-            await self.ground.start_agent(
+            await self.environment.start_agent(
                 n,
                 incarnation,
                 raw,
@@ -238,12 +246,12 @@
 
     def _agent_config(self, n: int, incarnation: int) -> dict[str, Any]:
         """The configuration of an agent that starts."""
-        known, at = self.registry.whole(), self.ground.addresses
+        known, at = self.registry.listed_entries(), self.environment.addresses
         raw = {
             "name": f"agent-{n}",
             "listen": format_address(at.agent(n)),
             "discovery": format_address(at.registry(n)),
-            "seed": f"{int(stream(self._seed, 'agent', n, incarnation).integers(1 << 48)):x}",
+            "seed": f"{int(random_stream(self._seed, 'agent', n, incarnation).integers(1 << 48)):x}",
             "limits": {"sockets": self.world.sockets},
             "known": {
                 "rev": self.registry.version,
@@ -259,11 +267,11 @@
                 "peers": [format_address(at.peer(i)) for i in range(self.world.agents)],
             }
         if self.world.store:
-            raw["store"] = {"file": self.ground.carried(n)} | ({"ran": True} if self.world.ran else {})
+            raw["store"] = {"file": self.environment.carried(n)} | ({"ran": True} if self.world.ran else {})
         if self.world.in_touch:
             raw["fleet"] = {"beat_ms": BEAT, "ask_ms": ASK, "share_ms": self.world.share}
         if self.world.carry:
-            raw["carry"] = {"file": self.ground.carried(n), "most_age_s": self.world.carry}
+            raw["carry"] = {"file": self.environment.carried(n), "most_age_s": self.world.carry}
         return raw
 
     def _adapt_agent_config(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
@@ -271,31 +279,38 @@
         return raw
 
     def _on_agent_ended(self, n: int, incarnation: int) -> None:
-        self.ground.ledger.note(books.AGENT, self.ground.now(), n, incarnation, "ended")
+        self.environment.ledger.add_record(
+            record_kinds.AGENT, self.environment.now(), n, incarnation, "ended"
+        )
         self._stopping.discard(n)
         if n in self._restart_after_stop:
             self._restart_after_stop.discard(n)
             self._start_once_stopped(n)
 
     def _record_load(self) -> None:
-        now = self.ground.now()
+        now = self.environment.now()
         for host in self.hosts:
             host.step()
             b = host.backend
             if b.up:
-                self.ground.ledger.note(
-                    books.LOAD, now, b.number, len(b.running), len(b.queue), round(b.part(now), 3)
+                self.environment.ledger.add_record(
+                    record_kinds.LOAD,
+                    now,
+                    b.number,
+                    len(b.running),
+                    len(b.queue),
+                    round(b.warm_fraction(now), 3),
                 )
-        pools = self.ground.pools()
+        pools = self.environment.pools()
         if pools:
-            self.ground.ledger.note(books.POOLS, now, sorted(pools.items()))
-        self.ground.loop.call_later(SAMPLE / 1000, self._record_load)
+            self.environment.ledger.add_record(record_kinds.POOLS, now, sorted(pools.items()))
+        self.environment.loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._record_load)
 
     # Troubles.
 
     def _schedule_troubles(self) -> None:
         """Schedules all troubles of the world, counted from now."""
-        loop = self.ground.loop
+        loop = self.environment.loop
         for number, trouble in enumerate(self.world.troubles):
             targets = self._choose_targets(number, trouble)
             if trouble.kind == "registry-older":
@@ -308,30 +323,34 @@
 
     def _choose_targets(self, number: int, trouble: Trouble) -> list[int]:
         """The targets of a trouble: those that the world names, else drawn at random."""
-        if trouble.names:
-            return list(trouble.names)
+        if trouble.targets:
+            return list(trouble.targets)
         pool = {"backends": len(self.hosts), "agents": self.world.agents, "zones": len(self.world.zones)}
-        total = pool.get(trouble.strikes, 0)
+        total = pool.get(trouble.target_kind, 0)
         if not total:
             return []
-        wanted = max(1, round(trouble.share * total)) if trouble.strikes != "zones" else 1
-        chance = stream(self._seed, "trouble", number)
-        return sorted(int(n) for n in chance.permutation(total)[:wanted])
+        wanted = max(1, round(trouble.share * total)) if trouble.target_kind != "zones" else 1
+        rng = random_stream(self._seed, "trouble", number)
+        return sorted(int(n) for n in rng.permutation(total)[:wanted])
 
     def _begin_trouble(self, number: int, trouble: Trouble, targets: list[int]) -> None:
-        self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "begins", targets)
+        self.environment.ledger.add_record(
+            record_kinds.TROUBLE, self.environment.now(), number, trouble.kind, "begins", targets
+        )
         self._apply_trouble(trouble, targets, True)
-        self.ground.loop.call_later(trouble.length / 1000, self._end_trouble, number, trouble, targets)
+        self.environment.loop.call_later(trouble.length / 1000, self._end_trouble, number, trouble, targets)
 
     def _end_trouble(self, number: int, trouble: Trouble, targets: list[int]) -> None:
-        self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "ends", targets)
+        self.environment.ledger.add_record(
+            record_kinds.TROUBLE, self.environment.now(), number, trouble.kind, "ends", targets
+        )
         self._apply_trouble(trouble, targets, False)
 
     def _apply_trouble(self, trouble: Trouble, targets: list[int], on: bool) -> None:
         handler = getattr(self, "_" + trouble.kind.replace("-", "_"), None)
         if handler is not None:
             handler(trouble, targets, on)
-            self.registry_host.mended()
+            self.registry_host.release_held()
 
     def _change_backends(self, targets: list[int], change: Callable[[BackendHost], None]) -> None:
         for n in targets:
@@ -377,7 +396,9 @@
 
     def _apart(self, t: Trouble, targets: list[int], on: bool, both: bool = True) -> None:
         number, total = self.world.troubles.index(t), self.world.agents
-        chosen_agents = stream(self._seed, "apart", number).permutation(total)[: round(t.strength * total)]
+        chosen_agents = random_stream(self._seed, "apart", number).permutation(total)[
+            : round(t.strength * total)
+        ]
         pairs = [
             (self.hosts[b].machine.name, self._client_machines[int(n)].name)
             for b in targets
@@ -387,9 +408,11 @@
         for pair in pairs:
             # Counted, so that of two troubles cutting the same pair the first to end doesn't restore the path.
             self._cut_pair_counts[pair] += 1 if on else -1
-        self.ground.paths.parted = {pair for pair, times in self._cut_pair_counts.items() if times}
+        self.environment.paths.blocked_pairs = {
+            pair for pair, times in self._cut_pair_counts.items() if times
+        }
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
 
     def _apart_one_way(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._apart(t, targets, on, both=False)
@@ -397,14 +420,14 @@
     def _thief(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._set_attribute(targets, "stolen", t.strength if on else 0.0)
         if on:
-            until = self.ground.now() + t.length
+            until = self.environment.now() + t.length
 
             def toggle(now_on: bool) -> None:
-                if self.ground.now() < until - 1:
+                if self.environment.now() < until - 1:
                     self._set_attribute(targets, "stolen", t.strength if now_on else 0.0)
-                    self.ground.loop.call_later(STEAL_CYCLE_MS / 2000, toggle, not now_on)
+                    self.environment.loop.call_later(STEAL_CYCLE_MS / 2000, toggle, not now_on)
 
-            self.ground.loop.call_later(STEAL_CYCLE_MS / 2000, toggle, False)
+            self.environment.loop.call_later(STEAL_CYCLE_MS / 2000, toggle, False)
 
     def _vanish(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -414,45 +437,49 @@
                 host.reset()  # open connections are reset when the machine is back
             else:
                 self._call_after_lag(
-                    self.world.registry.silent_lag, self._remove_lost_backend, n, host.backend.life
+                    self.world.registry.silent_lag, self._remove_lost_backend, n, host.backend.incarnation
                 )
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
             for n in targets:
                 self._announce_after_lag(n, state="Ready")
 
     def _remove_lost_backend(self, n: int, incarnation: int) -> None:
         host = self.hosts[n]
-        if host.backend.life == incarnation and (host.machine.vanished or not host.backend.up):
+        if host.backend.incarnation == incarnation and (host.machine.vanished or not host.backend.up):
             self._update_registry(n, state="Gone")
 
     def _cut(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.cut = (
-            self.ground.paths.cut | set(targets) if on else self.ground.paths.cut - set(targets)
+        self.environment.paths.cut_zones = (
+            self.environment.paths.cut_zones | set(targets)
+            if on
+            else self.environment.paths.cut_zones - set(targets)
         )
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
 
     def _cut_reset(self, t: Trouble, targets: list[int], on: bool) -> None:
-        refused = self.ground.paths.refused
-        self.ground.paths.refused = refused | set(targets) if on else refused - set(targets)
-        self.ground.refused()
+        refused = self.environment.paths.reset_zones
+        self.environment.paths.reset_zones = refused | set(targets) if on else refused - set(targets)
+        self.environment.reset_refused()
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
 
     def _datagrams_doubled(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.doubled = t.strength if on else 0.0
+        self.environment.paths.duplicate_share = t.strength if on else 0.0
 
     def _datagrams_late(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.late, self.ground.paths.late_by = (t.share, t.strength) if on else (0.0, 0.0)
+        self.environment.paths.delayed_share, self.environment.paths.delay_ms = (
+            (t.share, t.strength) if on else (0.0, 0.0)
+        )
 
     def _loss(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.loss = t.strength if on else self.world.network.loss
+        self.environment.paths.loss = t.strength if on else self.world.network.loss
 
     # Backends that stop and return.
 
     def _call_after_lag(self, lag: Any, action: Callable[..., None], *args: Any) -> None:
-        self.ground.loop.call_later(lag.at(float(self._chance.random())) / 1000, action, *args)
+        self.environment.loop.call_later(lag.at(float(self._rng.random())) / 1000, action, *args)
 
     def _announce_after_lag(self, n: int, **changed: Any) -> None:
         """Reports a change of a backend to the registry after the registry's lag."""
@@ -486,20 +513,32 @@
         host = self.hosts[n]
         host.die()
         b = host.backend
-        self.ground.ledger.note(
-            books.STATE, self.ground.now(), n, b.life, "Gone", 0.0, 0.0, 0.0, b.zone, b.cell
+        self.environment.ledger.add_record(
+            record_kinds.STATE,
+            self.environment.now(),
+            n,
+            b.incarnation,
+            "Gone",
+            0.0,
+            0.0,
+            0.0,
+            b.zone,
+            b.cell,
         )
 
     def _restart_backend(self, n: int) -> None:
         self.hosts[n].boot(cold=True)
-        self._announce_after_lag(n, state="Ready", boot=int(self.ground.now()))
+        self._announce_after_lag(n, state="Ready", boot=int(self.environment.now()))
 
     def _on_overload_crash(self, host: BackendHost) -> None:
         """A backend crashed from overload while cold; it stays down."""
         host.backend.up = False
-        self.ground.loop.call_soon(self._stop_backend, host.backend.number)
+        self.environment.loop.call_soon(self._stop_backend, host.backend.number)
         self._call_after_lag(
-            self.world.registry.silent_lag, self._remove_lost_backend, host.backend.number, host.backend.life
+            self.world.registry.silent_lag,
+            self._remove_lost_backend,
+            host.backend.number,
+            host.backend.incarnation,
         )
 
     def _crash(self, t: Trouble, targets: list[int], on: bool) -> None:
@@ -507,23 +546,35 @@
             if on and self.hosts[n].backend.up:
                 self._stop_backend(n)
                 self._call_after_lag(
-                    self.world.registry.silent_lag, self._remove_lost_backend, n, self.hosts[n].backend.life
+                    self.world.registry.silent_lag,
+                    self._remove_lost_backend,
+                    n,
+                    self.hosts[n].backend.incarnation,
                 )
-            elif not on and not self.hosts[n].backend.fallen:
+            elif not on and not self.hosts[n].backend.crashed:
                 self._restart_backend(n)
 
     def _drain(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on:
                 b = self.hosts[n].backend
-                self.ground.ledger.note(
-                    books.STATE, self.ground.now(), n, b.life, "Terminating", 0.0, 0.0, 0.0, b.zone, b.cell
+                self.environment.ledger.add_record(
+                    record_kinds.STATE,
+                    self.environment.now(),
+                    n,
+                    b.incarnation,
+                    "Terminating",
+                    0.0,
+                    0.0,
+                    0.0,
+                    b.zone,
+                    b.cell,
                 )
                 self._announce_after_lag(n, state="Terminating")
             else:
                 self._stop_backend(n)
                 self._update_registry(n, state="Gone")
-                self.ground.loop.call_later(RESTART_DELAY_S, self._restart_backend, n)
+                self.environment.loop.call_later(RESTART_DELAY_S, self._restart_backend, n)
 
     def _replace(self, t: Trouble, targets: list[int], on: bool) -> None:
         """Replaces backends as a deployment does: each drains, then a machine with a new uid takes its place."""
@@ -534,8 +585,8 @@
             self._stop_backend(n)
             self._update_registry(n, state="Gone")
             old = self.entries[n]
-            self.entries[n] = replace(old, uid=f"{old.uid}-{self.hosts[n].backend.life}")
-            self.ground.loop.call_later(RESTART_DELAY_S, self._restart_backend, n)
+            self.entries[n] = replace(old, uid=f"{old.uid}-{self.hosts[n].backend.incarnation}")
+            self.environment.loop.call_later(RESTART_DELAY_S, self._restart_backend, n)
 
     # The registry and the agents.
 
@@ -545,7 +596,7 @@
         else:
             self.registry.up = True
             self._replay_missed_changes()
-        self.ground.shut(self._registry_machine, on)
+        self.environment.set_refusing(self._registry_machine, on)
 
     def _registry_back(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._registry_down(t, targets, on)
@@ -553,7 +604,7 @@
             self.registry.restart(self.world.registry.restart_version)
 
     def _save_list(self, number: int) -> None:
-        self._saved_lists[number] = self.registry.copy()
+        self._saved_lists[number] = self.registry.snapshot()
 
     def _registry_older(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._registry_down(t, targets, on)
@@ -563,7 +614,7 @@
     def _sleep_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on and n in self.up:
-                self.ground.hold_agent(n, t.length)
+                self.environment.pause_agent(n, t.length)
 
     def _twin_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -572,29 +623,29 @@
             if on:
                 self._twin_troubles[n] = t
                 # At an unused address and without a registry: the disk is all that it can affect.
-                where = self.ground.addresses.twin(n)
+                where = self.environment.addresses.twin(n)
                 raw = self._adapt_agent_config(n, self._agent_config(n, 0)) | {
                     "listen": format_address(where),
                     "discovery": format_address((where[0], UNUSED_PORT)),
                 }
                 if "peer_listen" in raw:
                     raw["peer_listen"] = format_address((where[0], where[1] + 1))
-                self._spawn(self.ground.start_twin(n, raw))
+                self._spawn(self.environment.start_twin(n, raw))
             elif self._twin_troubles[n] is t:
                 del self._twin_troubles[n]
-                self.ground.stop_twin(n)
+                self.environment.stop_twin(n)
 
     def _deaf_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._isolate_agents(self.ground.paths.deaf, targets, on)
+        self._isolate_agents(self.environment.paths.not_receiving, targets, on)
 
     def _dumb_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._isolate_agents(self.ground.paths.dumb, targets, on)
+        self._isolate_agents(self.environment.paths.not_sending, targets, on)
 
     def _isolate_agents(self, struck: set[Machine], targets: list[int], on: bool) -> None:
         machines = {self._client_machines[n] for n in targets}
         struck.update(machines) if on else struck.difference_update(machines)
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
 
     def _clock_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -604,50 +655,52 @@
 
     def _disk_torn(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            data = self.ground.disk(n).copy()
+            data = self.environment.disk(n).copy()
             if data is not None:
-                self.ground.disk(n).put(data[: int(t.strength * len(data))])
+                self.environment.disk(n).put(data[: int(t.strength * len(data))])
 
     def _disk_lost(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            self.ground.disk(n).lose_power()
+            self.environment.disk(n).lose_power()
 
     def _disk_other(self, t: Trouble, targets: list[int], on: bool) -> None:
-        copies = {n: self.ground.disk((n + 1) % self.world.agents).copy() for n in targets} if on else {}
+        copies = {n: self.environment.disk((n + 1) % self.world.agents).copy() for n in targets} if on else {}
         for n, data in copies.items():
-            self.ground.disk(n).put(data)
+            self.environment.disk(n).put(data)
 
     def _disk_older(self, t: Trouble, targets: list[int], on: bool) -> None:
         copies = self._saved_disks.pop(self.world.troubles.index(t), {}) if on else {}
         for n, data in copies.items():
-            self.ground.disk(n).put(data)
+            self.environment.disk(n).put(data)
 
     def _save_disks(self, number: int, targets: list[int]) -> None:
-        self._saved_disks[number] = {n: self.ground.disk(n).copy() for n in targets}
+        self._saved_disks[number] = {n: self.environment.disk(n).copy() for n in targets}
 
     def _disk_stuck(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
-            self.ground.disk(n).writes_fail = on
+            self.environment.disk(n).writes_fail = on
 
     def _disk_hangs(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            self.ground.disk(n).hang(t.length)
+            self.environment.disk(n).hang(t.length)
 
     def _drift_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             self._clock_drift[n] = t.strength if on else 0.0
 
     def _restart_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._stop_and_restart(targets, on, "stopping", self.ground.stop_agent)
+        self._stop_and_restart(targets, on, "stopping", self.environment.stop_agent)
 
     def _kill_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._stop_and_restart(targets, on, "killed", self.ground.kill_agent)
+        self._stop_and_restart(targets, on, "killed", self.environment.kill_agent)
 
     def _stop_and_restart(self, targets: list[int], on: bool, how: str, act: Callable[[int], None]) -> None:
         for n in targets:
             killed = how == "killed"
             if on and (n in self.up or (killed and n in self._stopping)):
-                self.ground.ledger.note(books.AGENT, self.ground.now(), n, self.incarnations[n], how)
+                self.environment.ledger.add_record(
+                    record_kinds.AGENT, self.environment.now(), n, self.incarnations[n], how
+                )
                 self.up.discard(n)
                 self._restart_after_stop.discard(n)
                 (self._stopping.discard if killed else self._stopping.add)(n)
@@ -664,20 +717,20 @@
             self._spawn(self._start_agent(n))
 
     def _spawn(self, start: Coroutine[Any, Any, None]) -> None:
-        task = self.ground.loop.create_task(start)
+        task = self.environment.loop.create_task(start)
         self._start_tasks[task] = None
         task.add_done_callback(lambda done: self._start_tasks.pop(done, None))
 
     def _busy_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         if not on:
             return
-        until = self.ground.now() + t.length
+        until = self.environment.now() + t.length
 
         def again() -> None:
-            if self.ground.now() < until:
+            if self.environment.now() < until:
                 for n in targets:
                     if n in self.up:
-                        self.ground.hold_agent(n, t.strength)
-                self.ground.loop.call_later(BUSY_INTERVAL_MS / 1000, again)
+                        self.environment.pause_agent(n, t.strength)
+                self.environment.loop.call_later(BUSY_INTERVAL_MS / 1000, again)
 
         again()
--- a/lupinreach/bed/ways/virtual.py
+++ b/lupinreach/bed/ways/virtual.py
@@ -18,11 +18,11 @@
 from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySocket, MemorySockets
 from lupinreach.bed.ways.policies import POLICIES, TrueState
 from lupinreach.bed.ways.stage import Stage
-from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import EPOCH, Addresses
+from lupinreach.bed.world import ledger as record_kinds
+from lupinreach.bed.world.environment import VIRTUAL_EPOCH_MS, Addresses
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import World
 from lupinreach.config import Address, AgentConfig, FleetConfig, Section, read_settings
 from lupinreach.net.agent import Agent
@@ -39,7 +39,7 @@
     def __init__(self, loop: VirtualLoop, ahead: float = 0.0, drift: float = 0.0) -> None:
         self._loop = loop
         self._rate = 1 + drift
-        self._anchor = EPOCH + ahead - loop.time() * 1000 * drift
+        self._anchor = VIRTUAL_EPOCH_MS + ahead - loop.time() * 1000 * drift
 
     def now(self) -> float:
         return self._anchor + self._loop.time() * 1000 * self._rate
@@ -54,7 +54,7 @@
         self._on_event = on_event
 
     def event(self, event: str, **fields: object) -> None:
-        if event in books.BOOKED:
+        if event in record_kinds.RECORDED_LOG_EVENTS:
             self._on_event(event, fields)
 
 
@@ -70,13 +70,13 @@
 class ReachableBackends:
     """The true state of the backends that one agent can reach."""
 
-    def __init__(self, ground: VirtualGround, machine: Machine, agent: Agent) -> None:
-        self._ground, self._machine, self._agent = ground, machine, agent
+    def __init__(self, environment: VirtualGround, machine: Machine, agent: Agent) -> None:
+        self._environment, self._machine, self._agent = environment, machine, agent
 
     def backend(self, index: int) -> Backend | None:
-        ground, entry = self._ground, self._agent.directory.place(index)
-        host = ground.hosts[ground.backend_at[entry.address]]
-        reachable = ground.paths.reaches(self._machine, host.machine) and ground.paths.reaches(
+        environment, entry = self._environment, self._agent.directory.place(index)
+        host = environment.hosts[environment.backend_at[entry.address]]
+        reachable = environment.paths.reaches(self._machine, host.machine) and environment.paths.reaches(
             host.machine, self._machine
         )
         if not reachable or not host.backend.up:
@@ -85,13 +85,13 @@
         return host.backend
 
     def work(self, product: int) -> float:
-        return self._ground.mean_work[product]
+        return self._environment.mean_work[product]
 
 
 class VirtualGround:
     """Clock, network and agents of one run on virtual time."""
 
-    exact = True
+    sees_agent_traffic = True
     addresses = Addresses(7000)
 
     def __init__(self, world: World, seed: int) -> None:
@@ -99,12 +99,14 @@
         self._seed = seed
         self._disks: dict[int, MemoryDisk] = {}  # by agent; kept over all its incarnations
         network = world.network
-        self.paths = Paths(network.same, network.cross, network.jitter, network.loss, stream(seed, "paths"))
+        self.paths = Paths(
+            network.same, network.cross, network.jitter, network.loss, random_stream(seed, "paths")
+        )
         self.net = MemoryNet(self.loop, self.paths)
         self.net.on_agent_send = self._on_agent_send
         self.net.broadcast_address = self.addresses.everybody()
         self.clock = VirtualClock(self.loop)
-        self.ledger = Ledger(EPOCH + START_TIME_S * 1000)
+        self.ledger = Ledger(VIRTUAL_EPOCH_MS + START_TIME_S * 1000)
         self._fault = FAULTS.get(world.fault)
         self._tamper = self._fault.tamper() if self._fault and self._fault.tamper else None
         self._make_balancer = (
@@ -115,7 +117,7 @@
         self._twin_runs: dict[int, AgentRun] = {}  # second processes; removed when they end
         # By owner: agent, incarnation; grows by one per incarnation.
         self._owners: dict[int, tuple[int, int]] = {}
-        self._chance = stream(seed, "breaks")
+        self._rng = random_stream(seed, "breaks")
         self.mean_work = [p.work for p in world.products]
         self._tasks: set[asyncio.Task[None]] = set()
         self._on_ended: dict[int, Callable[[], None]] = {}  # callbacks by running agent
@@ -132,14 +134,14 @@
     def connect(self, machine: Machine, protocol: asyncio.Protocol, address: Address) -> None:
         self.net.connect(machine, protocol, address)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         self.net.flush_blocked()
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         self.net.reset_refused()
 
-    def shut(self, machine: Machine, on: bool) -> None:
-        machine.shut = on
+    def set_refusing(self, machine: Machine, on: bool) -> None:
+        machine.refusing = on
 
     def _on_agent_send(self, sock: MemorySocket, data: bytes) -> tuple[bytes, int]:
         """Records data that an agent writes; may tamper with it or break its connection."""
@@ -150,12 +152,14 @@
                 agent, incarnation = self._owners[sock.owner]
                 backend = self.backend_at.get(sock.address)
                 if backend is not None:
-                    self.ledger.note(books.SENT, self.now(), agent, incarnation, backend, request_id)
+                    self.ledger.add_record(
+                        record_kinds.SENT, self.now(), agent, incarnation, backend, request_id
+                    )
                 remote = sock.remote
                 if (
                     remote is not None
                     and remote.machine.breaks
-                    and self._chance.random() < remote.machine.breaks
+                    and self._rng.random() < remote.machine.breaks
                 ):
                     self._break(sock, remote)
                     return data[: len(data) // 2], len(data) // 2
@@ -193,7 +197,7 @@
         owner = len(self._owners) + 1
         self._owners[owner] = number, incarnation
         log = VirtualLog(
-            lambda event, fields: self.ledger.note(books.SAID, self.now(), number, event, fields)
+            lambda event, fields: self.ledger.add_record(record_kinds.SAID, self.now(), number, event, fields)
         )
         with self.loop.owned_by(owner):
             sockets = MemorySockets(self.net, self._machine_of(number), raw["limits"]["sockets"])
@@ -211,7 +215,7 @@
         return run
 
     def disk(self, number: int) -> MemoryDisk:
-        return self._disks.setdefault(number, MemoryDisk(stream(self._seed, "disk", number)))
+        return self._disks.setdefault(number, MemoryDisk(random_stream(self._seed, "disk", number)))
 
     def carried(self, number: int) -> str:
         return STATE_FILE
@@ -243,7 +247,7 @@
             if fault_name.startswith("fault"):
                 self.agent_faults[fault_name] += count
 
-    def hold_agent(self, number: int, ms: float) -> None:
+    def pause_agent(self, number: int, ms: float) -> None:
         self.loop.hold(self._agent_runs[number].owner, ms)
 
     def pools(self) -> dict[int, int]:
@@ -257,7 +261,7 @@
         return pool_counts
 
     def bind(self, stage: Stage, backends: dict[Address, int]) -> None:
-        """Connects the ground to its stage; `backends` are the backends' numbers by address."""
+        """Connects the environment to its stage; `backends` are the backends' numbers by address."""
         self.hosts = stage.hosts
         self._machine_of = stage.machine
         self.backend_at = backends
@@ -293,30 +297,32 @@
 
 def play(world: World, seed: int, progress: Callable[[float], None] | None = None) -> Ledger:
     """Plays one run and returns its ledger; unhandled exceptions are recorded in it as faults."""
-    ground = VirtualGround(world, seed)
-    loop = ground.loop
+    environment = VirtualGround(world, seed)
+    loop = environment.loop
     asyncio.set_event_loop(loop)
     gc_was_enabled = gc.isenabled()
     gc.disable()  # garbage collection cost a third of the run time
     try:
         IOLoop.current()  # creates Tornado's loop for this one outside of all owners
-        stage = Stage(world, seed, ground, progress)
-        ground.bind(stage, {ground.addresses.backend(n): n for n in range(world.fleet)})
+        stage = Stage(world, seed, environment, progress)
+        environment.bind(stage, {environment.addresses.backend(n): n for n in range(world.backend_count)})
         loop.run_until_complete(stage.play())
-        ground.close()
-        for fault_name, count in sorted(ground.agent_faults.items()):
-            ground.ledger.note(books.FAULT, ground.now(), f"{fault_name} x{count}")
+        environment.close()
+        for fault_name, count in sorted(environment.agent_faults.items()):
+            environment.ledger.add_record(record_kinds.FAULT, environment.now(), f"{fault_name} x{count}")
         for context in loop.faults:
             raised = context.get("exception")
-            ground.ledger.note(
-                books.FAULT, ground.now(), f"{context['message']}: {type(raised).__name__}: {raised}"
+            environment.ledger.add_record(
+                record_kinds.FAULT,
+                environment.now(),
+                f"{context['message']}: {type(raised).__name__}: {raised}",
             )
     finally:
-        ledger = ground.ledger
+        ledger = environment.ledger
         ledger.seal()
         loop.end()
         # Pending work of killed agents is destroyed while its cleanup code can still call the loop.
-        stage = ground = None  # type: ignore[assignment]
+        stage = environment = None  # type: ignore[assignment]
         IOLoop._ioloop_for_asyncio.pop(loop, None)  # it holds references to their streams
         gc.collect()
         if gc_was_enabled:
