--- a/lupinreach/bed/world/environment.py
+++ b/lupinreach/bed/world/environment.py
@@ -76,7 +76,7 @@
         ...
 
     def disk(self, number: int) -> Any:
-        """The agent's disk, with `copy`, `put`, `stuck` and `lose_power`."""
+        """The agent's disk, with `copy`, `put`, `writes_fail` and `lose_power`."""
         ...
 
     def carried(self, number: int) -> str:
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -27,7 +27,7 @@
     RegistryHost,
 )
 from lupinreach.bed.ways.loopback import BACKLOG, LoopbackGround
-from lupinreach.bed.ways.stage import draw
+from lupinreach.bed.ways.stage import draw_fleet
 from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world import spec as beds
 from lupinreach.bed.world.ledger import Ledger
@@ -53,11 +53,11 @@
         self.addresses = places
         self.ledger = Ledger(begin)
 
-    async def _open(
+    async def _start_server(
         self, machine: Machine, address: Address, protocol: Callable[[], asyncio.Protocol]
     ) -> None:
         server = await self.loop.create_server(protocol, *address, backlog=BACKLOG, reuse_address=True)
-        if machine in self._shut:
+        if machine in self._closed_machines:
             server.close()
         else:
             self._servers.setdefault(machine, []).append(server)
@@ -97,7 +97,7 @@
 
     async def open(self) -> None:
         self.hosts = {}
-        for b in draw(self.world, self.seed).backends:
+        for b in draw_fleet(self.world, self.seed).backends:
             if b.number in self.mine:
                 host = BackendHost(
                     self.environment,
@@ -246,7 +246,7 @@
         )
         self.plane = Plane(paths, random_stream(self.seed, "relay", *self.mine[:1]))
         places, self.machines = self.places, {"registry": Machine("registry", 0)}
-        backends = [(b.number, b.zone) for b in draw(self.world, self.seed).backends]
+        backends = [(b.number, b.zone) for b in draw_fleet(self.world, self.seed).backends]
         for n in range(self.world.agents):
             self.machines[f"agent {n}"] = Machine(f"agent {n}", n % zones)
         for n, zone in backends:
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -21,8 +21,8 @@
 from lupinreach.bed.peers.backend import Backend
 from lupinreach.bed.peers.registry import Entry
 from lupinreach.bed.ways.faults import FAULTS
-from lupinreach.bed.ways.loopback import ENDS_WITHIN, LoopbackGround, free_port
-from lupinreach.bed.ways.stage import SETTLES, Stage, text
+from lupinreach.bed.ways.loopback import AGENT_EXIT_TIMEOUT_S, LoopbackGround, free_port
+from lupinreach.bed.ways.stage import SETTLE_TIMEOUTS, Stage, format_address
 from lupinreach.bed.ways.stopping import until_stopped
 from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.ledger import Ledger, Record
@@ -166,7 +166,7 @@
             record_kinds.TOLD,
             environment.now(),
             agent,
-            self._stage.agents[agent],
+            self._stage.incarnations[agent],
             version,
             [[e.backend, e.state] for e in entries],
             whole,
@@ -174,7 +174,7 @@
 
     def wire(self, agent: int, entry: Entry) -> dict[str, Any]:
         return entry.wire() | {
-            "endpoint": text(self._stage.environment.addresses.backend_for(agent, entry.backend))
+            "endpoint": format_address(self._stage.environment.addresses.backend_for(agent, entry.backend))
         }
 
 
@@ -326,9 +326,9 @@
     def __init__(self, world: World, seed: int, environment: RigGround) -> None:
         super().__init__(world, seed, environment)
         self.registry_host = RemoteRegistry(self)  # type: ignore[assignment]
-        environment.fell = lambda n: self._fell(self.hosts[n])
+        environment.fell = lambda n: self._on_overload_crash(self.hosts[n])
 
-    def _add(self, b: Backend, kind: str, suffix: str = "") -> Any:
+    def _add_host(self, b: Backend, kind: str, suffix: str = "") -> Any:
         machine = Machine(f"backend {b.number}", b.zone)
         self.hosts.append(RemoteBackend(self.environment, b, machine))  # type: ignore[arg-type]
         address = self.environment.addresses.backend(b.number)
@@ -336,7 +336,7 @@
             Entry(
                 f"b-{b.number:04x}{suffix}",
                 b.number,
-                text(address),
+                format_address(address),
                 self.world.zones[b.zone],
                 kind,
                 b.cell,
@@ -344,14 +344,14 @@
             )
         )
 
-    def _told(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
+    def _adapt_agent_config(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
         """Everything that it knows others by is the relay's."""
         at = self.environment.addresses
-        raw = raw | {"discovery": text(at.registry_for(n))}
+        raw = raw | {"discovery": format_address(at.registry_for(n))}
         if self.world.limits.peers:
             raw |= {
-                "peers_all": text(at.everybody_for(n)),
-                "peers": [text(at.peer_for(n, other)) for other in range(self.world.agents)],
+                "peers_all": format_address(at.everybody_for(n)),
+                "peers": [format_address(at.peer_for(n, other)) for other in range(self.world.agents)],
             }
         return raw
 
@@ -365,20 +365,22 @@
             host.boot(cold=False)
             self.registry.set(self.entries[host.backend.number])
         self.registry_host.changed()
-        async with asyncio.timeout(ENDS_WITHIN):
+        async with asyncio.timeout(AGENT_EXIT_TIMEOUT_S):
             await environment.all_booted.wait()
         for first in range(0, world.agents, 16):
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
         begin = environment.now() + BEGINS_IN * 1000
         environment.tell_clients({"do": "begin", "at": begin})
         await asyncio.sleep(BEGINS_IN)
-        self._make_trouble()
+        self._schedule_troubles()
         longest = max(p.timeout for p in world.products)
-        await asyncio.sleep((begin + world.length - environment.now()) / 1000 + SETTLES * longest / 1000)
+        await asyncio.sleep(
+            (begin + world.length - environment.now()) / 1000 + SETTLE_TIMEOUTS * longest / 1000
+        )
         watching.cancel()
 
-    def _strike(self, trouble: Trouble, targets: list[int], on: bool) -> None:
-        super()._strike(trouble, targets, on)
+    def _apply_trouble(self, trouble: Trouble, targets: list[int], on: bool) -> None:
+        super()._apply_trouble(trouble, targets, on)
         paths = self.environment.paths
         machines = {
             h.machine.name: {k: getattr(h.machine, k) for k in MADE_BY_RELAY}
@@ -402,7 +404,7 @@
     def _registry_down(self, t: Trouble, targets: list[int], on: bool) -> None:
         self.registry.up = not on
         if not on:
-            self._learn_missed()
+            self._replay_missed_changes()
         self.environment.tell_relays({"do": "shut", "name": "registry", "on": on})
         self.registry_host.changed()
 
@@ -434,11 +436,11 @@
             ended, until = time.monotonic(), environment.now()
             await environment.close()
             closed = time.monotonic()
-        for what in environment.ended_badly:
+        for what in environment.process_failures:
             environment.ledger.add_record(record_kinds.FAULT, environment.now(), what)
         environment.ledger.seal()
         longest = max(p.timeout for p in world.products)
-        played = (world.length + SETTLES * longest) / 1000
+        played = (world.length + SETTLE_TIMEOUTS * longest) / 1000
         took = {"start": round(ended - began - played - BEGINS_IN, 2), "stop": round(closed - ended, 2)}
         merged = environment.merged(environment.ledger.records, until)
         merged.stopped = stopped
@@ -451,7 +453,7 @@
         return f"agents.count: at most {MOST_AGENTS} with processes"
     if world.backend_count > MOST_BACKENDS:
         return f"backends: at most {MOST_BACKENDS} with processes"
-    if world.fault and FAULTS[world.fault].decide is None:
+    if world.fault and FAULTS[world.fault].make_balancer is None:
         return f"fault: {world.fault} can be planted in virtual time only"
     for i, trouble in enumerate(world.troubles):
         if trouble.kind == "disk-hangs":
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -209,12 +209,12 @@
     async def work():
         disk = MemoryDisk(random_stream(1, "disk"))
         agent, journal = journal_of(store := Store("/a/carried", "a", disk))
-        disk.stuck = True
+        disk.writes_fail = True
         assert (
             await journal.record(b"a") is IdPersistence.PERSISTED
             and agent.counters.others["ran: not kept"] == 1
         )  # as without a journal
-        disk.stuck = False
+        disk.writes_fail = False
         while store.put(f"drain/{len(store.state)}", 1):
             pass
         assert (
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -11,7 +11,7 @@
 
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.loop import VirtualLoop
-from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySockets, Side
+from lupinreach.bed.ways.memory import RST, ConnectionEnd, MemoryNet, MemorySockets
 from lupinreach.bed.world.network import Machine, Paths
 from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import read as read_world
@@ -261,7 +261,7 @@
     loop = VirtualLoop()
     paths = Paths(1.0, 1.0, 0.0, 0.0, random_stream(1, "paths"))
     net = MemoryNet(loop, paths)
-    net.everybody = ("all", 1)
+    net.broadcast_address = ("all", 1)
     posts = []
     for n in range(3):
         with loop.owned_by(n + 1):
@@ -274,13 +274,13 @@
     for i in range(messages):
         loop.call_later(
             i / 1000,
-            net.tell,
-            net.posts["0", 1].machine,
+            net.send_datagram,
+            net.datagram_endpoints["0", 1].machine,
             ("0", 1),
             ("1", 1) if i % 2 else ("all", 1),
             b"%d" % i,
         )
-    loop.call_later(messages / 2000, net.die, 3)
+    loop.call_later(messages / 2000, net.close_owner, 3)
     loop.run_until_complete(asyncio.sleep(5))
     loop.end()
     return [[int(data) for data, addr in post.got if addr == ("0", 1)] for post in posts]
@@ -339,18 +339,18 @@
     came, there = [], [False]
     loop = VirtualLoop()
     paths = SimpleNamespace(reaches=lambda *_: there[0], delay=lambda *_: 0.0, transmission_ms=lambda *_: 0.0)
-    net = SimpleNamespace(paths=paths, loop=loop, waiting={}, context=None)
+    net = SimpleNamespace(paths=paths, loop=loop, blocked_ends={}, context=None)
 
-    class End(Side):
-        def take(self, what):
+    class End(ConnectionEnd):
+        def receive(self, what):
             came.append(what)
 
     one, other = End(net, Machine("a", 0)), End(net, Machine("b", 1))
-    one.other, other.other = other, one
-    one.put(b"said")
-    one.put(RST)
+    one.remote, other.remote = other, one
+    one.transmit(b"said")
+    one.transmit(RST)
     there[0] = True
-    one.again()
+    one.flush_unsent()
     loop.run_until_complete(asyncio.sleep(0.01))
     loop.close()
     assert came == [RST]
