--- a/lupinreach/bed/commands/report.py
+++ b/lupinreach/bed/commands/report.py
@@ -74,7 +74,7 @@
     )
     facts = {
         "agents": world.agents,
-        "backends": world.fleet,
+        "backends": world.backend_count,
         "policy": world.policy,
         "seed": result.seed,
         **{k: v for k, v in result.figures.items() if not isinstance(v, dict)},
@@ -85,7 +85,8 @@
         f"<tr><td>{html.escape(k)}</td><td>{html.escape(str(v))}</td></tr>" for k, v in facts.items()
     )
     first = "".join(
-        f"<li>{b.at:.0f} ms: {html.escape(b.name)}: {html.escape(b.what)}</li>" for b in result.breaches[:20]
+        f"<li>{b.at:.0f} ms: {html.escape(b.name)}: {html.escape(b.what)}</li>"
+        for b in result.violations[:20]
     )
     plots = "".join(f"<h2>{title}</h2><p>{words}</p>{svg}" for title, words, svg in figures if svg)
     return (
@@ -128,14 +129,14 @@
     return figure, axes
 
 
-def _by_second(calls: list[service.Asked]) -> dict[int, list[service.Asked]]:
-    found: dict[int, list[service.Asked]] = defaultdict(list)
+def _by_second(calls: list[service.CallOutcome]) -> dict[int, list[service.CallOutcome]]:
+    found: dict[int, list[service.CallOutcome]] = defaultdict(list)
     for one in calls:
         found[int(one.at // SECOND)].append(one)
     return dict(sorted(found.items()))
 
 
-def _service(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
+def _service(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
     seconds = _by_second(calls)
     figure, axes = frame(troubles, "share")
     axes.step(
@@ -145,8 +146,8 @@
     return svg(figure)
 
 
-def _latency(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
-    seconds = {s: [c.answered for c in some if c.answered >= 0] for s, some in _by_second(calls).items()}
+def _latency(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
+    seconds = {s: [c.latency_ms for c in some if c.latency_ms >= 0] for s, some in _by_second(calls).items()}
     seconds = {s: some for s, some in seconds.items() if some}
     if not seconds:
         return ""
@@ -163,12 +164,12 @@
     return svg(figure)
 
 
-def _answers(calls: list[service.Asked], troubles: list[tuple[str, float, float]]) -> str:
+def _answers(calls: list[service.CallOutcome], troubles: list[tuple[str, float, float]]) -> str:
     seconds = _by_second(calls)
     figure, axes = frame(troubles, "API calls a second")
     below = np.zeros(len(seconds))
     for ending, colour in COLOURS.items():
-        some = np.array([sum(c.ending == ending for c in asked) for asked in seconds.values()], dtype=float)
+        some = np.array([sum(c.outcome == ending for c in asked) for asked in seconds.values()], dtype=float)
         if some.any():
             axes.bar(list(seconds), some, bottom=below, width=1.0, align="edge", label=ending, color=colour)
             below += some
--- a/lupinreach/bed/ways/stage.py
+++ b/lupinreach/bed/ways/stage.py
@@ -8,15 +8,21 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from lupinreach.bed.peers.backend import Backend, Marks
+from lupinreach.bed.peers.backend import Backend, GroupMemory
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
-from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
-from lupinreach.bed.world import ledger as books
-from lupinreach.bed.world.chance import stream
-from lupinreach.bed.world.ground import Ground
+from lupinreach.bed.peers.servers import (
+    LOAD_SAMPLE_INTERVAL_MS,
+    BackendConnection,
+    BackendHost,
+    RegistryConnection,
+    RegistryHost,
+)
+from lupinreach.bed.world import ledger as record_kinds
+from lupinreach.bed.world.environment import Environment
 from lupinreach.bed.world.network import Machine
-from lupinreach.bed.world.spec import Trouble, World, plain
+from lupinreach.bed.world.random_streams import random_stream
+from lupinreach.bed.world.spec import Trouble, World, world_to_dict
 from lupinreach.bed.world.traffic import arrivals
 from lupinreach.config import ASK, BEAT, Address
 from lupinreach.model import DedupScope, Idempotency
@@ -43,9 +49,9 @@
 
 def draw(world: World, seed: int) -> Fleet:
     """The backends of a run; their true speeds and times come from the seed."""
-    chance, rules = stream(seed, "fleet"), world.rules
+    chance, rules = random_stream(seed, "fleet"), world.rules
     groups = {p.group for p in world.products if p.kind is Idempotency.DEDUPLICATED}
-    memories: dict[Any, Marks] = {}
+    memories: dict[Any, GroupMemory] = {}
     fleet = Fleet([], [])
     for kind in world.backends:
         for i in range(kind.count):
@@ -67,7 +73,7 @@
                     rules,
                     world.backend.idle.at(idle),
                     world.backend.report_every.at(report),
-                    memories.setdefault(shared, Marks()),
+                    memories.setdefault(shared, GroupMemory()),
                 )
             )
             fleet.kinds.append(kind.name)
@@ -81,14 +87,14 @@
         self,
         world: World,
         seed: int,
-        ground: Ground,
+        environment: Environment,
         progress: Callable[[float], None] | None = None,
     ) -> None:
         self.world = world
-        self.ground = ground
+        self.environment = environment
         self._seed = seed
         self._progress = progress
-        self._chance = stream(seed, "stage")
+        self._chance = random_stream(seed, "stage")
         fleet = draw(world, seed)
         self.registry = Registry()
         self.agents = [0] * world.agents  # their lives
@@ -101,12 +107,12 @@
         self._again: set[int] = set()  # of those, the ones to start after that
         self._client_machines = [Machine(f"agent {n}", n % len(world.zones)) for n in range(world.agents)]
         self.clients = [
-            ClientHost(ground, world, n, self._client_machines[n], ground.addresses.agent(n))
+            ClientHost(environment, world, n, self._client_machines[n], environment.addresses.agent(n))
             for n in range(world.agents)
         ]
         self._registry_machine = Machine("registry", 0)
         self.registry_host = RegistryHost(
-            ground,
+            environment,
             self.registry,
             self._registry_machine,
             self.agents.__getitem__,
@@ -143,11 +149,11 @@
     def _add(self, b: Backend, kind: str, suffix: str = "") -> BackendHost:
         machine = Machine(f"backend {b.number}", b.zone)
         host = BackendHost(
-            self.ground,
+            self.environment,
             self.world,
             b,
             machine,
-            stream(self._seed, "backend", b.number),
+            random_stream(self._seed, "backend", b.number),
             self._asked,
             self._fell,
         )
@@ -156,7 +162,7 @@
             Entry(
                 f"b-{b.number:04x}{suffix}",
                 b.number,
-                text(self.ground.addresses.backend(b.number)),
+                text(self.environment.addresses.backend(b.number)),
                 self.world.zones[b.zone],
                 kind,
                 b.cell,
@@ -172,70 +178,74 @@
             agent = self._agent_of[int(call, 16)]
         except (ValueError, IndexError):
             return None
-        return self.clients[agent].names.get(name)
+        return self.clients[agent].open_requests.get(name)
 
     # From start to end.
 
     async def play(self) -> None:
         """All of it; the ledger holds what happened."""
-        ground, world = self.ground, self.world
-        facts = {**plain(world), "seed": self._seed, "mode": "", "measure": []}
-        ground.ledger.note(books.WORLD, ground.now(), facts)
+        environment, world = self.environment, self.world
+        facts = {**world_to_dict(world), "seed": self._seed, "mode": "", "measure": []}
+        environment.ledger.add_record(record_kinds.WORLD, environment.now(), facts)
         for host in self.hosts:
             await self._serve(host)
             host.boot(cold=False)
             self.registry.set(self.entries[host.backend.number])
         for n in range(world.agents):
-            await ground.serve(
-                ground.addresses.registry(n),
+            await environment.serve(
+                environment.addresses.registry(n),
                 self._registry_machine,
-                lambda n=n: RegistryLine(self.registry_host, n),
+                lambda n=n: RegistryConnection(self.registry_host, n),
             )  # type: ignore[misc]
         for first in range(0, world.agents, 16):
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
         calls = arrivals(world, self._seed)
         self._agent_of = [a.agent for a in calls]
-        begin = ground.now()
-        loop = ground.loop
+        begin = environment.now()
+        loop = environment.loop
         self._make_trouble()
-        loop.call_later(SAMPLE / 1000, self._sample)
+        loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
         for number, arrival in enumerate(calls):
-            wait = begin + arrival.at - ground.now()
+            wait = begin + arrival.at - environment.now()
             if wait > 0:
                 await asyncio.sleep(wait / 1000)
-            self.clients[arrival.agent].ask(number, arrival)
+            self.clients[arrival.agent].send_request(number, arrival)
             if self._progress and number % 64 == 0:
                 self._progress(arrival.at)
         longest = max(p.timeout for p in world.products)
-        await asyncio.sleep(max(0.0, begin + world.length - ground.now()) / 1000 + SETTLES * longest / 1000)
+        await asyncio.sleep(
+            max(0.0, begin + world.length - environment.now()) / 1000 + SETTLES * longest / 1000
+        )
 
     async def _serve(self, host: BackendHost) -> None:
-        address = self.ground.addresses.backend(host.backend.number)
-        await self.ground.serve(address, host.machine, lambda: BackendLine(host))
+        address = self.environment.addresses.backend(host.backend.number)
+        await self.environment.serve(address, host.machine, lambda: BackendConnection(host))
 
     async def _start_agent(self, n: int) -> None:
         self.agents[n] += 1
-        life = self.agents[n]
-        self.clients[n].life = life
-        known = self.registry.whole()
-        raw = self._told(n, self._raw(n, life))
-        self.registry_host.told(n, self.registry.version, known, True)
-        self.ground.ledger.note(books.AGENT, self.ground.now(), n, life, "started")
+        incarnation = self.agents[n]
+        self.clients[n].incarnation = incarnation
+        known = self.registry.listed_entries()
+        raw = self._told(n, self._raw(n, incarnation))
+        self.registry_host.record_listing(n, self.registry.version, known, True)
+        self.environment.ledger.add_record(
+            record_kinds.AGENT, self.environment.now(), n, incarnation, "started"
+        )
         async with asyncio.timeout(READY_WITHIN):
-            await self.ground.start_agent(
-                n, life, raw, lambda: self._ended(n, life), self._ahead[n], self._drift[n]
+            await self.environment.start_agent(
+                n, incarnation, raw, lambda: self._ended(n, incarnation), self._ahead[n], self._drift[n]
             )
         self.up.add(n)
         self._begins.discard(n)
 
-    def _raw(self, n: int, life: int) -> dict[str, Any]:
+    def _raw(self, n: int, incarnation: int) -> dict[str, Any]:
         """What an agent is told at its start."""
-        known, at = self.registry.whole(), self.ground.addresses
+        known, at = self.registry.listed_entries(), self.environment.addresses
         raw = {
             "name": f"agent-{n}",
             "listen": text(at.agent(n)),
             "discovery": text(at.registry(n)),
-            "seed": f"{int(stream(self._seed, 'agent', n, life).integers(1 << 48)):x}",
+            "seed": f"{int(random_stream(self._seed, 'agent', n, incarnation).integers(1 << 48)):x}",
             "limits": {"sockets": self.world.sockets},
             "known": {
                 "rev": self.registry.version,
@@ -251,43 +261,50 @@
                 "peers": [text(at.peer(i)) for i in range(self.world.agents)],
             }
         if self.world.store:
-            raw["store"] = {"file": self.ground.carried(n)} | ({"ran": True} if self.world.ran else {})
+            raw["store"] = {"file": self.environment.carried(n)} | ({"ran": True} if self.world.ran else {})
         if self.world.in_touch:
             raw["fleet"] = {"beat_ms": BEAT, "ask_ms": ASK, "share_ms": self.world.share}
         if self.world.carry:
-            raw["carry"] = {"file": self.ground.carried(n), "most_age_s": self.world.carry}
+            raw["carry"] = {"file": self.environment.carried(n), "most_age_s": self.world.carry}
         return raw
 
     def _told(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
         """What an agent is told at its start, where others than the stage stand between it and its peers."""
         return raw
 
-    def _ended(self, n: int, life: int) -> None:
-        self.ground.ledger.note(books.AGENT, self.ground.now(), n, life, "ended")
+    def _ended(self, n: int, incarnation: int) -> None:
+        self.environment.ledger.add_record(
+            record_kinds.AGENT, self.environment.now(), n, incarnation, "ended"
+        )
         self._stopping.discard(n)
         if n in self._again:
             self._again.discard(n)
             self._revive(n)
 
     def _sample(self) -> None:
-        now = self.ground.now()
+        now = self.environment.now()
         for host in self.hosts:
             host.step()
             b = host.backend
             if b.up:
-                self.ground.ledger.note(
-                    books.LOAD, now, b.number, len(b.running), len(b.queue), round(b.part(now), 3)
+                self.environment.ledger.add_record(
+                    record_kinds.LOAD,
+                    now,
+                    b.number,
+                    len(b.running),
+                    len(b.queue),
+                    round(b.warm_fraction(now), 3),
                 )
-        pools = self.ground.pools()
+        pools = self.environment.pools()
         if pools:
-            self.ground.ledger.note(books.POOLS, now, sorted(pools.items()))
-        self.ground.loop.call_later(SAMPLE / 1000, self._sample)
+            self.environment.ledger.add_record(record_kinds.POOLS, now, sorted(pools.items()))
+        self.environment.loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
 
     # Troubles.
 
     def _make_trouble(self) -> None:
         """All of it, when it is due from now."""
-        loop = self.ground.loop
+        loop = self.environment.loop
         for number, trouble in enumerate(self.world.troubles):
             targets = self._targets(number, trouble)
             if trouble.kind == "registry-older":
@@ -300,30 +317,34 @@
 
     def _targets(self, number: int, trouble: Trouble) -> list[int]:
         """What it strikes: what the world names, else drawn."""
-        if trouble.names:
-            return list(trouble.names)
+        if trouble.targets:
+            return list(trouble.targets)
         pool = {"backends": len(self.hosts), "agents": self.world.agents, "zones": len(self.world.zones)}
-        total = pool.get(trouble.strikes, 0)
+        total = pool.get(trouble.target_kind, 0)
         if not total:
             return []
-        wanted = max(1, round(trouble.share * total)) if trouble.strikes != "zones" else 1
-        chance = stream(self._seed, "trouble", number)
+        wanted = max(1, round(trouble.share * total)) if trouble.target_kind != "zones" else 1
+        chance = random_stream(self._seed, "trouble", number)
         return sorted(int(n) for n in chance.permutation(total)[:wanted])
 
     def _begin(self, number: int, trouble: Trouble, targets: list[int]) -> None:
-        self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "begins", targets)
+        self.environment.ledger.add_record(
+            record_kinds.TROUBLE, self.environment.now(), number, trouble.kind, "begins", targets
+        )
         self._strike(trouble, targets, True)
-        self.ground.loop.call_later(trouble.length / 1000, self._end, number, trouble, targets)
+        self.environment.loop.call_later(trouble.length / 1000, self._end, number, trouble, targets)
 
     def _end(self, number: int, trouble: Trouble, targets: list[int]) -> None:
-        self.ground.ledger.note(books.TROUBLE, self.ground.now(), number, trouble.kind, "ends", targets)
+        self.environment.ledger.add_record(
+            record_kinds.TROUBLE, self.environment.now(), number, trouble.kind, "ends", targets
+        )
         self._strike(trouble, targets, False)
 
     def _strike(self, trouble: Trouble, targets: list[int], on: bool) -> None:
         strike = getattr(self, "_" + trouble.kind.replace("-", "_"), None)
         if strike is not None:
             strike(trouble, targets, on)
-            self.registry_host.mended()
+            self.registry_host.release_held()
 
     def _each(self, targets: list[int], change: Callable[[BackendHost], None]) -> None:
         for n in targets:
@@ -367,7 +388,7 @@
 
     def _apart(self, t: Trouble, targets: list[int], on: bool, both: bool = True) -> None:
         number, total = self.world.troubles.index(t), self.world.agents
-        some = stream(self._seed, "apart", number).permutation(total)[: round(t.strength * total)]
+        some = random_stream(self._seed, "apart", number).permutation(total)[: round(t.strength * total)]
         pairs = [
             (self.hosts[b].machine.name, self._client_machines[int(n)].name) for b in targets for n in some
         ]
@@ -375,9 +396,9 @@
         for pair in pairs:
             # Counted, so that one of two troubles that part the same pair doesn't heal the other's.
             self._parted[pair] += 1 if on else -1
-        self.ground.paths.parted = {pair for pair, times in self._parted.items() if times}
+        self.environment.paths.blocked_pairs = {pair for pair, times in self._parted.items() if times}
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
 
     def _apart_one_way(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._apart(t, targets, on, both=False)
@@ -385,14 +406,14 @@
     def _thief(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._set(targets, "stolen", t.strength if on else 0.0)
         if on:
-            until = self.ground.now() + t.length
+            until = self.environment.now() + t.length
 
             def turn(now_on: bool) -> None:
-                if self.ground.now() < until - 1:
+                if self.environment.now() < until - 1:
                     self._set(targets, "stolen", t.strength if now_on else 0.0)
-                    self.ground.loop.call_later(THIEF / 2000, turn, not now_on)
+                    self.environment.loop.call_later(THIEF / 2000, turn, not now_on)
 
-            self.ground.loop.call_later(THIEF / 2000, turn, False)
+            self.environment.loop.call_later(THIEF / 2000, turn, False)
 
     def _vanish(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -401,44 +422,48 @@
             if not on:
                 host.reset()  # what was open is reset when it is back
             else:
-                self._later(self.world.registry.silent_lag, self._unlist_lost, n, host.backend.life)
+                self._later(self.world.registry.silent_lag, self._unlist_lost, n, host.backend.incarnation)
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
             for n in targets:
                 self._announce(n, state="Ready")
 
-    def _unlist_lost(self, n: int, life: int) -> None:
+    def _unlist_lost(self, n: int, incarnation: int) -> None:
         host = self.hosts[n]
-        if host.backend.life == life and (host.machine.vanished or not host.backend.up):
+        if host.backend.incarnation == incarnation and (host.machine.vanished or not host.backend.up):
             self._list(n, state="Gone")
 
     def _cut(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.cut = (
-            self.ground.paths.cut | set(targets) if on else self.ground.paths.cut - set(targets)
+        self.environment.paths.cut_zones = (
+            self.environment.paths.cut_zones | set(targets)
+            if on
+            else self.environment.paths.cut_zones - set(targets)
         )
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
 
     def _cut_reset(self, t: Trouble, targets: list[int], on: bool) -> None:
-        refused = self.ground.paths.refused
-        self.ground.paths.refused = refused | set(targets) if on else refused - set(targets)
-        self.ground.refused()
+        refused = self.environment.paths.reset_zones
+        self.environment.paths.reset_zones = refused | set(targets) if on else refused - set(targets)
+        self.environment.reset_refused()
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
 
     def _datagrams_doubled(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.doubled = t.strength if on else 0.0
+        self.environment.paths.duplicate_share = t.strength if on else 0.0
 
     def _datagrams_late(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.late, self.ground.paths.late_by = (t.share, t.strength) if on else (0.0, 0.0)
+        self.environment.paths.delayed_share, self.environment.paths.delay_ms = (
+            (t.share, t.strength) if on else (0.0, 0.0)
+        )
 
     def _loss(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self.ground.paths.loss = t.strength if on else self.world.network.loss
+        self.environment.paths.loss = t.strength if on else self.world.network.loss
 
     # Backends that come and go.
 
     def _later(self, lag: Any, what: Callable[..., None], *args: Any) -> None:
-        self.ground.loop.call_later(lag.at(float(self._chance.random())) / 1000, what, *args)
+        self.environment.loop.call_later(lag.at(float(self._chance.random())) / 1000, what, *args)
 
     def _announce(self, n: int, **changed: Any) -> None:
         """The registry gets to know it after its lag."""
@@ -472,40 +497,62 @@
         host = self.hosts[n]
         host.die()
         b = host.backend
-        self.ground.ledger.note(
-            books.STATE, self.ground.now(), n, b.life, "Gone", 0.0, 0.0, 0.0, b.zone, b.cell
+        self.environment.ledger.add_record(
+            record_kinds.STATE,
+            self.environment.now(),
+            n,
+            b.incarnation,
+            "Gone",
+            0.0,
+            0.0,
+            0.0,
+            b.zone,
+            b.cell,
         )
 
     def _return(self, n: int) -> None:
         self.hosts[n].boot(cold=True)
-        self._announce(n, state="Ready", boot=int(self.ground.now()))
+        self._announce(n, state="Ready", boot=int(self.environment.now()))
 
     def _fell(self, host: BackendHost) -> None:
         """Pushed over: it stays down."""
         host.backend.up = False
-        self.ground.loop.call_soon(self._die, host.backend.number)
-        self._later(self.world.registry.silent_lag, self._unlist_lost, host.backend.number, host.backend.life)
+        self.environment.loop.call_soon(self._die, host.backend.number)
+        self._later(
+            self.world.registry.silent_lag, self._unlist_lost, host.backend.number, host.backend.incarnation
+        )
 
     def _crash(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on and self.hosts[n].backend.up:
                 self._die(n)
-                self._later(self.world.registry.silent_lag, self._unlist_lost, n, self.hosts[n].backend.life)
-            elif not on and not self.hosts[n].backend.fallen:
+                self._later(
+                    self.world.registry.silent_lag, self._unlist_lost, n, self.hosts[n].backend.incarnation
+                )
+            elif not on and not self.hosts[n].backend.crashed:
                 self._return(n)
 
     def _drain(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on:
                 b = self.hosts[n].backend
-                self.ground.ledger.note(
-                    books.STATE, self.ground.now(), n, b.life, "Terminating", 0.0, 0.0, 0.0, b.zone, b.cell
+                self.environment.ledger.add_record(
+                    record_kinds.STATE,
+                    self.environment.now(),
+                    n,
+                    b.incarnation,
+                    "Terminating",
+                    0.0,
+                    0.0,
+                    0.0,
+                    b.zone,
+                    b.cell,
                 )
                 self._announce(n, state="Terminating")
             else:
                 self._die(n)
                 self._list(n, state="Gone")
-                self.ground.loop.call_later(UNDRAINED, self._return, n)
+                self.environment.loop.call_later(UNDRAINED, self._return, n)
 
     def _replace(self, t: Trouble, targets: list[int], on: bool) -> None:
         """As a deployment does: it drains, and another machine under another name takes its place."""
@@ -516,8 +563,8 @@
             self._die(n)
             self._list(n, state="Gone")
             old = self.entries[n]
-            self.entries[n] = replace(old, uid=f"{old.uid}-{self.hosts[n].backend.life}")
-            self.ground.loop.call_later(UNDRAINED, self._return, n)
+            self.entries[n] = replace(old, uid=f"{old.uid}-{self.hosts[n].backend.incarnation}")
+            self.environment.loop.call_later(UNDRAINED, self._return, n)
 
     # The registry and the agents.
 
@@ -527,7 +574,7 @@
         else:
             self.registry.up = True
             self._learn_missed()
-        self.ground.shut(self._registry_machine, on)
+        self.environment.set_refusing(self._registry_machine, on)
 
     def _registry_back(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._registry_down(t, targets, on)
@@ -535,7 +582,7 @@
             self.registry.restart(self.world.registry.restart_version)
 
     def _keep_list(self, number: int) -> None:
-        self._lists[number] = self.registry.copy()
+        self._lists[number] = self.registry.snapshot()
 
     def _registry_older(self, t: Trouble, targets: list[int], on: bool) -> None:
         self._registry_down(t, targets, on)
@@ -545,7 +592,7 @@
     def _sleep_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if on and n in self.up:
-                self.ground.hold_agent(n, t.length)
+                self.environment.pause_agent(n, t.length)
 
     def _twin_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -554,29 +601,29 @@
             if on:
                 self._twinned[n] = t
                 # Where nobody sends and with a registry that refuses: what it can touch is the disk.
-                where = self.ground.addresses.twin(n)
+                where = self.environment.addresses.twin(n)
                 raw = self._told(n, self._raw(n, 0)) | {
                     "listen": text(where),
                     "discovery": text((where[0], NOBODY)),
                 }
                 if "peer_listen" in raw:
                     raw["peer_listen"] = text((where[0], where[1] + 1))
-                self._run(self.ground.start_twin(n, raw))
+                self._run(self.environment.start_twin(n, raw))
             elif self._twinned[n] is t:
                 del self._twinned[n]
-                self.ground.stop_twin(n)
+                self.environment.stop_twin(n)
 
     def _deaf_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._unheard(self.ground.paths.deaf, targets, on)
+        self._unheard(self.environment.paths.not_receiving, targets, on)
 
     def _dumb_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._unheard(self.ground.paths.dumb, targets, on)
+        self._unheard(self.environment.paths.not_sending, targets, on)
 
     def _unheard(self, struck: set[Machine], targets: list[int], on: bool) -> None:
         machines = {self._client_machines[n] for n in targets}
         struck.update(machines) if on else struck.difference_update(machines)
         if not on:
-            self.ground.mended()
+            self.environment.release_held()
 
     def _clock_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
@@ -586,50 +633,52 @@
 
     def _disk_torn(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            text = self.ground.disk(n).copy()
+            text = self.environment.disk(n).copy()
             if text is not None:
-                self.ground.disk(n).put(text[: int(t.strength * len(text))])
+                self.environment.disk(n).put(text[: int(t.strength * len(text))])
 
     def _disk_lost(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            self.ground.disk(n).lose_power()
+            self.environment.disk(n).lose_power()
 
     def _disk_other(self, t: Trouble, targets: list[int], on: bool) -> None:
-        copies = {n: self.ground.disk((n + 1) % self.world.agents).copy() for n in targets} if on else {}
+        copies = {n: self.environment.disk((n + 1) % self.world.agents).copy() for n in targets} if on else {}
         for n, text in copies.items():
-            self.ground.disk(n).put(text)
+            self.environment.disk(n).put(text)
 
     def _disk_older(self, t: Trouble, targets: list[int], on: bool) -> None:
         copies = self._copies.pop(self.world.troubles.index(t), {}) if on else {}
         for n, text in copies.items():
-            self.ground.disk(n).put(text)
+            self.environment.disk(n).put(text)
 
     def _keep_disks(self, number: int, targets: list[int]) -> None:
-        self._copies[number] = {n: self.ground.disk(n).copy() for n in targets}
+        self._copies[number] = {n: self.environment.disk(n).copy() for n in targets}
 
     def _disk_stuck(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
-            self.ground.disk(n).stuck = on
+            self.environment.disk(n).stuck = on
 
     def _disk_hangs(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets if on else ():
-            self.ground.disk(n).hang(t.length)
+            self.environment.disk(n).hang(t.length)
 
     def _drift_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             self._drift[n] = t.strength if on else 0.0
 
     def _restart_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._down_and_up(targets, on, "stopping", self.ground.stop_agent)
+        self._down_and_up(targets, on, "stopping", self.environment.stop_agent)
 
     def _kill_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
-        self._down_and_up(targets, on, "killed", self.ground.kill_agent)
+        self._down_and_up(targets, on, "killed", self.environment.kill_agent)
 
     def _down_and_up(self, targets: list[int], on: bool, how: str, act: Callable[[int], None]) -> None:
         for n in targets:
             killed = how == "killed"
             if on and (n in self.up or (killed and n in self._stopping)):
-                self.ground.ledger.note(books.AGENT, self.ground.now(), n, self.agents[n], how)
+                self.environment.ledger.add_record(
+                    record_kinds.AGENT, self.environment.now(), n, self.agents[n], how
+                )
                 self.up.discard(n)
                 self._again.discard(n)
                 (self._stopping.discard if killed else self._stopping.add)(n)
@@ -646,20 +695,20 @@
             self._run(self._start_agent(n))
 
     def _run(self, start: Coroutine[Any, Any, None]) -> None:
-        task = self.ground.loop.create_task(start)
+        task = self.environment.loop.create_task(start)
         self._starting[task] = None
         task.add_done_callback(lambda done: self._starting.pop(done, None))
 
     def _busy_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         if not on:
             return
-        until = self.ground.now() + t.length
+        until = self.environment.now() + t.length
 
         def again() -> None:
-            if self.ground.now() < until:
+            if self.environment.now() < until:
                 for n in targets:
                     if n in self.up:
-                        self.ground.hold_agent(n, t.strength)
-                self.ground.loop.call_later(BUSY_EVERY / 1000, again)
+                        self.environment.pause_agent(n, t.strength)
+                self.environment.loop.call_later(BUSY_EVERY / 1000, again)
 
         again()
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -19,14 +19,20 @@
 
 from lupinreach.bed.peers.clients import ClientHost
 from lupinreach.bed.peers.registry import Entry, Registry
-from lupinreach.bed.peers.servers import SAMPLE, BackendHost, BackendLine, RegistryHost, RegistryLine
+from lupinreach.bed.peers.servers import (
+    LOAD_SAMPLE_INTERVAL_MS,
+    BackendConnection,
+    BackendHost,
+    RegistryConnection,
+    RegistryHost,
+)
 from lupinreach.bed.ways.loopback import BACKLOG, LoopbackGround
 from lupinreach.bed.ways.stage import draw
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world import spec as beds
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.ledger import Ledger
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.traffic import arrivals
 from lupinreach.config import Address
 from lupinreach.trial.rig.late import Lateness
@@ -40,7 +46,7 @@
 class HostGround(LoopbackGround):
     """Sockets as they are: what is between machines is the relay's matter, and so is when agents send."""
 
-    exact = True
+    sees_agent_traffic = True
 
     def __init__(self, world: beds.World, seed: int, places: Places, begin: float, folder: Path) -> None:
         super().__init__(world, seed, folder)
@@ -66,8 +72,8 @@
         self.mine = order["mine"]  # numbers of the agents or backends that are this process's
         self.places = Places(order["port"])
         self.folder = Path(order["folder"])
-        self.ground = HostGround(self.world, self.seed, self.places, order["begin"], self.folder)
-        self.loop = self.ground.loop
+        self.environment = HostGround(self.world, self.seed, self.places, order["begin"], self.folder)
+        self.loop = self.environment.loop
         self.calls = arrivals(self.world, self.seed)
 
     async def open(self) -> None:
@@ -94,34 +100,34 @@
         for b in draw(self.world, self.seed).backends:
             if b.number in self.mine:
                 host = BackendHost(
-                    self.ground,
+                    self.environment,
                     self.world,
                     b,
                     Machine(f"backend {b.number}", b.zone),
-                    stream(self.seed, "backend", b.number),
+                    random_stream(self.seed, "backend", b.number),
                     self.asked,
                     self._fell,
                 )
                 self.hosts[b.number] = host
-                await self.ground.serve(
-                    self.places.backend(b.number), host.machine, lambda host=host: BackendLine(host)
+                await self.environment.serve(
+                    self.places.backend(b.number), host.machine, lambda host=host: BackendConnection(host)
                 )  # type: ignore[misc]
-        self.loop.call_later(SAMPLE / 1000, self._sample)
+        self.loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
 
     def _fell(self, host: BackendHost) -> None:
         host.die()
         say({"event": "fell", "backend": host.backend.number})
 
     def _sample(self) -> None:
-        now = self.ground.now()
+        now = self.environment.now()
         for n, host in self.hosts.items():
             host.step()
             b = host.backend
             if b.up:
-                self.ground.ledger.note(
-                    books.LOAD, now, n, len(b.running), len(b.queue), round(b.part(now), 3)
+                self.environment.ledger.add_record(
+                    record_kinds.LOAD, now, n, len(b.running), len(b.queue), round(b.warm_fraction(now), 3)
                 )
-        self.loop.call_later(SAMPLE / 1000, self._sample)
+        self.loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample)
 
     async def do_boot(self, backend: int, cold: bool) -> None:
         self.hosts[backend].boot(cold)
@@ -158,13 +164,15 @@
         self.registry = Registry()
         agents = [Machine(f"agent {n}", n % len(self.world.zones)) for n in range(self.world.agents)]
         self.host = EndpointsFor(
-            self.ground, self.registry, machine, lambda _: 0, agents.__getitem__, self.world.registry
+            self.environment, self.registry, machine, lambda _: 0, agents.__getitem__, self.world.registry
         )
         self.host.places = self.places
         self.machine = machine
         self.machines = {m.name: m for m in (machine, *agents)}
         for n in range(self.world.agents):
-            await self.ground.serve(self.places.registry(n), machine, lambda n=n: RegistryLine(self.host, n))  # type: ignore[misc]
+            await self.environment.serve(
+                self.places.registry(n), machine, lambda n=n: RegistryConnection(self.host, n)
+            )  # type: ignore[misc]
 
     async def do_plane(
         self,
@@ -176,10 +184,16 @@
         **_: Any,
     ) -> None:
         """Whom its word reaches now: what a relay holds back was told to nobody yet."""
-        some, paths = self.machines, self.ground.paths
-        paths.cut, paths.refused, paths.parted = set(cut), set(refused), {(a, b) for a, b in parted}
-        paths.deaf, paths.dumb = ({some[n] for n in names if n in some} for names in (deaf, dumb))
-        self.host.mended()
+        some, paths = self.machines, self.environment.paths
+        paths.cut_zones, paths.reset_zones, paths.blocked_pairs = (
+            set(cut),
+            set(refused),
+            {(a, b) for a, b in parted},
+        )
+        paths.not_receiving, paths.not_sending = (
+            {some[n] for n in names if n in some} for names in (deaf, dumb)
+        )
+        self.host.release_held()
 
     async def do_hold(self, version: int, up: bool, entries: list[list[Any]]) -> None:
         """All that the registry is to know from now on."""
@@ -189,7 +203,7 @@
         if registry.up and not up:
             self.host.down()
         registry.up = up
-        self.ground.shut(self.machine, not up)
+        self.environment.set_refusing(self.machine, not up)
         if up:
             self.host.changed()
 
@@ -199,21 +213,21 @@
 
     async def open(self) -> None:
         self.hosts = {
-            n: ClientHost(self.ground, self.world, n, Machine(f"agent {n}", 0), self.places.front(n))
+            n: ClientHost(self.environment, self.world, n, Machine(f"agent {n}", 0), self.places.front(n))
             for n in self.mine
         }
 
     async def do_begin(self, at: float) -> None:
-        self.ground._spawn(self._ask(at))
+        self.environment._spawn(self._ask(at))
 
     async def _ask(self, at: float) -> None:
         mine = [(i, a) for i, a in enumerate(self.calls) if a.agent in self.hosts]
         for number, arrival in mine:
             await self._until(at + arrival.at)
-            self.hosts[arrival.agent].ask(number, arrival)
+            self.hosts[arrival.agent].send_request(number, arrival)
 
     async def _until(self, at: float) -> None:
-        wait = at - self.ground.now()
+        wait = at - self.environment.now()
         if wait > 0:
             await asyncio.sleep(wait / 1000)
 
@@ -228,9 +242,9 @@
             network.cross,
             network.jitter,
             network.loss,
-            stream(self.seed, "paths", *self.mine[:1]),
+            random_stream(self.seed, "paths", *self.mine[:1]),
         )
-        self.plane = Plane(paths, stream(self.seed, "relay", *self.mine[:1]))
+        self.plane = Plane(paths, random_stream(self.seed, "relay", *self.mine[:1]))
         places, self.machines = self.places, {"registry": Machine("registry", 0)}
         backends = [(b.number, b.zone) for b in draw(self.world, self.seed).backends]
         for n in range(self.world.agents):
@@ -265,11 +279,11 @@
                             await self.posts.pair(n, other, places.peer_for(n, other))
 
     def _passed(self, what: str, name: str) -> None:
-        self.ground.ledger.note(what, self.ground.now(), name)
+        self.environment.ledger.add_record(what, self.environment.now(), name)
 
     def _sent(self, name: str, agent: int, backend: int) -> None:
         # As it leaves the agent: what a cut holds back for seconds was sent in time.
-        self.ground.ledger.note(books.SENT, self.ground.now(), agent, 0, backend, name)
+        self.environment.ledger.add_record(record_kinds.SENT, self.environment.now(), agent, 0, backend, name)
 
     async def do_plane(
         self,
@@ -284,18 +298,21 @@
     ) -> None:
         """How all links are from now on."""
         paths = self.plane.paths
-        paths.doubled, paths.late, paths.late_by = posts
-        if paths.refused != set(refused):
-            paths.refused = set(refused)
+        paths.duplicate_share, paths.delayed_share, paths.delay_ms = posts
+        if paths.reset_zones != set(refused):
+            paths.reset_zones = set(refused)
             await self.plane.doors(lambda near, far: near.zone != far.zone)
-        paths.parted = {(a, b) for a, b in parted}
-        paths.cut, paths.loss = set(cut), loss
-        paths.deaf, paths.dumb = {self.machines[n] for n in deaf}, {self.machines[n] for n in dumb}
+        paths.blocked_pairs = {(a, b) for a, b in parted}
+        paths.cut_zones, paths.loss = set(cut), loss
+        paths.not_receiving, paths.not_sending = (
+            {self.machines[n] for n in deaf},
+            {self.machines[n] for n in dumb},
+        )
         for name, machine in self.machines.items():
             new = {"vanished": False, "breaks": 0.0, "slower": 0.0, "narrow": 0.0} | machines.get(name, {})
             for key, value in new.items():
                 setattr(machine, key, value)
-        self.plane.mended()
+        self.plane.release_held()
 
     async def do_shut(self, name: str, on: bool) -> None:
         await self.plane.shut(name, on)
@@ -341,9 +358,9 @@
             break
         await host.do(order)
     watching.cancel()
-    ledger = host.ground.ledger
+    ledger = host.environment.ledger
     for what in faults:
-        ledger.note(books.FAULT, host.ground.now(), f"{first['role']}: {what}")
+        ledger.add_record(record_kinds.FAULT, host.environment.now(), f"{first['role']}: {what}")
     ledger.save(Path(first["ledger"]))
     say({"event": "ended", "late": late.told()})
     return 0
--- a/lupinreach/trial/rig/relay.py
+++ b/lupinreach/trial/rig/relay.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from lupinreach.bed.world.chance import Stream
 from lupinreach.bed.world.ledger import REACHED, REPLIED
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import RandomStream
 from lupinreach.config import Address
 
 BACKLOG = 256
@@ -58,7 +58,7 @@
         took = plane.paths.delay(*self._ends) / 1000
         self._due = (
             max(self._due, plane.loop.time() + took)
-            + plane.paths.passing(*self._ends, len(piece or b"")) / 1000
+            + plane.paths.transmission_ms(*self._ends, len(piece or b"")) / 1000
         )
         plane.loop.call_at(self._due, self._deliver, piece)
 
@@ -198,7 +198,7 @@
 class Plane:
     """All links of some agents."""
 
-    def __init__(self, paths: Paths, chance: Stream) -> None:
+    def __init__(self, paths: Paths, chance: RandomStream) -> None:
         self.loop = asyncio.get_running_loop()
         self.paths = paths
         self.chance = chance
@@ -242,14 +242,14 @@
         """A machine's process is gone: connections to it are refused, those that it had are reset."""
         for _, _, far, *_ in self._doors:
             if far.name == name:
-                far.shut = on
+                far.refusing = on
         await self.doors(lambda near, far: far.name == name)
 
     async def doors(self, some: Callable[[Machine, Machine], bool] = lambda near, far: True) -> None:
         """Bring those doors and links to what the machines and paths are now."""
         for at, near, far, address, book, sent in self._doors:
             if some(near, far):
-                if not (far.shut or self.paths.refuses(near, far)):
+                if not (far.refusing or self.paths.refuses(near, far)):
                     await self._unlock(at, near, far, address, book, sent)
                 elif at in self._open:
                     self._open.pop(at).close()
@@ -257,11 +257,11 @@
                     0
                 )  # guards against a relay that stands still while a whole fleet comes and goes
         for link in [link for link in self.links if some(link.near, link.far)]:
-            if link.far.shut or self.paths.refuses(link.near, link.far):
+            if link.far.refusing or self.paths.refuses(link.near, link.far):
                 link.reset()
                 await asyncio.sleep(0)
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Something can be reached again: what was held goes on."""
         held, self.waiting = list(self.waiting), {}
         for way in held:
@@ -322,5 +322,5 @@
         socket_of = self._from.get((other, agent))
         if socket_of is None:
             return
-        for took in plane.paths.datagram(self._machines(agent), self._machines(other)):
+        for took in plane.paths.datagram_delays(self._machines(agent), self._machines(other)):
             plane.loop.call_later(took / 1000, socket_of.sendto, data, self._peer(other))
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -24,10 +24,10 @@
 from lupinreach.bed.ways.loopback import ENDS_WITHIN, LoopbackGround, free_port
 from lupinreach.bed.ways.stage import SETTLES, Stage, text
 from lupinreach.bed.ways.stopping import until_stopped
-from lupinreach.bed.world import ledger as books
+from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world.ledger import Ledger, Record
 from lupinreach.bed.world.network import Machine
-from lupinreach.bed.world.spec import Trouble, World, plain
+from lupinreach.bed.world.spec import Trouble, World, world_to_dict
 from lupinreach.trial.rig.late import Lateness
 from lupinreach.trial.rig.places import MOST_AGENTS, MOST_BACKENDS, Places
 
@@ -111,33 +111,33 @@
 class RemoteBackend:
     """What the stage acts on; the backend itself is in a process of the rig."""
 
-    def __init__(self, ground: RigGround, backend: Backend, machine: Machine) -> None:
-        self._ground = ground
+    def __init__(self, environment: RigGround, backend: Backend, machine: Machine) -> None:
+        self._environment = environment
         self.backend = backend
         self.machine = machine
         self._told: dict[str, float] = {}
 
     def boot(self, cold: bool) -> None:
         b = self.backend
-        b.boot(self._ground.now(), cold)
-        self._ground.tell_backend(b.number, {"do": "boot", "backend": b.number, "cold": cold})
-        self._ground.tell_relays({"do": "shut", "name": self.machine.name, "on": False})
+        b.boot(self._environment.now(), cold)
+        self._environment.tell_backend(b.number, {"do": "boot", "backend": b.number, "cold": cold})
+        self._environment.tell_relays({"do": "shut", "name": self.machine.name, "on": False})
         self.step()
 
     def step(self) -> None:
         b = self.backend
         now = {name: getattr(b, name) for name in TOLD_OF} | {"resets": self.machine.resets}
         if now != self._told and self._told:
-            self._ground.tell_backend(b.number, {"do": "set", "backend": b.number, "what": now})
+            self._environment.tell_backend(b.number, {"do": "set", "backend": b.number, "what": now})
         self._told = now
 
     def die(self) -> None:
-        self.backend.die(self._ground.now())
-        self._ground.tell_relays({"do": "shut", "name": self.machine.name, "on": True})
-        self._ground.tell_backend(self.backend.number, {"do": "die", "backend": self.backend.number})
+        self.backend.die(self._environment.now())
+        self._environment.tell_relays({"do": "shut", "name": self.machine.name, "on": True})
+        self._environment.tell_backend(self.backend.number, {"do": "die", "backend": self.backend.number})
 
     def reset(self) -> None:
-        self._ground.tell_backend(self.backend.number, {"do": "reset", "backend": self.backend.number})
+        self._environment.tell_backend(self.backend.number, {"do": "reset", "backend": self.backend.number})
 
 
 class RemoteRegistry:
@@ -148,8 +148,8 @@
 
     def changed(self) -> None:
         registry = self._stage.registry
-        held = [[version, vars(entry)] for version, entry in registry.copy().values()]
-        self._stage.ground.tell_registry(
+        held = [[version, vars(entry)] for version, entry in registry.snapshot().values()]
+        self._stage.environment.tell_registry(
             {"do": "hold", "version": registry.version, "up": registry.up, "entries": held}
         )
 
@@ -157,14 +157,14 @@
         self._stage.registry.up = False
         self.changed()
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Told with the plane."""
 
-    def told(self, agent: int, version: int, entries: list[Entry], whole: bool) -> None:
-        ground = self._stage.ground
-        ground.ledger.note(
-            books.TOLD,
-            ground.now(),
+    def record_listing(self, agent: int, version: int, entries: list[Entry], whole: bool) -> None:
+        environment = self._stage.environment
+        environment.ledger.add_record(
+            record_kinds.TOLD,
+            environment.now(),
             agent,
             self._stage.agents[agent],
             version,
@@ -174,7 +174,7 @@
 
     def wire(self, agent: int, entry: Entry) -> dict[str, Any]:
         return entry.wire() | {
-            "endpoint": text(self._stage.ground.addresses.backend_for(agent, entry.backend))
+            "endpoint": text(self._stage.environment.addresses.backend_for(agent, entry.backend))
         }
 
 
@@ -202,13 +202,13 @@
 
         world = self._world
         self._processes = [
-            *(Process("backends", mine) for mine in shares(world.fleet, BACKENDS_EACH)),
+            *(Process("backends", mine) for mine in shares(world.backend_count, BACKENDS_EACH)),
             Process("registry", []),
             *(Process("clients", mine) for mine in shares(world.agents, CLIENTS_EACH)),
             *(Process("relay", mine) for mine in shares(world.agents, AGENTS_EACH)),
         ]
         order = {
-            "world": plain(world),
+            "world": world_to_dict(world),
             "seed": self._seed,
             "port": self.addresses.port,
             "begin": self.ledger._start,
@@ -229,7 +229,7 @@
             self.fell(event["backend"])
         elif event["event"] == "booted":
             self._booted.add(event["backend"])
-            if len(self._booted) == self._world.fleet:
+            if len(self._booted) == self._world.backend_count:
                 self.all_booted.set()
 
     def _each(self, role: str) -> list[Process]:
@@ -252,13 +252,13 @@
     async def serve(self, *_: Any) -> None:
         """Every server is in a process of its own."""
 
-    def shut(self, machine: Machine, on: bool) -> None:
+    def set_refusing(self, machine: Machine, on: bool) -> None:
         """Told by the stand-ins themselves."""
 
-    def mended(self) -> None:
+    def release_held(self) -> None:
         """Told with the plane as a whole."""
 
-    def refused(self) -> None:
+    def reset_refused(self) -> None:
         """So is this."""
 
     def kill_agent(self, number: int) -> None:
@@ -268,7 +268,7 @@
     async def start_agent(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         raw: dict[str, Any],
         ended: Callable[[], None],
         ahead: float = 0.0,
@@ -278,7 +278,7 @@
             self.tell_relays({"do": "shut", "name": f"agent {number}", "on": True})
             ended()
 
-        await super().start_agent(number, life, raw, over, ahead, drift)
+        await super().start_agent(number, incarnation, raw, over, ahead, drift)
         self.tell_relays({"do": "shut", "name": f"agent {number}", "on": False})
 
     async def close(self) -> None:
@@ -301,15 +301,17 @@
             if p.ledger is not None and p.ledger.exists():
                 booked = (tuple(orjson.loads(line)) for line in p.ledger.read_bytes().splitlines())
                 rows += [
-                    r for r in booked if r[0] == books.FAULT or r[1] <= (until - self.ledger._start) * 1000
+                    r
+                    for r in booked
+                    if r[0] == record_kinds.FAULT or r[1] <= (until - self.ledger._start) * 1000
                 ]
-        rows.sort(key=lambda r: (r[1], r[0] != books.AGENT))
+        rows.sort(key=lambda r: (r[1], r[0] != record_kinds.AGENT))
         lives: dict[int, int] = {}
         merged = Ledger(self.ledger._start)
         for r in rows:
-            if r[0] == books.AGENT and r[4] == "started":
+            if r[0] == record_kinds.AGENT and r[4] == "started":
                 lives[r[2]] = r[3]
-            elif r[0] in (books.SENT, books.TOLD) and not r[3]:
+            elif r[0] in (record_kinds.SENT, record_kinds.TOLD) and not r[3]:
                 r = (*r[:3], lives.get(r[2], 1), *r[4:])
             merged.records.append(r)
         merged.seal()
@@ -319,17 +321,17 @@
 class RigStage(Stage):
     """The stage with its peers elsewhere."""
 
-    ground: RigGround
+    environment: RigGround
 
-    def __init__(self, world: World, seed: int, ground: RigGround) -> None:
-        super().__init__(world, seed, ground)
+    def __init__(self, world: World, seed: int, environment: RigGround) -> None:
+        super().__init__(world, seed, environment)
         self.registry_host = RemoteRegistry(self)  # type: ignore[assignment]
-        ground.fell = lambda n: self._fell(self.hosts[n])
+        environment.fell = lambda n: self._fell(self.hosts[n])
 
     def _add(self, b: Backend, kind: str, suffix: str = "") -> Any:
         machine = Machine(f"backend {b.number}", b.zone)
-        self.hosts.append(RemoteBackend(self.ground, b, machine))  # type: ignore[arg-type]
-        address = self.ground.addresses.backend(b.number)
+        self.hosts.append(RemoteBackend(self.environment, b, machine))  # type: ignore[arg-type]
+        address = self.environment.addresses.backend(b.number)
         self.entries.append(
             Entry(
                 f"b-{b.number:04x}{suffix}",
@@ -344,7 +346,7 @@
 
     def _told(self, n: int, raw: dict[str, Any]) -> dict[str, Any]:
         """Everything that it knows others by is the relay's."""
-        at = self.ground.addresses
+        at = self.environment.addresses
         raw = raw | {"discovery": text(at.registry_for(n))}
         if self.world.limits.peers:
             raw |= {
@@ -354,30 +356,30 @@
         return raw
 
     async def play(self) -> None:
-        ground, world = self.ground, self.world
-        await ground.open()
-        watching = ground.loop.create_task(ground.own.watch())
-        facts = {**plain(world), "seed": self._seed, "mode": "processes", "measure": []}
-        ground.ledger.note(books.WORLD, ground.now(), facts)
+        environment, world = self.environment, self.world
+        await environment.open()
+        watching = environment.loop.create_task(environment.own.watch())
+        facts = {**world_to_dict(world), "seed": self._seed, "mode": "processes", "measure": []}
+        environment.ledger.add_record(record_kinds.WORLD, environment.now(), facts)
         for host in self.hosts:
             host.boot(cold=False)
             self.registry.set(self.entries[host.backend.number])
         self.registry_host.changed()
         async with asyncio.timeout(ENDS_WITHIN):
-            await ground.all_booted.wait()
+            await environment.all_booted.wait()
         for first in range(0, world.agents, 16):
             await asyncio.gather(*(self._start_agent(n) for n in range(first, min(first + 16, world.agents))))
-        begin = ground.now() + BEGINS_IN * 1000
-        ground.tell_clients({"do": "begin", "at": begin})
+        begin = environment.now() + BEGINS_IN * 1000
+        environment.tell_clients({"do": "begin", "at": begin})
         await asyncio.sleep(BEGINS_IN)
         self._make_trouble()
         longest = max(p.timeout for p in world.products)
-        await asyncio.sleep((begin + world.length - ground.now()) / 1000 + SETTLES * longest / 1000)
+        await asyncio.sleep((begin + world.length - environment.now()) / 1000 + SETTLES * longest / 1000)
         watching.cancel()
 
     def _strike(self, trouble: Trouble, targets: list[int], on: bool) -> None:
         super()._strike(trouble, targets, on)
-        paths = self.ground.paths
+        paths = self.environment.paths
         machines = {
             h.machine.name: {k: getattr(h.machine, k) for k in MADE_BY_RELAY}
             for h in self.hosts
@@ -385,23 +387,23 @@
         }
         plane = {
             "do": "plane",
-            "cut": sorted(paths.cut),
-            "refused": sorted(paths.refused),
+            "cut": sorted(paths.cut_zones),
+            "refused": sorted(paths.reset_zones),
             "loss": paths.loss,
-            "posts": [paths.doubled, paths.late, paths.late_by],
-            "parted": sorted(paths.parted),
-            "deaf": sorted(m.name for m in paths.deaf),
-            "dumb": sorted(m.name for m in paths.dumb),
+            "posts": [paths.duplicate_share, paths.delayed_share, paths.delay_ms],
+            "parted": sorted(paths.blocked_pairs),
+            "deaf": sorted(m.name for m in paths.not_receiving),
+            "dumb": sorted(m.name for m in paths.not_sending),
             "machines": machines,
         }
-        self.ground.tell_registry(plane)
-        self.ground.tell_relays(plane)
+        self.environment.tell_registry(plane)
+        self.environment.tell_relays(plane)
 
     def _registry_down(self, t: Trouble, targets: list[int], on: bool) -> None:
         self.registry.up = not on
         if not on:
             self._learn_missed()
-        self.ground.tell_relays({"do": "shut", "name": "registry", "on": on})
+        self.environment.tell_relays({"do": "shut", "name": "registry", "on": on})
         self.registry_host.changed()
 
     def _registry_back(self, t: Trouble, targets: list[int], on: bool) -> None:
@@ -415,39 +417,39 @@
     def _sleep_agents(self, t: Trouble, targets: list[int], on: bool) -> None:
         for n in targets:
             if n in self.up:
-                self.ground._signal(n, signal.SIGSTOP if on else signal.SIGCONT)
+                self.environment._signal(n, signal.SIGSTOP if on else signal.SIGCONT)
 
 
 async def play_on(world: World, seed: int) -> tuple[Ledger, dict[str, dict[str, float]], dict[str, float]]:
     """One run; the merged ledger, how late each process of the rig was, and what starting and stopping took in s."""
     with tempfile.TemporaryDirectory(prefix="lupinreach-rig-") as folder:
         began = time.monotonic()
-        ground = RigGround(world, seed, Path(folder))
-        stage = RigStage(world, seed, ground)
+        environment = RigGround(world, seed, Path(folder))
+        stage = RigStage(world, seed, environment)
         ended = began
         stopped = False
         try:
             stopped = await until_stopped(stage.play())
         finally:
-            ended, until = time.monotonic(), ground.now()
-            await ground.close()
+            ended, until = time.monotonic(), environment.now()
+            await environment.close()
             closed = time.monotonic()
-        for what in ground.ended_badly:
-            ground.ledger.note(books.FAULT, ground.now(), what)
-        ground.ledger.seal()
+        for what in environment.ended_badly:
+            environment.ledger.add_record(record_kinds.FAULT, environment.now(), what)
+        environment.ledger.seal()
         longest = max(p.timeout for p in world.products)
         played = (world.length + SETTLES * longest) / 1000
         took = {"start": round(ended - began - played - BEGINS_IN, 2), "stop": round(closed - ended, 2)}
-        merged = ground.merged(ground.ledger.records, until)
+        merged = environment.merged(environment.ledger.records, until)
         merged.stopped = stopped
-        return merged, ground.lateness(), took
+        return merged, environment.lateness(), took
 
 
 def fits(world: World) -> str:
     """Why this world can't be played with processes; empty if it can."""
     if world.agents > MOST_AGENTS:
         return f"agents.count: at most {MOST_AGENTS} with processes"
-    if world.fleet > MOST_BACKENDS:
+    if world.backend_count > MOST_BACKENDS:
         return f"backends: at most {MOST_BACKENDS} with processes"
     if world.fault and FAULTS[world.fault].decide is None:
         return f"fault: {world.fault} can be planted in virtual time only"
--- a/lupinreach/trial/spec.py
+++ b/lupinreach/trial/spec.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 from lupinreach.bed.world import spec as beds
-from lupinreach.bed.world.spec import Strict, Trouble, World
+from lupinreach.bed.world.spec import StrictSection, Trouble, World
 from lupinreach.config import BadConfig
 
 TRIALS = Path(__file__).parent / "trials"
-FOLDERS = (TRIALS, beds.WORLDS)
+FOLDERS = (TRIALS, beds.WORLDS_DIR)
 NEVER = 86_400.0  # s: longer than any run
 FIGURES = (
     "first_10s",
@@ -63,7 +63,7 @@
 
 def read(raw: Mapping[str, Any]) -> Trial:
     tables = dict(raw)
-    top = Strict({k: tables.pop(k) for k in ("faults", "since", "expect") if k in tables})
+    top = StrictSection({k: tables.pop(k) for k in ("faults", "since", "expect") if k in tables})
     faults = top.sections("faults")
     # The world is read with its own troubles first, so that the faults can name its zones and count its machines.
     world = beds.read(tables)
@@ -76,21 +76,21 @@
         begins = min((t.at + t.length for t in world.troubles), default=0.0)
     since = top.number("since", begins / 1000, high=world.length / 1000) * 1000
     expect = _expect(top.section("expect"))
-    top.done()
+    top.reject_unknown_keys()
     return Trial(replace(world, troubles=tuple(troubles)), since, expect)
 
 
-def _expect(s: Strict) -> tuple[tuple[str, float], ...]:
+def _expect(s: StrictSection) -> tuple[tuple[str, float], ...]:
     found = []
     for name in FIGURES:
         bound = s.number(name, -1.0, low=-1.0)
         if bound >= 0:
             found.append((name, bound))
-    s.done()
+    s.reject_unknown_keys()
     return tuple(found)
 
 
-def _power(s: Strict, world: World) -> tuple[list[Trouble], float]:
+def _power(s: StrictSection, world: World) -> tuple[list[Trouble], float]:
     """Power fails at `at`; each of agents, backends and registry returns so many s later, or is not struck at all.
 
     `over` spreads a return, one machine after the other; `rack` names the one zone that is struck. `never` in
@@ -135,12 +135,12 @@
         raise BadConfig(
             f"{s.at('agents')}: nothing is struck; give agents, backends or registry a time to return"
         )
-    over.done()
-    s.done()
+    over.reject_unknown_keys()
+    s.reject_unknown_keys()
     return troubles, max(back, default=at)
 
 
-def _returns(s: Strict, key: str) -> float | None:
+def _returns(s: StrictSection, key: str) -> float | None:
     if isinstance(s._get(key, None), str):
         s.choice(key, {"never": NEVER})
         return NEVER * 1000
--- a/tests/test_bed.py
+++ b/tests/test_bed.py
@@ -67,8 +67,8 @@
 
 @pytest.mark.parametrize("fault", SHOWS)
 def test_a_planted_fault_is_caught_by_its_name_and_its_twin_without_it_is_clean(fault):
-    breaches, _ = judged(world(fault=fault, **SHOWS[fault]))
-    assert FAULTS[fault].caught_as in {b.name for b in breaches}
+    violations, _ = judged(world(fault=fault, **SHOWS[fault]))
+    assert FAULTS[fault].caught_as in {b.name for b in violations}
     assert judged(world(**SHOWS[fault]))[0] == []
 
 
@@ -81,8 +81,8 @@
         "dispatch",
         lambda self, now, call: kept(self, now, call) if call.token._id != b"9.0" else 1 / 0,
     )
-    breaches, records = judged(world(seconds=1))
-    assert [(b.rule, b.what) for b in breaches] == [("faults", "fault: api call x1")]
+    violations, records = judged(world(seconds=1))
+    assert [(b.rule, b.what) for b in violations] == [("faults", "fault: api call x1")]
     assert [r[3] for r in records if r[0] == "got" and r[2] == "9.0"] == [500]
 
 
@@ -117,20 +117,20 @@
 
 
 def test_a_zone_cut_in_mid_answer_holds_bytes_back_and_breaks_no_rule():
-    breaches, records = judged(
+    violations, records = judged(
         world(
             troubles=[trouble("cut", targets=["b"]), trouble("cut", at=5, seconds=0.1)],
             network={"cross": 20.0, "jitter": 2.0},
         )
     )
-    assert breaches == []
+    assert violations == []
     answered = {r[2] for r in records if r[0] == "got" and r[3] == 200}
     ran = {r[3] for r in records if r[0] == "ran"}
     assert ran - answered  # work that was done, and whose answer was cut off
 
 
 def test_a_restart_with_many_api_calls_out_answers_all_that_was_taken():
-    breaches, records = judged(
+    violations, records = judged(
         world(
             agents={"count": 1},
             products=[LOOK | {"work": 400, "slo": 2000}, PAY | {"work": 400, "slo": 2000}],
@@ -143,14 +143,16 @@
     out = {r[2] for r in records if r[0] == "asked" and r[1] < stopping} - {
         r[2] for r in records if r[0] == "got" and r[1] < stopping
     }
-    assert len(out) > 100 and breaches == []
+    assert len(out) > 100 and violations == []
     ended = [r for r in records if r[0] == "agent" and r[4] == "ended"]
     assert len(ended) == 1 and out <= {r[2] for r in records if r[0] == "got" and r[1] <= ended[0][1]}
 
 
 def test_an_agent_killed_outright_loses_only_what_it_held_and_comes_back():
-    breaches, records = judged(world(agents={"count": 1}, troubles=[trouble("kill-agents", at=2, seconds=1)]))
-    assert breaches == []
+    violations, records = judged(
+        world(agents={"count": 1}, troubles=[trouble("kill-agents", at=2, seconds=1)])
+    )
+    assert violations == []
     killed = next(r[1] for r in records if r[0] == "agent" and r[4] == "killed")
     back = next(r[1] for r in records if r[0] == "agent" and r[3] == 2)
     fulfilled = [r[1] for r in records if r[0] == "got" and r[3] == 200]
@@ -160,9 +162,9 @@
 
 def test_an_event_loop_held_up_for_50_ms_delays_answers_and_loses_none():
     _, calm = judged(world(agents={"count": 1}))
-    breaches, records = judged(world(agents={"count": 1}, troubles=[trouble("busy-agents", seconds=4)]))
+    violations, records = judged(world(agents={"count": 1}, troubles=[trouble("busy-agents", seconds=4)]))
     p99 = [service.count(world(), some)["latency_ms"]["p99"] for some in (calm, records)]
-    assert breaches == [] and p99[1] > p99[0] + 20
+    assert violations == [] and p99[1] > p99[0] + 20
 
 
 def test_a_registry_that_comes_back_with_a_lower_version_is_followed_again():
@@ -171,8 +173,8 @@
         registry={"restart_version": 1},
         troubles=[trouble("registry-back", at=1, seconds=2), trouble("drain", at=9, seconds=4, targets=[1])],
     )
-    breaches, records = judged(one)
-    assert breaches == []
+    violations, records = judged(one)
+    assert violations == []
     versions = [r[4] for r in records if r[0] == "told" and r[2] == 0]
     assert any(b < a for a, b in zip(versions, versions[1:], strict=False))
     told = next(r[1] for r in records if r[0] == "told" and r[2] == 0 and [1, "Terminating"] in r[5])
@@ -190,17 +192,17 @@
             network={"same": 0.5, "cross": 0.5, "jitter": 0.0},
             traffic={"calls_per_s": 60},
         )
-        breaches, records = judged(one)
-        return one, breaches, records
+        violations, records = judged(one)
+        return one, violations, records
 
     one, _, records = play(500.0)
-    exact = statistics.mode(round(c.answered, 3) for c in service.calls(one, records).values())
+    exact = statistics.mode(round(c.latency_ms, 3) for c in service.calls(one, records).values())
     kinds = set()
     for waits in (exact - 0.001, exact, exact + 0.001, exact + 0.1):
-        _, breaches, records = play(waits)
+        _, violations, records = play(waits)
         kinds |= {r[0] for r in records}
         # Nothing but what was too late: no second answer, nothing sent after it, no other call's.
-        assert {b.name for b in breaches} <= {"no answer"}
+        assert {b.name for b in violations} <= {"no answer"}
     assert {"left", "got"} <= kinds
 
 
@@ -222,36 +224,36 @@
 
 
 def test_a_backend_does_its_work_in_the_time_that_its_cores_and_age_allow():
-    from lupinreach.bed.peers.backend import Backend, Job, Marks, Way
+    from lupinreach.bed.peers.backend import Backend, GroupMemory, Job, Outcome
 
     one = world(rules={"cold": 1000.0, "start_capacity": 0.5})
-    b = Backend(0, 0, 2, 2.0, one.backend, one.rules, 1e9, 100.0, Marks())
+    b = Backend(0, 0, 2, 2.0, one.backend, one.rules, 1e9, 100.0, GroupMemory())
     b.boot(0.0, cold=False)
     jobs = [Job(str(i), 0, 10.0, None, None, 0.0, None) for i in range(5)]
-    assert all(b.come(0.0, j, 0.9) is Way.TAKEN for j in jobs) and b.holds == 5
+    assert all(b.receive(0.0, j, 0.9) is Outcome.ACCEPTED for j in jobs) and b.request_count == 5
     ends, now = [], 0.0
-    while b.holds:
+    while b.request_count:
         now = b.due(now)
         ends += [(round(now, 3), j.name) for j in b.advance(now)]
     assert ends == [(5.0, "0"), (5.0, "1"), (10.0, "2"), (10.0, "3"), (15.0, "4")]
     b.boot(100.0, cold=True)
-    b.come(100.0, Job("cold", 0, 20.0, None, None, 0.0, None), 0.9)
+    b.receive(100.0, Job("cold", 0, 20.0, None, None, 0.0, None), 0.9)
     done = b.advance(130.0)
-    assert b.part(100.0) == 0.5 and [j.name for j in done] == [
+    assert b.warm_fraction(100.0) == 0.5 and [j.name for j in done] == [
         "cold"
     ]  # 20 ms at half the speed of 2, a little more
     b.boot(200.0, cold=True)
     allowed = 2.5 * 4.0 * 0.5 * one.rules.fall
-    b.come(200.0, Job("flood", 0, 1.2 * allowed, None, None, 0.0, None), 0.9)
-    assert b.fallen
+    b.receive(200.0, Job("flood", 0, 1.2 * allowed, None, None, 0.0, None), 0.9)
+    assert b.crashed
 
 
 def test_a_mark_is_remembered_for_its_time_and_by_its_group_only():
-    from lupinreach.bed.peers.backend import Marks
+    from lupinreach.bed.peers.backend import GroupMemory
 
-    here, there = Marks(), Marks()
-    assert not here.repeat(0.0, "m", 100.0) and here.repeat(99.0, "m", 100.0)
-    assert not there.repeat(50.0, "m", 100.0) and not here.repeat(101.0, "m", 100.0)
+    here, there = GroupMemory(), GroupMemory()
+    assert not here.check_duplicate(0.0, "m", 100.0) and here.check_duplicate(99.0, "m", 100.0)
+    assert not there.check_duplicate(50.0, "m", 100.0) and not here.check_duplicate(101.0, "m", 100.0)
 
 
 def test_a_registry_tells_each_change_once_and_starts_anew_after_a_restart():
@@ -262,10 +264,10 @@
     first = [r.set(e) for e in entries][-1]
     r.set(entries[2], state="Terminating")
     r.set(entries[1], state="Gone")
-    assert [(e.uid, e.state) for e in r.since(first)] == [("u2", "Terminating"), ("u1", "Gone")]
-    assert {e.uid for e in r.whole()} == {"u0", "u2", "u3"} and r.since(r.version) == []
+    assert [(e.uid, e.state) for e in r.changes_since(first)] == [("u2", "Terminating"), ("u1", "Gone")]
+    assert {e.uid for e in r.listed_entries()} == {"u0", "u2", "u3"} and r.changes_since(r.version) == []
     r.restart(3)
-    assert r.version == 3 and len(r.since(2)) == 3 and r.since(3) == []
+    assert r.version == 3 and len(r.changes_since(2)) == 3 and r.changes_since(3) == []
 
 
 def test_arrivals_come_at_the_rate_and_in_the_shares_asked_for():
@@ -324,7 +326,7 @@
     assert str(refused.value).startswith(complaint)
 
 
-@pytest.mark.parametrize("name", sorted(p.stem for p in spec.WORLDS.glob("*.toml")))
+@pytest.mark.parametrize("name", sorted(p.stem for p in spec.WORLDS_DIR.glob("*.toml")))
 def test_a_world_written_down_is_read_back_the_same(name, tmp_path):
     one = spec.read_file(name)
     (tmp_path / "w.toml").write_text(spec.to_toml(one))
@@ -403,8 +405,8 @@
     (tmp_path / "small.toml").write_text(spec.to_toml(broken.world))
     again = spec.read_file(tmp_path / "small.toml")
     assert again.agents < one.agents and len(again.troubles) == 1
-    breaches, records = judged(again, again.seeds[0])
-    assert "effect twice" in {b.name for b in breaches}
+    violations, records = judged(again, again.seeds[0])
+    assert "effect twice" in {b.name for b in violations}
 
 
 def test_a_calm_day_on_loopback_serves_as_in_virtual_time():
@@ -427,8 +429,8 @@
         traffic={"calls_per_s": 60},
         network={"same": 10.0, "cross": 25.0},
     )
-    breaches, records = judged(one)
-    assert breaches == []
+    violations, records = judged(one)
+    assert violations == []
     shots, came = ({r[i] for r in records if r[0] == kind} for kind, i in (("sent", 5), ("came", 4)))
     assert shots - came  # written to a connection whose close was on its way
 
@@ -443,8 +445,8 @@
             {"kind": "kill-agents", "at": 1, "seconds": 1, "share": 1.0},
         ],
     )
-    breaches, records = judged(one)
-    assert breaches == []
+    violations, records = judged(one)
+    assert violations == []
     told = {(r[2], r[3]) for r in records if r[0] == "told"}
     assert len({agent for agent, _ in told}) == 8
 
@@ -452,6 +454,6 @@
 @pytest.mark.parametrize("name", ["fleet-herd", "fleet-zone", "fleet-join"])
 def test_a_large_fleet_world_keeps_the_rules(name):
     whole = spec.read_file(name)
-    short = spec.read(spec.plain(whole) | {"seconds": 9})
+    short = spec.read(spec.world_to_dict(whole) | {"seconds": 9})
     records = virtual.play(short, 1).records
     assert check.Checker(short).read(records) == []
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -14,9 +14,9 @@
 import pytest
 
 from lupinreach.bed.judging.check import Checker
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.network import Machine, Paths
-from lupinreach.bed.world.spec import plain
+from lupinreach.bed.world.random_streams import random_stream
+from lupinreach.bed.world.spec import world_to_dict
 from lupinreach.trial import spec
 from lupinreach.trial.rig.host import TheRegistry
 from lupinreach.trial.rig.places import Places
@@ -62,7 +62,7 @@
     "name", [pytest.param(name, marks=pytest.mark.rig(SMALL | more)) for name, more in TROUBLES.items()]
 )
 def test_a_small_fleet_of_processes_keeps_the_rules_and_comes_back(name, played):
-    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.breaches[:3]
+    assert played.result.rules == {rule: "kept" for rule in played.result.rules}, played.result.violations[:3]
     ends = played.result.figures["answers"]
     assert ends["fulfilled"] > 0.5 * played.result.figures["calls"]
     # Warm again for two seconds: by both together, since one dear API call is a tenth of a second's value.
@@ -119,8 +119,8 @@
 
 
 def plane():
-    paths = Paths(0.0, 0.0, 0.0, 0.0, stream(1, "paths"))
-    return Plane(paths, stream(1, "relay")), Machine("near", 0), Machine("far", 1)
+    paths = Paths(0.0, 0.0, 0.0, 0.0, random_stream(1, "paths"))
+    return Plane(paths, random_stream(1, "relay")), Machine("near", 0), Machine("far", 1)
 
 
 async def echo(reader, writer):
@@ -153,13 +153,13 @@
         server, door, (reader, writer) = await link(between, near, far)
         writer.write(b"a")
         assert await reader.readexactly(1) == b"A"
-        for struck in (between.paths.dumb, between.paths.deaf):
+        for struck in (between.paths.not_sending, between.paths.not_receiving):
             struck.add(near)
             writer.write(b"b")
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.readexactly(1), 0.1)
             struck.clear()
-            between.mended()
+            between.release_held()
             assert await reader.readexactly(1) == b"B"
         between.close()
         server.close()
@@ -211,14 +211,14 @@
         assert await reader.readexactly(1000) == b"A" * 1000
         assert time.monotonic() - began >= 0.2  # 1,000 bytes each way at 10 a ms
         far.narrow = 0.0
-        between.paths.parted = {("far", "near")}
+        between.paths.blocked_pairs = {("far", "near")}
         assert between.paths.reaches(near, far) and not between.paths.reaches(far, near)
         assert between.paths.reaches(Machine("other", 0), far)
         writer.write(b"b")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(1), 0.1)
-        between.paths.parted = set()
-        between.mended()
+        between.paths.blocked_pairs = set()
+        between.release_held()
         assert await reader.readexactly(1) == b"B"
         between.close()
         server.close()
@@ -309,9 +309,9 @@
     rows += [("reached", reached * 1000, "a.0")] if reached else []
     rows += [("replied", replied * 1000, "a.0")] if replied else []
     checker = Checker(world)
-    breaches = checker.read([*rows, ("left", 1_000_000, "a.0")])
-    assert [b.name for b in breaches] == (["no answer"] if whose == "agent" else [])
-    assert checker.unheard == (["a.0"] if whose == "rig" else [])
+    violations = checker.read([*rows, ("left", 1_000_000, "a.0")])
+    assert [b.name for b in violations] == (["no answer"] if whose == "agent" else [])
+    assert checker.undelivered == (["a.0"] if whose == "rig" else [])
 
 
 class Heard(asyncio.DatagramProtocol):
@@ -343,7 +343,7 @@
         machines[1].vanished = True
         ends[0][0].sendto(b"lost", places.peer_for(0, 1))
         await asyncio.sleep(0.1)
-        machines[1].vanished, between.paths.doubled = False, 1.0
+        machines[1].vanished, between.paths.duplicate_share = False, 1.0
         ends[0][0].sendto(b"twice", places.peer_for(0, 1))
         await asyncio.sleep(0.1)
         assert [data for data, _ in ends[1][1].got].count(b"twice") == 2
@@ -409,7 +409,7 @@
 def test_an_agent_that_can_t_be_reached_is_told_nothing_with_processes_either(tmp_path):
     async def work():
         order = {
-            "world": plain(spec.read(SMALL).world),
+            "world": world_to_dict(spec.read(SMALL).world),
             "seed": 1,
             "mine": [],
             "port": free(),
@@ -420,11 +420,11 @@
         await role.open()
         await role.do_plane(cut=[], refused=[], deaf=["agent 1"], dumb=[], parted=[])
         for agent in range(3):
-            role.host.told(agent, 5, [], True, SimpleNamespace(lasts=True))
-        assert [r[2] for r in role.ground.ledger.of("told")] == [0, 2]
+            role.host.record_listing(agent, 5, [], True, SimpleNamespace(still_open=True))
+        assert [r[2] for r in role.environment.ledger.of("told")] == [0, 2]
         await role.do_plane(cut=[], refused=[], deaf=[], dumb=[], parted=[])
         # At once: found on a drawn loss, where an agent used a list 23 ms before it was booked as told.
-        assert [r[2] for r in role.ground.ledger.of("told")] == [0, 2, 1]
+        assert [r[2] for r in role.environment.ledger.of("told")] == [0, 2, 1]
 
     run(work())
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -12,8 +12,8 @@
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.loop import VirtualLoop
 from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySockets, Side
-from lupinreach.bed.world.chance import stream
 from lupinreach.bed.world.network import Machine, Paths
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import read as read_world
 from lupinreach.config import BadConfig
 from lupinreach.trial import figures, play, spec
@@ -78,7 +78,7 @@
     one = spec.read(SMALL | {"faults": [POWER | {"rack": "b", "over": {"backends": 3}}]})
     kills = [t for t in one.world.troubles if t.kind == "kill-agents"]
     crashes = [t for t in one.world.troubles if t.kind == "crash"]
-    assert [t.names for t in kills] == [(1, 3)] and [t.names for t in crashes] == [(1,), (3,), (5,)]
+    assert [t.targets for t in kills] == [(1, 3)] and [t.targets for t in crashes] == [(1,), (3,), (5,)]
     assert [t.length for t in crashes] == [1500.0, 2500.0, 3500.0] and one.since == 4500.0
 
 
@@ -259,7 +259,7 @@
 def posted(change, messages=200):
     """What one of three agents hears of what another sends, so many a second apart by 1 ms."""
     loop = VirtualLoop()
-    paths = Paths(1.0, 1.0, 0.0, 0.0, stream(1, "paths"))
+    paths = Paths(1.0, 1.0, 0.0, 0.0, random_stream(1, "paths"))
     net = MemoryNet(loop, paths)
     net.everybody = ("all", 1)
     posts = []
@@ -289,15 +289,15 @@
 def test_datagrams_in_virtual_time_come_to_one_or_all_and_never_to_a_process_that_is_gone():
     own, other, gone = posted(lambda paths: None)
     assert own == [] and other == list(range(200)) and gone == [i for i in range(0, 99, 2)]
-    assert posted(lambda paths: paths.refused.add(1))[1] == []
+    assert posted(lambda paths: paths.reset_zones.add(1))[1] == []
 
 
 def test_datagrams_are_doubled_and_held_back_past_later_ones_as_a_trial_says():
-    _, twice, _ = posted(lambda paths: setattr(paths, "doubled", 0.5))
+    _, twice, _ = posted(lambda paths: setattr(paths, "duplicate_share", 0.5))
     assert 260 < len(twice) < 340 and set(twice) == set(range(200))
 
     def late(paths):
-        paths.late, paths.late_by = 0.25, 50.0
+        paths.delayed_share, paths.delay_ms = 0.25, 50.0
 
     _, held, _ = posted(late)
     assert (
