--- a/lupinreach/trial/campaign/page.py
+++ b/lupinreach/trial/campaign/page.py
@@ -12,16 +12,16 @@
 
 from lupinreach.bed.commands.report import STYLE, frame, svg
 from lupinreach.fleet.recovery import Stage
-from lupinreach.trial.campaign import draw
-from lupinreach.trial.campaign.book import Book, History
-from lupinreach.trial.campaign.hunt import PROCESSES, VIRTUAL, back, stays_down
+from lupinreach.trial.campaign import generator
+from lupinreach.trial.campaign.database import Book, History
+from lupinreach.trial.campaign.runner import PROCESSES, VIRTUAL, back, stays_down
 
 WORST = 10
 
 
 def expected() -> frozenset[str]:
     """Words that a campaign should have met: what is in none of its histories stands on the page."""
-    kinds = sorted(kind for room in draw.ROOMS.values() for kind in room)
+    kinds = sorted(kind for room in generator.ROOMS.values() for kind in room)
     pairs = {f"pair: {one} + {other}" for one, other in combinations(kinds, 2)}
     stages = {f"stage: {Stage(s).name.lower()} to {Stage(s + 1).name.lower()}" for s in range(Stage.FULL)}
     return frozenset(
--- a/lupinreach/trial/campaign/hunt.py
+++ b/lupinreach/trial/campaign/runner.py
@@ -19,8 +19,8 @@
 from lupinreach.bed.world.spec import to_toml
 from lupinreach.config import BadConfig
 from lupinreach.trial import bounds, play, spec
-from lupinreach.trial.campaign import draw, reach
-from lupinreach.trial.campaign.book import Book, History
+from lupinreach.trial.campaign import coverage, generator
+from lupinreach.trial.campaign.database import Book, History
 from lupinreach.trial.spec import Trial
 
 VIRTUAL, PROCESSES = "virtual", "processes"
@@ -47,7 +47,7 @@
     return ProcessPoolExecutor(workers, initializer=_ends_with, initargs=(os.getpid(),))
 
 
-def one(job: tuple[int, int | None, draw.Raw, int]) -> History:
+def one(job: tuple[int, int | None, generator.Raw, int]) -> History:
     """One history, played and judged."""
     number, parent, raw, seed = job
     trial, began = spec.read(raw), time.process_time()
@@ -57,7 +57,7 @@
             ledger = virtual.play(trial.world, seed)
         passed, mode = watch.passed, VIRTUAL
         played = play.judge(trial, seed, ledger)
-        reached = reach.words(trial.world, ledger.records, played, passed)
+        reached = coverage.words(trial.world, ledger.records, played, passed)
     else:
         played, mode, reached = play.run(trial, seed), PROCESSES, frozenset[str]()
     return History(
@@ -80,7 +80,7 @@
 
     def __init__(self) -> None:
         self.times: Counter[str] = Counter()
-        self._by: dict[str, list[tuple[int, draw.Raw]]] = {}  # the last `RARE` that reached a word
+        self._by: dict[str, list[tuple[int, generator.Raw]]] = {}  # the last `RARE` that reached a word
 
     def learn(self, h: History) -> None:
         for word in h.reached:
@@ -88,10 +88,10 @@
             self._by.setdefault(word, []).append((h.number, h.raw))
             del self._by[word][:-RARE]
 
-    def parent(self, chance: RandomStream) -> tuple[int, draw.Raw] | None:
+    def parent(self, chance: RandomStream) -> tuple[int, generator.Raw] | None:
         """One that reached a word that few did; each such word alike."""
         rare = sorted(word for word, times in self.times.items() if times <= RARE)
-        return draw.pick(chance, self._by[draw.pick(chance, rare)]) if rare else None
+        return generator.pick(chance, self._by[generator.pick(chance, rare)]) if rare else None
 
 
 class Campaign:
@@ -108,13 +108,13 @@
         for h in book.histories(VIRTUAL):
             self.guide.learn(h)
 
-    def draw(self, number: int) -> tuple[int, int | None, draw.Raw, int]:
+    def draw(self, number: int) -> tuple[int, int | None, generator.Raw, int]:
         """The history of a number: plain, or near to one that reached something rare by now."""
         chance = random_stream(self._seed, "guide", number)
         if chance.random() < self._guided and (found := self.guide.parent(chance)) is not None:
             parent, raw = found
-            return number, parent, draw.near(raw, self._seed, number), number
-        return number, None, draw.plain(self._seed, number), number
+            return number, parent, generator.near(raw, self._seed, number), number
+        return number, None, generator.plain(self._seed, number), number
 
     def play(
         self, many: int, workers: int | None = None, until: Callable[[History], bool] = lambda _: False
@@ -151,8 +151,8 @@
         """A share of what was played in virtual time, with every part a process: each n-th that can be made so."""
         done, step, found = self._book.numbers(PROCESSES), max(1, round(1 / share)), []
         jobs = []
-        for i, h in enumerate(h for h in self._book.histories(VIRTUAL) if draw.with_processes(h.raw)):
-            if i % step == 0 and h.number not in done and (raw := draw.with_processes(h.raw)):
+        for i, h in enumerate(h for h in self._book.histories(VIRTUAL) if generator.with_processes(h.raw)):
+            if i % step == 0 and h.number not in done and (raw := generator.with_processes(h.raw)):
                 jobs.append((h.number, None, raw, h.number))
         with pool_of(workers) as pool:
             for h in pool.map(one, jobs):
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -223,15 +223,15 @@
 
     Ends with one line of JSON. Exit 0: no rule broken and no bound passed, 1: one was, 2: a bad file, 130: stopped.
     """
-    from lupinreach.trial.campaign import hunt, page
-    from lupinreach.trial.campaign.book import Book, NoBook
+    from lupinreach.trial.campaign import page, runner
+    from lupinreach.trial.campaign.database import Book, NoBook
 
     try:
         book = Book(Path(file), seed)
     except NoBook as wrong:
         bad(BadConfig(str(wrong)))
-    one = hunt.Campaign(
-        book, seed, 0.0 if plain else hunt.GUIDED, lambda text: told.print(text, markup=False)
+    one = runner.Campaign(
+        book, seed, 0.0 if plain else runner.GUIDED, lambda text: told.print(text, markup=False)
     )
     stopped = False
     try:
--- a/lupinreach/trial/play.py
+++ b/lupinreach/trial/play.py
@@ -14,7 +14,7 @@
 from lupinreach.bed.judging import check
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.world.ledger import Ledger
-from lupinreach.trial import figures
+from lupinreach.trial import metrics
 from lupinreach.trial.spec import Trial
 
 KEPT, BROKEN, UNSURE = "kept", "broken", "unsure"
@@ -26,8 +26,8 @@
     """One run of a trial."""
 
     result: Result
-    recovery: figures.Recovery
-    seconds: list[figures.Second]
+    recovery: metrics.Recovery
+    seconds: list[metrics.Second]
     missed: list[str]
     late: float = 0.0  # ms that the rig itself was late at p99.9; 0 in virtual time
     unsure: str = ""  # why no verdict can be given
@@ -45,8 +45,8 @@
     """A run's ledger, held against the rules and what is expected."""
     world, records = trial.world, ledger.records
     begin = next((r[1] for r in records if r[0] == "asked"), 0) / 1000
-    rows = figures.seconds(world, records)
-    found = figures.recovery(world, records, rows, begin + trial.since)
+    rows = metrics.seconds(world, records)
+    found = metrics.recovery(world, records, rows, begin + trial.since)
     return Played(experiment.judge(world, seed, ledger), found, rows, trial.missed(vars(found)))
 
 
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -35,8 +35,8 @@
 from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.traffic import arrivals
 from lupinreach.config import Address
-from lupinreach.trial.rig.late import Lateness
-from lupinreach.trial.rig.places import Places
+from lupinreach.trial.rig.addresses import Places
+from lupinreach.trial.rig.lateness import Lateness
 from lupinreach.trial.rig.relay import Plane, Posts
 
 MOST_LINE = 16 << 20
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -28,8 +28,8 @@
 from lupinreach.bed.world.ledger import Ledger, Record
 from lupinreach.bed.world.network import Machine
 from lupinreach.bed.world.spec import Trouble, World, world_to_dict
-from lupinreach.trial.rig.late import Lateness
-from lupinreach.trial.rig.places import MOST_AGENTS, MOST_BACKENDS, Places
+from lupinreach.trial.rig.addresses import MOST_AGENTS, MOST_BACKENDS, Places
+from lupinreach.trial.rig.lateness import Lateness
 
 BACKENDS_EACH, CLIENTS_EACH, AGENTS_EACH = (
     12,
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -14,27 +14,27 @@
 from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.ops.sharing import Sharing
 from lupinreach.trial import play, spec
-from lupinreach.trial.campaign import draw, hunt, page
-from lupinreach.trial.campaign.book import Book, History, NoBook
-from lupinreach.trial.campaign.hunt import Campaign, Guide, one, smallest
+from lupinreach.trial.campaign import generator, page, runner
+from lupinreach.trial.campaign.database import Book, History, NoBook
+from lupinreach.trial.campaign.runner import Campaign, Guide, one, smallest
 from lupinreach.trial.models.search import TooMany, search
 
 # What is drawn.
 
 
 def test_a_number_is_one_history_everywhere_and_every_kind_of_fault_is_drawn():
-    raws = [draw.plain(5, n) for n in range(300)]
-    assert raws[:9] == [draw.plain(5, n) for n in range(9)] and raws[0] != draw.plain(6, 0)
+    raws = [generator.plain(5, n) for n in range(300)]
+    assert raws[:9] == [generator.plain(5, n) for n in range(9)] and raws[0] != generator.plain(6, 0)
     kinds = Counter(t["kind"] for raw in raws for t in raw["troubles"])
-    assert set(kinds) == {kind for room in draw.ROOMS.values() for kind in room}
+    assert set(kinds) == {kind for room in generator.ROOMS.values() for kind in room}
     assert 0.5 < sum(bool(raw["faults"]) for raw in raws) / 300 < 0.7
     for n, raw in enumerate(raws):
-        near = draw.near(raw, 5, n)
+        near = generator.near(raw, 5, n)
         spec.read(raw), spec.read(near)  # strict
-        if small := draw.with_processes(near):
+        if small := generator.with_processes(near):
             assert (
                 spec.read(small).world.agents <= 5
-                and not {t["kind"] for t in small["troubles"]} & draw.VIRTUAL_ALONE
+                and not {t["kind"] for t in small["troubles"]} & generator.VIRTUAL_ALONE
             )
 
 
@@ -43,9 +43,9 @@
     return replace(
         History(
             number,
-            hunt.VIRTUAL,
+            runner.VIRTUAL,
             None,
-            draw.plain(1, number),
+            generator.plain(1, number),
             play.KEPT,
             "",
             (),
@@ -76,7 +76,7 @@
     book.add(history(1))
     book.close()
     again = Book(tmp_path / "c", 3)
-    assert [h.number for h in again.histories()] == [1, 2] and again.numbers(hunt.VIRTUAL) == {1, 2}
+    assert [h.number for h in again.histories()] == [1, 2] and again.numbers(runner.VIRTUAL) == {1, 2}
     assert list(again.histories())[1].broken == ("effect twice",) and list(again.histories())[1].reached == {
         "a",
         "b",
@@ -131,7 +131,7 @@
 
 def _numbers(path):
     try:
-        return Book(path, 2).numbers(hunt.VIRTUAL)
+        return Book(path, 2).numbers(runner.VIRTUAL)
     except NoBook:
         return set()
 
@@ -144,14 +144,14 @@
 
 
 def test_a_planted_mistake_is_found_shrunk_and_kept_as_a_file_that_replays_it(tmp_path, monkeypatch):
-    plain = draw.plain
-    monkeypatch.setattr(draw, "plain", lambda seed, number: planted(plain(seed, number)))
-    monkeypatch.setattr(draw, "POWER", 0.0)
+    plain = generator.plain
+    monkeypatch.setattr(generator, "plain", lambda seed, number: planted(plain(seed, number)))
+    monkeypatch.setattr(generator, "POWER", 0.0)
     book = Book(tmp_path / "c", 1)
     numbers = iter(range(1, 200))
     while True:  # in this process, where the patch is
         number = next(numbers)
-        raw = draw.plain(1, number)
+        raw = generator.plain(1, number)
         if not any(t["kind"] == "drain" for t in raw["troubles"]):
             continue
         h = one((number, None, raw, number))
@@ -175,9 +175,9 @@
     number = next(
         n
         for n in range(1, 99)
-        if draw.plain(1, n)["agents"]["share_ms"] and draw.plain(1, n)["agents"]["count"] > 4
+        if generator.plain(1, n)["agents"]["share_ms"] and generator.plain(1, n)["agents"]["count"] > 4
     )
-    raw = draw.plain(1, number) | {"faults": [], "troubles": []}
+    raw = generator.plain(1, number) | {"faults": [], "troubles": []}
     assert one((number, None, raw, number)).passed == ()
     monkeypatch.setattr("lupinreach.fleet.grants.Budget.usable", lambda self, now: 2 * self.own)
     assert one((number, None, raw, number)).passed == ("trials",)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,8 +21,8 @@
     Stays,
 )
 from lupinreach.fleet.wire import ASK, BEAT, TELL, Drain, Malformed, Member, Message
-from lupinreach.trial.models.lives import Lives
-from lupinreach.trial.models.order import STAYS, Order
+from lupinreach.trial.models.incarnations import Lives
+from lupinreach.trial.models.recovery_order import STAYS, Order
 from lupinreach.trial.models.search import search
 
 BEAT_MS = 1000.0
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -18,8 +18,8 @@
 from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import world_to_dict
 from lupinreach.trial import spec
+from lupinreach.trial.rig.addresses import Places
 from lupinreach.trial.rig.host import TheRegistry
-from lupinreach.trial.rig.places import Places
 from lupinreach.trial.rig.relay import Plane, Posts
 
 SMALL = {
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -16,7 +16,7 @@
 from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import read as read_world
 from lupinreach.config import BadConfig
-from lupinreach.trial import figures, play, spec
+from lupinreach.trial import metrics, play, spec
 
 SMALL = {
     "name": "t",
@@ -93,13 +93,13 @@
         ("state", 2 * us, 0, 2, "Ready", 2.0, 4000.0, 0.2, 0, 0),
     ]
     records.sort(key=lambda r: r[1])
-    rows = figures.seconds(world, records)
+    rows = metrics.seconds(world, records)
     # 100 ms of work each 100 ms: warm it could do 200; down nothing; cold 200 x (0.2 + 0.8 x age / 4000).
     assert rows[0].possible == pytest.approx(1000.0) and rows[1].possible == 0.0
     assert rows[2].possible == pytest.approx(sum(42 + 4 * i for i in range(10)))
     assert rows[0].served == pytest.approx(100.0) and rows[0].done == pytest.approx(100.0)
     deaf = [*records[:2], ("trouble", 0, 0, "deaf-agents", "begins", [0]), *records[2:]]
-    assert all(r.possible == 0.0 for r in figures.seconds(world, deaf))
+    assert all(r.possible == 0.0 for r in metrics.seconds(world, deaf))
 
 
 def test_an_agent_has_one_second_process_at_a_time():
