--- a/lupinreach/trial/models/search.py
+++ b/lupinreach/trial/models/search.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-MOST = 2_000_000  # states: beyond it a search is not one of all
+MAX_STATES = 2_000_000  # states: beyond it a search is not one of all
 
 
-class TooMany(RuntimeError):
+class StateLimitExceeded(RuntimeError):
     """The model has more states than a search may keep."""
 
 
@@ -39,20 +39,20 @@
 
 
 @dataclass(frozen=True)
-class Found:
+class SearchResult:
     states: int
     moves: int
-    story: (
+    trace: (
         tuple[str, ...] | None
     )  # the shortest to a wrong state, what is wrong last; or to where it stays for ever
     cycle: tuple[str, ...] = ()  # what happens there again and again; empty: nothing can happen
 
     @property
-    def well(self) -> bool:
-        return self.story is None
+    def ok(self) -> bool:
+        return self.trace is None
 
 
-def search(model: Model, most: int = MOST) -> Found:
+def search(model: Model, max_states: int = MAX_STATES) -> SearchResult:
     """All states, the shortest way first: a wrong one ends it; else liveness is looked at on all that were reached."""
     before: dict[Hashable, tuple[Hashable, str] | None] = {}
     nexts: dict[Hashable, list[tuple[str, Hashable]]] = {}
@@ -67,7 +67,7 @@
     while line:
         state, key = line.popleft()
         if (wrong := model.wrong(state)) is not None:
-            return Found(len(before), moves, (*_story(before, key), wrong))
+            return SearchResult(len(before), moves, (*_story(before, key), wrong))
         if not model.done(state):
             waits.add(key)
         nexts[key] = []
@@ -76,15 +76,15 @@
             other = model.key(after)
             nexts[key].append((name, other))
             if other not in before:
-                if len(before) >= most:
-                    raise TooMany(f"over {most} states")
+                if len(before) >= max_states:
+                    raise StateLimitExceeded(f"over {max_states} states")
                 before[other] = key, name
                 line.append((after, other))
     stuck = _stuck(nexts, waits, model.fair)
     if stuck is None:
-        return Found(len(before), moves, None)
+        return SearchResult(len(before), moves, None)
     where, cycle = stuck
-    return Found(len(before), moves, (*_story(before, where), "never done"), cycle)
+    return SearchResult(len(before), moves, (*_story(before, where), "never done"), cycle)
 
 
 def _story(before: dict[Hashable, tuple[Hashable, str] | None], key: Hashable) -> tuple[str, ...]:
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -17,7 +17,7 @@
 from lupinreach.trial.campaign import generator, page, runner
 from lupinreach.trial.campaign.database import Book, History, NoBook
 from lupinreach.trial.campaign.runner import Campaign, Guide, one, smallest
-from lupinreach.trial.models.search import TooMany, search
+from lupinreach.trial.models.search import StateLimitExceeded, search
 
 # What is drawn.
 
@@ -223,11 +223,11 @@
 
 
 def test_a_search_tells_the_shortest_story_of_what_is_wrong_and_of_what_never_comes():
-    assert search(Ring(7)).story == ("on",) * 5 + ("five",)
-    assert search(Ring(4)).story == ("never done",) and search(Ring(4)).cycle == ("rest",)
-    assert search(Ring(4, fair=["on"])).well and search(Ring(4, fair=["on"])).states == 5
+    assert search(Ring(7)).trace == ("on",) * 5 + ("five",)
+    assert search(Ring(4)).trace == ("never done",) and search(Ring(4)).cycle == ("rest",)
+    assert search(Ring(4, fair=["on"])).ok and search(Ring(4, fair=["on"])).states == 5
     lost = search(Ring(4, fair=["on"], lost=True))
-    assert lost.story == ("on", "on", "lose", "never done") and lost.cycle == ()
+    assert lost.trace == ("on", "on", "lose", "never done") and lost.cycle == ()
     assert search(Ring(4, alike=True)).states == 3  # the same from either end
-    with pytest.raises(TooMany):
-        search(Ring(4), most=3)
+    with pytest.raises(StateLimitExceeded):
+        search(Ring(4), max_states=3)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -60,9 +60,9 @@
 
 def test_no_two_lives_are_alike_in_any_short_history_and_without_tokens_some_are():
     found = search(Lives())
-    assert found.well and found.states > 1000
+    assert found.ok and found.states > 1000
     # The planted mistake: a number alone, on disks that may be older, is used twice.
-    assert search(Lives(token=lambda process: 0)).story[-1] == "life 1 twice"
+    assert search(Lives(token=lambda process: 0)).trace[-1] == "life 1 twice"
 
 
 def test_a_settled_process_that_hears_a_newer_one_falls_silent_and_doesn_t_outbid_it():
@@ -309,9 +309,9 @@
 
 
 def test_in_every_history_an_agent_goes_forward_alone_stays_nowhere_too_long_and_serves_once_it_has_a_list():
-    assert search(Order()).well
+    assert search(Order()).ok
     without = search(Order(fair=frozenset({"time"})))  # no list for ever: it listens for ever
-    assert without.story[-1] == "never done" and "time" in without.cycle
+    assert without.trace[-1] == "never done" and "time" in without.cycle
 
     class Waits(Return):
         """The planted mistake: no longest stay."""
@@ -319,7 +319,7 @@
         def __init__(self, now, stays):
             super().__init__(now, Stays(stays.read, 1e9, stays.hold, stays.cold))
 
-    assert search(Order(Waits)).story[-1] == "stays in standing too long"
+    assert search(Order(Waits)).trace[-1] == "stays in standing too long"
 
     class Forgets(Return):
         """And one that goes back to trying when it is asked again."""
@@ -330,7 +330,7 @@
                 self.stage = Stage.TRYING
             return passed
 
-    assert search(Order(Forgets)).story[-1] == "skips a stage, or goes back"
+    assert search(Order(Forgets)).trace[-1] == "skips a stage, or goes back"
 
 
 def test_with_a_list_a_return_ends_in_the_sum_of_its_longest_stays_whatever_else_happens():
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -106,7 +106,7 @@
 
 def test_no_history_spends_more_than_there_is_nor_leaves_anybody_under_the_floor():
     found = search(Lending())
-    assert found.well and found.states > 10_000
+    assert found.ok and found.states > 10_000
 
 
 class FromReceipt(Budget):
@@ -146,8 +146,8 @@
 
 @pytest.mark.parametrize("of", [FromReceipt, ForgetsWhatItLent, LendsAsLongAsItLends, LendsItsFloor])
 def test_the_same_search_finds_the_mistake_when_a_guard_is_taken_out(of):
-    story = search(Lending(of)).story
-    assert story is not None and len(story) <= 12, story
+    trace = search(Lending(of)).trace
+    assert trace is not None and len(trace) <= 12, trace
 
 
 @tries(max_examples=60, deadline=None, derandomize=True)
