--- a/lupinreach/trial/models/incarnations.py
+++ b/lupinreach/trial/models/incarnations.py
@@ -25,14 +25,16 @@
     twice: int | None = None  # a number that two processes said by one token
 
 
-class Lives:
+class IncarnationModel:
     """The model: `token` gives a process its own; `raises`: what peers know raises a number."""
 
     fair: frozenset[str] = frozenset()
 
-    def __init__(self, token: Callable[[int], int] = lambda process: process, raises: bool = True) -> None:
+    def __init__(
+        self, token: Callable[[int], int] = lambda process: process, peers_raise_number: bool = True
+    ) -> None:
         self._token = token
-        self._raises = raises
+        self._raises = peers_raise_number
 
     def first(self) -> Iterable[State]:
         return [State()]
--- a/lupinreach/trial/models/lending.py
+++ b/lupinreach/trial/models/lending.py
@@ -12,7 +12,7 @@
 from lupinreach.fleet.grants import DRIFT, FLOOR, Budget
 
 LEASE, TOTAL, AGENTS = 8.0, 3.0, 3
-EXACT = 1e-9
+TOLERANCE = 1e-9
 Word = tuple[
     str, int, int, int, int, float
 ]  # kind, whose question, of which life, to whom, its number, what is granted
@@ -102,14 +102,14 @@
     def wrong(self) -> str | None:
         """What no history may lead to."""
         uses = [b.usable(self.now(n)) for n, b in enumerate(self.budgets)]
-        if sum(uses) > grants.most(TOTAL, AGENTS) + EXACT:
+        if sum(uses) > grants.most(TOTAL, AGENTS) + TOLERANCE:
             return f"{sum(uses):.3f} of {TOTAL}"
-        if min(uses) < FLOOR * TOTAL / AGENTS - EXACT:
+        if min(uses) < FLOOR * TOTAL / AGENTS - TOLERANCE:
             return f"{min(uses):.3f} under the floor"
         return None
 
 
-class Lending:
+class LendingModel:
     """The model: nothing that is lent is waited for, so it has invariants alone."""
 
     fair: frozenset[str] = frozenset()
--- a/lupinreach/trial/models/recovery_order.py
+++ b/lupinreach/trial/models/recovery_order.py
@@ -11,7 +11,7 @@
 
 from lupinreach.fleet.recovery import TABLE, Facts, Return, Stage, Stays
 
-STAYS = Stays(read=1.0, ask=2.0, hold=3.0, cold=4.0)
+STAGE_TIMES = Stays(read=1.0, ask=2.0, hold=3.0, cold=4.0)
 LONGEST = 6.0  # units of time in one stage that are told apart: past all of `STAYS`
 
 
@@ -23,7 +23,7 @@
     wrong: str = ""
 
 
-class Order:
+class RecoveryOrderModel:
     """The model, with the `Return` that it is played on."""
 
     def __init__(
@@ -50,7 +50,7 @@
                 yield name, replace(state, facts=after)
 
     def _looked(self, state: State) -> State:
-        one = self._of(0.0, STAYS)
+        one = self._of(0.0, STAGE_TIMES)
         one.stage, one._since = state.stage, -state.stayed
         passed = one.look(1.0, state.facts)
         wrong = ""
@@ -59,7 +59,7 @@
         elif one.ready != (one.stage >= Stage.LISTENING):
             wrong = "says ready, or not, at the wrong stage"
         elif one.stage is state.stage is not Stage.FULL and state.stayed + 1 >= getattr(
-            STAYS, TABLE[one.stage].longest
+            STAGE_TIMES, TABLE[one.stage].longest
         ):
             wrong = f"stays in {one.stage.name.lower()} too long"
         return State(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,8 +21,8 @@
     Stays,
 )
 from lupinreach.fleet.wire import ASK, BEAT, TELL, Drain, Malformed, Member, Message
-from lupinreach.trial.models.incarnations import Lives
-from lupinreach.trial.models.recovery_order import STAYS, Order
+from lupinreach.trial.models.incarnations import IncarnationModel
+from lupinreach.trial.models.recovery_order import STAGE_TIMES, RecoveryOrderModel
 from lupinreach.trial.models.search import search
 
 BEAT_MS = 1000.0
@@ -59,10 +59,10 @@
 
 
 def test_no_two_lives_are_alike_in_any_short_history_and_without_tokens_some_are():
-    found = search(Lives())
+    found = search(IncarnationModel())
     assert found.ok and found.states > 1000
     # The planted mistake: a number alone, on disks that may be older, is used twice.
-    assert search(Lives(token=lambda process: 0)).trace[-1] == "life 1 twice"
+    assert search(IncarnationModel(token=lambda process: 0)).trace[-1] == "life 1 twice"
 
 
 def test_a_settled_process_that_hears_a_newer_one_falls_silent_and_doesn_t_outbid_it():
@@ -309,8 +309,8 @@
 
 
 def test_in_every_history_an_agent_goes_forward_alone_stays_nowhere_too_long_and_serves_once_it_has_a_list():
-    assert search(Order()).ok
-    without = search(Order(fair=frozenset({"time"})))  # no list for ever: it listens for ever
+    assert search(RecoveryOrderModel()).ok
+    without = search(RecoveryOrderModel(fair=frozenset({"time"})))  # no list for ever: it listens for ever
     assert without.trace[-1] == "never done" and "time" in without.cycle
 
     class Waits(Return):
@@ -319,7 +319,7 @@
         def __init__(self, now, stays):
             super().__init__(now, Stays(stays.read, 1e9, stays.hold, stays.cold))
 
-    assert search(Order(Waits)).trace[-1] == "stays in standing too long"
+    assert search(RecoveryOrderModel(Waits)).trace[-1] == "stays in standing too long"
 
     class Forgets(Return):
         """And one that goes back to trying when it is asked again."""
@@ -330,16 +330,16 @@
                 self.stage = Stage.TRYING
             return passed
 
-    assert search(Order(Forgets)).trace[-1] == "skips a stage, or goes back"
+    assert search(RecoveryOrderModel(Forgets)).trace[-1] == "skips a stage, or goes back"
 
 
 def test_with_a_list_a_return_ends_in_the_sum_of_its_longest_stays_whatever_else_happens():
-    one, now = Return(0.0, STAYS), 0.0
+    one, now = Return(0.0, STAGE_TIMES), 0.0
     while one.stage is not Stage.FULL:
         now += 0.5
         one.look(now, Facts(listed=1))
     assert now <= 1 + 2 + 3 + 4 + 2
-    alone = Return(0.0, STAYS)
+    alone = Return(0.0, STAGE_TIMES)
     for now in range(1, 100):
         alone.look(float(now), Facts())
     assert (
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -20,7 +20,7 @@
 from lupinreach.fleet.warmth import Stood, Warmth, earliest
 from lupinreach.fleet.wire import NEWS, WANT, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
-from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
+from lupinreach.trial.models.lending import LEASE, TOLERANCE, TOTAL, LendingModel
 from lupinreach.trial.models.search import search
 
 # Who stands: ages of cold backends by others' word.
@@ -105,7 +105,7 @@
 
 
 def test_no_history_spends_more_than_there_is_nor_leaves_anybody_under_the_floor():
-    found = search(Lending())
+    found = search(LendingModel())
     assert found.ok and found.states > 10_000
 
 
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("of", [FromReceipt, ForgetsWhatItLent, LendsAsLongAsItLends, LendsItsFloor])
 def test_the_same_search_finds_the_mistake_when_a_guard_is_taken_out(of):
-    trace = search(Lending(of)).trace
+    trace = search(LendingModel(of)).trace
     assert trace is not None and len(trace) <= 12, trace
 
 
@@ -180,8 +180,8 @@
                 all_of[to].granted(there, about, amount)
         uses = [b.usable(now * r) for b, r in zip(all_of, rates, strict=True)]
         assert (
-            sum(uses) <= grants.most(TOTAL, agents) + EXACT
-            and min(uses) >= grants.least(TOTAL) / agents - EXACT
+            sum(uses) <= grants.most(TOTAL, agents) + TOLERANCE
+            and min(uses) >= grants.least(TOTAL) / agents - TOLERANCE
         )
 
 
@@ -234,7 +234,7 @@
     own = {(b, 1): (0.3, 0.0) for b in range(1, ready + 1)}
     factors = here.factors(10_000.0, own)
     assert len(factors) <= SHARE * ready and all(1 <= f <= MOST for f in factors.values())
-    assert sum(1 - 1 / f for f in factors.values()) / ready <= harm() + EXACT
+    assert sum(1 - 1 / f for f in factors.values()) / ready <= harm() + TOLERANCE
     assert here.refused == sum(not 0 <= r.figure <= HIGHEST or r.age < 0 for r in said)
 
 
@@ -361,7 +361,7 @@
             agents[word[1]].heard(now, word[2])
         for agent in agents if step % 8 == 7 else ():
             for c, rate in enumerate(agent.rates(now)):
-                if rate > counting.most(now, [v for k, v in true.items() if k[0] == c], window) + EXACT:
+                if rate > counting.most(now, [v for k, v in true.items() if k[0] == c], window) + TOLERANCE:
                     return True
     return False
 
