--- a/benchmarks/shared_bounds.py
+++ b/benchmarks/shared_bounds.py
@@ -75,15 +75,15 @@
 
 def played(
     case: str, seed: int, agents: int = 12, seconds: float = 20.0
-) -> tuple[play.Played, dict[str, float]]:
+) -> tuple[play.TrialRun, dict[str, float]]:
     """One run, and the most that was seen of each figure over its bound."""
 
     def wants(part: Sharing) -> float:
         return 1e3 if part.evidence.me % 3 == 0 else 0.0
 
-    with bounds.watched(agents, wants) as watch:
+    with bounds.watch_bounds(agents, wants) as monitor:
         trial = spec.read(world(case, agents, seconds))
-        return play.judge(trial, seed, virtual.play(trial.world, seed)), dict(watch.most)
+        return play.judge(trial, seed, virtual.play(trial.world, seed)), dict(monitor.maxima)
 
 
 def one(job: tuple[str, int, int, float]) -> dict[str, Any]:
@@ -109,7 +109,7 @@
                         "agents": agents,
                         "seeds": seeds,
                         "broken": sum(not r["kept"] for r in runs),
-                        **{k: round(max(r[k] for r in runs), 4) for k in bounds.JUDGED},
+                        **{k: round(max(r[k] for r in runs), 4) for k in bounds.CHECKED_BOUNDS},
                         "leases": round(sum(r["lent"] for r in runs) / sum(r["looks"] for r in runs), 2),
                     }
                 ),
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -16,16 +16,16 @@
 
 EXACT = 1 + 1e-6
 DRIFTS = 1.02  # clocks that run apart: a rate by another's clock
-JUDGED = "trials", "dearer", "counts", "stood"
+CHECKED_BOUNDS = "trials", "dearer", "counts", "stood"
 
 
-class Watch:
+class BoundsMonitor:
     """Stands beside every agent's look, with the whole fleet in sight."""
 
     @property
     def passed(self) -> list[str]:
         """The bounds that were."""
-        return [name for name in JUDGED if self.most[name] > 1]
+        return [name for name in CHECKED_BOUNDS if self.maxima[name] > 1]
 
     def __init__(self, agents: int) -> None:
         self.agents = agents
@@ -33,7 +33,7 @@
         self.counted: dict[
             tuple[int, int, int], list[tuple[float, int]]
         ] = {}  # by cell, agent and life, by its own clock
-        self.most = {
+        self.maxima = {
             "trials": 0.0,
             "dearer": 0.0,
             "counts": 0.0,
@@ -45,7 +45,7 @@
 
     def look(self, part: Sharing) -> None:
         n, now = part.evidence.me, part._agent.clock.now()
-        self.parts[n], most = part, self.most
+        self.parts[n], most = part, self.maxima
         most["looks"] += 1
         uses = [p.trials.usable(p._agent.clock.now()) for p in self.parts.values() if p.trials is not None]
         if part.trials is not None:
@@ -79,9 +79,9 @@
 
 
 @contextmanager
-def watched(agents: int, wants: Callable[[Sharing], float] | None = None) -> Iterator[Watch]:
+def watch_bounds(agents: int, wants: Callable[[Sharing], float] | None = None) -> Iterator[BoundsMonitor]:
     """Every look of every agent that is played meanwhile, in this process; `wants`: trials a s in place of what they'd want."""
-    watch, plain_look, plain_wants = Watch(agents), Sharing.look, Sharing._wants
+    watch, plain_look, plain_wants = BoundsMonitor(agents), Sharing.look, Sharing._wants
 
     def look(part: Sharing) -> None:
         plain_look(part)
--- a/lupinreach/trial/campaign/coverage.py
+++ b/lupinreach/trial/campaign/coverage.py
@@ -11,12 +11,12 @@
 
 from lupinreach.bed.world.ledger import Record
 from lupinreach.bed.world.spec import World
-from lupinreach.trial.play import Played
+from lupinreach.trial.play import TrialRun
 
 FEW, MANY = 3, 30  # of what is counted: once, a few times, many, more
 
 
-def words(world: World, records: Iterable[Record], played: Played, passed: Iterable[str]) -> frozenset[str]:
+def words(world: World, records: Iterable[Record], played: TrialRun, passed: Iterable[str]) -> frozenset[str]:
     found = {f"broken: {b.name}" for b in played.result.violations} | {f"passed: {name}" for name in passed}
     counted: dict[str, int] = {}
     for r in records:
--- a/lupinreach/trial/campaign/runner.py
+++ b/lupinreach/trial/campaign/runner.py
@@ -53,7 +53,7 @@
     trial, began = spec.read(raw), time.process_time()
     passed: list[str] = []
     if trial.world.mode == VIRTUAL:
-        with bounds.watched(trial.world.agents) as watch:
+        with bounds.watch_bounds(trial.world.agents) as watch:
             ledger = virtual.play(trial.world, seed)
         passed, mode = watch.passed, VIRTUAL
         played = play.judge(trial, seed, ledger)
@@ -198,7 +198,7 @@
     trial, seed = spec.read(h.raw), h.number
 
     def shows(some: Trial) -> bool:
-        with suppress(BadConfig, ValueError), bounds.watched(some.world.agents) as watch:
+        with suppress(BadConfig, ValueError), bounds.watch_bounds(some.world.agents) as watch:
             played = play.judge(some, seed, virtual.play(some.world, seed))
             if h.broken:
                 return any(b.name in h.broken for b in played.result.violations)
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -15,7 +15,7 @@
 from lupinreach.bed.ways.stopping import STOPPED
 from lupinreach.config import BadConfig, read_agent
 from lupinreach.trial import play, spec
-from lupinreach.trial.play import Played
+from lupinreach.trial.play import TrialRun
 from lupinreach.trial.spec import Trial
 
 UNSURE = 3  # exit code: no verdict can be given
@@ -34,9 +34,9 @@
         mode=MODES[mode] if mode else found.world.mode,
     )
     if world.mode != "virtual":
-        from lupinreach.trial.rig.stage import fits
+        from lupinreach.trial.rig.stage import unsupported_reason
 
-        if why := fits(world):
+        if why := unsupported_reason(world):
             bad(why)
     return replace(found, world=world)
 
@@ -96,9 +96,9 @@
     Exit 0: rules kept, 1: one broken or less than expected, 2: a bad file, 3: unsure, 130: stopped.
     """
     one = trial_of(file, seed, policy, mode)
-    played: list[Played] = []
+    played: list[TrialRun] = []
 
-    def done(p: Played) -> None:
+    def done(p: TrialRun) -> None:
         played.append(p)
         told.print(_line(p) + (" (stopped)" if p.stopped else ""), markup=False)
 
@@ -250,7 +250,7 @@
     sys.exit(STOPPED if stopped else BROKEN if broken else KEPT)
 
 
-def _line(p: Played) -> str:
+def _line(p: TrialRun) -> str:
     r = p.recovery
     return (
         f"seed {p.result.seed}: {p.verdict}, served over possible {r.first_10s:.3f} in the first 10 s, "
--- a/lupinreach/trial/play.py
+++ b/lupinreach/trial/play.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Played:
+class TrialRun:
     """One run of a trial."""
 
     result: Result
@@ -41,16 +41,16 @@
         return UNSURE if self.unsure else KEPT if self.result.kept else BROKEN
 
 
-def judge(trial: Trial, seed: int, ledger: Ledger) -> Played:
+def judge(trial: Trial, seed: int, ledger: Ledger) -> TrialRun:
     """A run's ledger, held against the rules and what is expected."""
     world, records = trial.world, ledger.records
     begin = next((r[1] for r in records if r[0] == "asked"), 0) / 1000
     rows = metrics.seconds(world, records)
     found = metrics.recovery(world, records, rows, begin + trial.since)
-    return Played(experiment.judge(world, seed, ledger), found, rows, trial.missed(vars(found)))
+    return TrialRun(experiment.judge(world, seed, ledger), found, rows, trial.missed(vars(found)))
 
 
-def run(trial: Trial, seed: int) -> Played:
+def run(trial: Trial, seed: int) -> TrialRun:
     """One run, in virtual time or with processes as the trial's mode says."""
     if trial.world.mode == "virtual":
         return judge(trial, seed, virtual.play(trial.world, seed))
@@ -71,11 +71,13 @@
 
 
 def run_many(
-    jobs: list[tuple[Trial, int]], workers: int | None = None, done: Callable[[Played], None] = lambda _: None
-) -> list[Played]:
+    jobs: list[tuple[Trial, int]],
+    workers: int | None = None,
+    done: Callable[[TrialRun], None] = lambda _: None,
+) -> list[TrialRun]:
     """In the order given; in processes of their own where there are several."""
     workers = min(len(jobs), workers or os.cpu_count() or 1)
-    results: list[Played] = []
+    results: list[TrialRun] = []
     if workers <= 1 or any(trial.world.mode != "virtual" for trial, _ in jobs):
         for job in jobs:
             results.append(run(*job))
@@ -90,7 +92,7 @@
     return results
 
 
-def summary(trial: Trial, runs: list[Played]) -> dict[str, Any]:
+def summary(trial: Trial, runs: list[TrialRun]) -> dict[str, Any]:
     """The last line: means over seeds, and the worst of what has a worst."""
     plain = [p.recovery.plain() for p in runs]
 
@@ -126,7 +128,7 @@
 
 def compare(
     trial: Trial, policies: list[str], seeds: tuple[int, ...], workers: int | None
-) -> dict[str, list[Played]]:
+) -> dict[str, list[TrialRun]]:
     """The same seeds under several policies."""
     jobs = [
         (replace(trial, world=replace(trial.world, policy=name)), seed) for name in policies for seed in seeds
--- a/lupinreach/trial/report.py
+++ b/lupinreach/trial/report.py
@@ -9,11 +9,11 @@
 import matplotlib.pyplot as plt
 
 from lupinreach.bed.commands.report import STYLE, frame, svg
-from lupinreach.trial.play import Played
+from lupinreach.trial.play import TrialRun
 from lupinreach.trial.spec import Trial
 
 
-def write(folder: Path, trial: Trial, played: list[Played]) -> Path:
+def write(folder: Path, trial: Trial, played: list[TrialRun]) -> Path:
     """Write the page of a trial, plots of the first run given; its path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"trial-{trial.world.name}.html"
@@ -21,7 +21,7 @@
     return path
 
 
-def page(trial: Trial, played: list[Played]) -> str:
+def page(trial: Trial, played: list[TrialRun]) -> str:
     troubles = [
         (t.kind, t.at / 1000, (t.at + t.length) / 1000)
         for t in trial.world.troubles
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -445,7 +445,7 @@
         return merged, environment.lateness(), took
 
 
-def fits(world: World) -> str:
+def unsupported_reason(world: World) -> str:
     """Why this world can't be played with processes; empty if it can."""
     if world.agents > MOST_AGENTS:
         return f"agents.count: at most {MOST_AGENTS} with processes"
--- a/tests/test_mistakes.py
+++ b/tests/test_mistakes.py
@@ -7,7 +7,7 @@
 from lupinreach.bed.ways.faults import FAULTS
 from lupinreach.net.clock import Clock
 from lupinreach.trial import play, spec
-from lupinreach.trial.rig.stage import fits
+from lupinreach.trial.rig.stage import unsupported_reason
 
 POWER = {"kind": "power", "at": 2, "agents": 1, "backends": 0.8, "registry": 0.5}
 DRAIN = {"kind": "drain", "at": 2, "seconds": 6, "targets": [0, 1]}
@@ -60,11 +60,11 @@
 
 
 def test_what_can_be_played_in_virtual_time_only_is_refused_by_its_key():
-    assert fits(spec.read(RIG | {"fault": "answers-twice"}).world).startswith("fault: ")
+    assert unsupported_reason(spec.read(RIG | {"fault": "answers-twice"}).world).startswith("fault: ")
     hangs = {"troubles": [{"kind": "disk-hangs"}]}
-    assert fits(spec.read(RIG | hangs).world).startswith("troubles[0].kind: ")
-    assert fits(spec.read(RIG | {"policy": "true-state"}).world).startswith("policy: ")
-    assert fits(spec.read(RIG | {"fault": "sends-to-draining"}).world) == ""
+    assert unsupported_reason(spec.read(RIG | hangs).world).startswith("troubles[0].kind: ")
+    assert unsupported_reason(spec.read(RIG | {"policy": "true-state"}).world).startswith("policy: ")
+    assert unsupported_reason(spec.read(RIG | {"fault": "sends-to-draining"}).world) == ""
 
 
 def test_a_policy_that_sees_the_true_state_does_what_can_be_done_and_pushes_nothing_over():
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -29,7 +29,7 @@
 def test_no_bound_is_passed_at_any_agent_whatever_fails(case):
     run, most = shared_bounds.played(case, 3, agents=8, seconds=14.0)
     assert run.verdict == play.KEPT, run.result.violations[:3]
-    assert not [name for name in bounds.JUDGED if most[name] > 1], most
+    assert not [name for name in bounds.CHECKED_BOUNDS if most[name] > 1], most
     assert most["looks"] > 100 and most["lent"] > 0 and most["heard"] > 0, most
 
 
