--- a/lupinreach/trial/__init__.py
+++ b/lupinreach/trial/__init__.py
@@ -1,1 +1,1 @@
-"""Trials of a whole fleet: parts of it fail, and it is measured how much of the possible is served (docs/trials.md)."""
+"""Trials of a whole fleet: parts of it fail, and the share of the possible value that is served is measured (docs/trials.md)."""
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -1,7 +1,7 @@
-"""The bounds of what agents share, beside what they reach: at every look of every agent of a run in virtual time.
+"""Checks the bounds on what agents share, each time an agent of a run in virtual time evaluates its shared state.
 
-Each figure is the most that was seen over the bound's own formula (`grants.most`, `evidence.harm`, `counts.most`, `warmth.earliest`), so that over 1 is
-past it.
+Each maximum is the greatest observed value divided by the bound's own formula (`grants.most`, `evidence.harm`,
+`counts.most`, `warmth.earliest`), so a value over 1 exceeds the bound.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from lupinreach.fleet.warmth import earliest
 from lupinreach.ops.sharing import Sharing
 
-EXACT = 1 + 1e-6
-DRIFTS = 1.02  # clocks that run apart: a rate by another's clock
+ROUNDING_FACTOR = 1 + 1e-6  # allowed for rounding
+CLOCK_DRIFT_FACTOR = 1.02  # a rate measured by one agent's clock may differ by this much on another's
 CHECKED_BOUNDS = "trials", "dearer", "counts", "stood"
 
 
 class BoundsMonitor:
-    """Stands beside every agent's look, with the whole fleet in sight."""
+    """Observes the shared state of all agents of a run and keeps the maximum of each checked value."""
 
     @property
-    def passed(self) -> list[str]:
-        """The bounds that were."""
+    def exceeded(self) -> list[str]:
+        """The names of the bounds that were exceeded."""
         return [name for name in CHECKED_BOUNDS if self.maxima[name] > 1]
 
     def __init__(self, agents: int) -> None:
-        self.agents = agents
-        self.parts: dict[int, Sharing] = {}  # the newest life of each
-        self.counted: dict[
+        self.agent_count = agents
+        self.sharing_by_agent: dict[int, Sharing] = {}  # by agent: its newest incarnation
+        self.reported_counts: dict[
             tuple[int, int, int], list[tuple[float, int]]
-        ] = {}  # by cell, agent and life, by its own clock
+        ] = {}  # by cell, agent and incarnation: times by its own clock, and counts
         self.maxima = {
             "trials": 0.0,
             "dearer": 0.0,
@@ -43,52 +43,70 @@
             "looks": 0,
         }
 
-    def look(self, part: Sharing) -> None:
-        n, now = part.evidence.me, part._agent.clock.now()
-        self.parts[n], most = part, self.maxima
-        most["looks"] += 1
-        uses = [p.trials.usable(p._agent.clock.now()) for p in self.parts.values() if p.trials is not None]
-        if part.trials is not None:
-            # By the longest list that any of them has: who hears of fewer backends has a smaller part.
-            total = self.agents * max(p.trials.own for p in self.parts.values() if p.trials is not None)
-            most["trials"] = max(most["trials"], sum(uses) / grants.most(total, self.agents) / EXACT)
-            most["lent"] += part.trials.out[0]
-        factors = [b.cost_factor for b, _ in part._agent.balancer.relative_latencies()]
+    def look(self, sharing: Sharing) -> None:
+        """Updates the maxima after one agent has evaluated its shared state."""
+        agent, now = sharing.evidence.me, sharing._agent.clock.now()
+        self.sharing_by_agent[agent], maxima = sharing, self.maxima
+        maxima["looks"] += 1
+        usable = [
+            other.trials.usable(other._agent.clock.now())
+            for other in self.sharing_by_agent.values()
+            if other.trials is not None
+        ]
+        if sharing.trials is not None:
+            # The total follows the longest backend list: an agent that knows of fewer backends has a smaller share.
+            total = self.agent_count * max(
+                other.trials.own for other in self.sharing_by_agent.values() if other.trials is not None
+            )
+            maxima["trials"] = max(
+                maxima["trials"], sum(usable) / grants.most(total, self.agent_count) / ROUNDING_FACTOR
+            )
+            maxima["lent"] += sharing.trials.out[0]
+        factors = [b.cost_factor for b, _ in sharing._agent.balancer.relative_latencies()]
         if factors:
-            moved = sum(1 - 1 / f for f in factors) / len(factors)
-            most["dearer"] = max(
-                most["dearer"],
-                moved / harm() / EXACT,
-                max(factors) / MOST / EXACT,
-                sum(f > 1 for f in factors) / len(factors) / SHARE / EXACT,
+            redirected_share = sum(1 - 1 / f for f in factors) / len(factors)
+            maxima["dearer"] = max(
+                maxima["dearer"],
+                redirected_share / harm() / ROUNDING_FACTOR,
+                max(factors) / MOST / ROUNDING_FACTOR,
+                sum(f > 1 for f in factors) / len(factors) / SHARE / ROUNDING_FACTOR,
             )
-        refused = {b.name: b.refused_at for b in part._agent.balancer.recently_started(now)}
-        for name, since in part.warmth.since(part._began, refused).items():
-            most["stood"] = max(most["stood"], 1.0 if since >= earliest(part._began, refused[name]) else 2.0)
-        life = part._self()[0]
-        for cell, count in part.counts._own.items():
-            self.counted.setdefault((cell, n, life), []).append((now, count))
-        most["heard"] += len(part.counts) > 3
-        if most["looks"] % 16 == 0:
-            for cell, rate in enumerate(part.counts.rates(now)):
-                of = [points[-120:] for key, points in self.counted.items() if key[0] == cell]
-                # Each by its own clock, and all that is kept of it: longer than what the bound reaches.
-                bound = sum(counts.most(points[-1][0], [points], 1e9) for points in of)
+        refused = {b.name: b.refused_at for b in sharing._agent.balancer.recently_started(now)}
+        for name, since in sharing.warmth.since(sharing._began, refused).items():
+            maxima["stood"] = max(
+                maxima["stood"], 1.0 if since >= earliest(sharing._began, refused[name]) else 2.0
+            )
+        incarnation = sharing._self()[0]
+        for cell, count in sharing.counts._own.items():
+            self.reported_counts.setdefault((cell, agent, incarnation), []).append((now, count))
+        maxima["heard"] += len(sharing.counts) > 3
+        if maxima["looks"] % 16 == 0:
+            for cell, rate in enumerate(sharing.counts.rates(now)):
+                histories = [
+                    reports[-120:] for key, reports in self.reported_counts.items() if key[0] == cell
+                ]
+                # Each by its own clock, over all retained reports: a longer time than the bound covers.
+                bound = sum(counts.most(reports[-1][0], [reports], 1e9) for reports in histories)
                 if rate > 0:
-                    most["counts"] = max(most["counts"], rate / (bound * DRIFTS) if bound else 2.0)
+                    maxima["counts"] = max(
+                        maxima["counts"], rate / (bound * CLOCK_DRIFT_FACTOR) if bound else 2.0
+                    )
 
 
 @contextmanager
 def watch_bounds(agents: int, wants: Callable[[Sharing], float] | None = None) -> Iterator[BoundsMonitor]:
-    """Every look of every agent that is played meanwhile, in this process; `wants`: trials a s in place of what they'd want."""
-    watch, plain_look, plain_wants = BoundsMonitor(agents), Sharing.look, Sharing._wants
+    """Monitors all agents that are simulated in this process within the block.
+
+    `wants` replaces the number of trials per second that an agent asks for.
+    """
+    monitor, original_look, original_wants = BoundsMonitor(agents), Sharing.look, Sharing._wants
 
-    def look(part: Sharing) -> None:
-        plain_look(part)
-        watch.look(part)
+    def look(sharing: Sharing) -> None:
+        original_look(sharing)
+        monitor.look(sharing)
 
-    Sharing.look, Sharing._wants = look, wants or plain_wants  # type: ignore[method-assign]
+    Sharing.look, Sharing._wants = look, wants or original_wants  # type: ignore[method-assign]
     try:
-        yield watch
+        yield monitor
     finally:
-        Sharing.look, Sharing._wants = plain_look, plain_wants  # type: ignore[method-assign]
+        Sharing.look, Sharing._wants = original_look, original_wants  # type: ignore[method-assign]
--- a/lupinreach/trial/campaign/__init__.py
+++ b/lupinreach/trial/campaign/__init__.py
@@ -1,1 +1,1 @@
-"""Whole-fleet failures searched for, shrunk, kept and reported."""
+"""Randomized search for whole-fleet failures: generates, runs, minimizes, stores and reports them."""
--- a/lupinreach/trial/campaign/coverage.py
+++ b/lupinreach/trial/campaign/coverage.py
@@ -1,7 +1,8 @@
-"""What a history reached, as words: by them what is drawn next goes to where little was. Pure.
+"""The features that a history covered, as text; the campaign mutates histories with rare features. Pure.
 
-Stages of the return, kinds of silence and of self-doubt, what agents said of their stores and their fleet, pairs of faults that were there at one
-time, answers and ends of shots by kind, rules broken and bounds passed.
+Features are stages of the return to service, the status of sharing with other agents and of the agent itself, log
+events of agents about their store and fleet, pairs of faults that overlapped in time, answers and ends of attempts by
+kind, violated rules and exceeded bounds.
 """
 
 from __future__ import annotations
@@ -13,44 +14,51 @@
 from lupinreach.bed.world.spec import World
 from lupinreach.trial.play import TrialRun
 
-FEW, MANY = 3, 30  # of what is counted: once, a few times, many, more
+FEW_COUNT, MANY_COUNT = 3, 30  # events are classed as once, few or many up to these counts, and more
 
 
-def words(world: World, records: Iterable[Record], played: TrialRun, passed: Iterable[str]) -> frozenset[str]:
-    found = {f"broken: {b.name}" for b in played.result.violations} | {f"passed: {name}" for name in passed}
-    counted: dict[str, int] = {}
-    for r in records:
-        if r[0] == "said":
-            event, fields = r[3], r[4]
+def features(
+    world: World, records: Iterable[Record], played: TrialRun, exceeded: Iterable[str]
+) -> frozenset[str]:
+    """The features of one run."""
+    features_found = {f"broken: {b.name}" for b in played.result.violations} | {
+        f"passed: {name}" for name in exceeded
+    }
+    counts: dict[str, int] = {}
+    for record in records:
+        if record[0] == "said":
+            event, fields = record[3], record[4]
             if event == "returned":
-                counted[f"stage: {fields['stage']} to {fields['to']}"] = (
-                    counted.get(f"stage: {fields['stage']} to {fields['to']}", 0) + 1
+                counts[f"stage: {fields['stage']} to {fields['to']}"] = (
+                    counts.get(f"stage: {fields['stage']} to {fields['to']}", 0) + 1
                 )
             elif event == "shared":
-                found.add(f"silence: {fields['stage']}")
+                features_found.add(f"silence: {fields['stage']}")
             elif event == "fleet":
-                found.add(f"self: {fields['own']}{', superseded' if fields['superseded'] else ''}")
+                features_found.add(f"self: {fields['own']}{', superseded' if fields['superseded'] else ''}")
             else:
-                found.add(f"said: {event}")
-        elif r[0] == "got":
-            counted[f"status: {r[3]}"] = counted.get(f"status: {r[3]}", 0) + 1
-        elif r[0] in ("lost", "left", "away", "failed", "fell", "fault"):
-            counted[f"{r[0]}"] = counted.get(r[0], 0) + 1
-    found.update(f"{what}: {_how_many(times)}" for what, times in counted.items())
+                features_found.add(f"said: {event}")
+        elif record[0] == "got":
+            counts[f"status: {record[3]}"] = counts.get(f"status: {record[3]}", 0) + 1
+        elif record[0] in ("lost", "left", "away", "failed", "fell", "fault"):
+            counts[f"{record[0]}"] = counts.get(record[0], 0) + 1
+    features_found.update(f"{name}: {_count_class(count)}" for name, count in counts.items())
     spans = [(t.kind, t.at, t.at + t.length) for t in world.troubles]
-    for (one, begin, end), (other, begins, ends) in combinations(sorted(spans), 2):
-        if begin < ends and begins < end:
-            found.add(f"pair: {one} + {other}")
+    for (kind, begin, end), (other_kind, other_begin, other_end) in combinations(sorted(spans), 2):
+        if begin < other_end and other_begin < end:
+            features_found.add(f"pair: {kind} + {other_kind}")
     recovery = played.recovery
-    found.add(
+    features_found.add(
         f"back: {'never' if recovery.back_after == float('inf') else 'soon' if recovery.back_after < 2000 else 'late'}"
     )
-    found.add(f"first 10 s: {int(5 * recovery.first_10s)}/5")
-    found.add(f"cold load: {int(4 * recovery.cold_load)}/4")
+    features_found.add(f"first 10 s: {int(5 * recovery.first_10s)}/5")
+    features_found.add(f"cold load: {int(4 * recovery.cold_load)}/4")
     if recovery.to_draining:
-        found.add("to draining")
-    return frozenset(found)
+        features_found.add("to draining")
+    return frozenset(features_found)
 
 
-def _how_many(times: int) -> str:
-    return "once" if times == 1 else "few" if times <= FEW else "many" if times <= MANY else "more"
+def _count_class(count: int) -> str:
+    return (
+        "once" if count == 1 else "few" if count <= FEW_COUNT else "many" if count <= MANY_COUNT else "more"
+    )
--- a/lupinreach/trial/campaign/generator.py
+++ b/lupinreach/trial/campaign/generator.py
@@ -1,7 +1,8 @@
-"""What is played next: a history drawn plainly, or one a step from a history that reached something rare. Pure.
+"""Generates the histories of a campaign: at random, or as mutations of a history with rare features. Pure.
 
-A history is a trial as a file would have it: a small fleet, a load, and several faults that overlap: power, processes, links, disks, clocks,
-the registry, upgrades under way. All of it comes from one number, so that the same number is the same history everywhere.
+A history is a trial in the form of a trial file: a small fleet, a load, and several overlapping faults of power,
+processes, links, disks, clocks, the registry and upgrades. All of it is derived from the seed and the number of the
+history, so a number gives the same history on every machine.
 """
 
 from __future__ import annotations
@@ -12,18 +13,21 @@
 from lupinreach.bed.world.random_streams import RandomStream, random_stream
 from lupinreach.bed.world.spec import TROUBLES
 
-Raw = dict[str, Any]
+RawTrial = dict[str, Any]
 
-LENGTH = 12.0  # s of arrivals
-FIRST, LAST = 1.0, 7.0  # s: when what fails begins; the rest is left for what comes after
-SPAN = 0.3, 3.5  # s that it lasts
-STOPS = (
-    2.5  # s that a process takes to stop at most: the longest client timeout and what it goes on accepting
+ARRIVALS_S = 12.0  # duration of the arrivals
+EARLIEST_BEGIN_S, LATEST_BEGIN_S = (
+    1.0,
+    7.0,
+)  # range of the begin of faults; the rest of the run is left for recovery
+DURATION_RANGE_S = 0.3, 3.5  # range of the duration of a fault
+MAX_PROCESS_STOP_S = (
+    2.5  # the longest client timeout, and the time for which a stopping process still accepts requests
 )
-MOST_FAULTS = 5
-SHARE_MS = 300.0
-# What can fail, by what it fails; the weight of each room is alike, so that the many kinds of disks don't crowd out power.
-ROOMS: dict[str, tuple[str, ...]] = {
+MAX_TROUBLES = 5
+SHARE_INTERVAL_MS = 300.0
+# Kinds of trouble by area. Each area is equally likely, so that the many kinds of disk faults don't crowd out the others.
+TROUBLES_BY_AREA: dict[str, tuple[str, ...]] = {
     "processes": ("kill-agents", "restart-agents", "sleep-agents", "twin-agents", "busy-agents"),
     "backends": ("crash", "replace", "drain", "slow", "silent", "vanish", "stall", "reset", "fail", "narrow"),
     "links": (
@@ -43,143 +47,162 @@
     "registry": ("registry-down", "registry-back", "registry-older"),
     "load": ("surge", "costly"),
 }
-POWER = 0.6  # of the histories: power is lost in them, too
-VIRTUAL_ALONE = frozenset({"disk-hangs", "disk-lost", "busy-agents"})  # can't be made with processes
+POWER_LOSS_SHARE = 0.6  # of the histories include a power loss
+VIRTUAL_ONLY = frozenset({"disk-hangs", "disk-lost", "busy-agents"})  # can't be produced with real processes
 
 
-def among(chance: RandomStream, low: float, high: float) -> float:
-    return round(low + (high - low) * float(chance.random()), 3)
+def random_between(rng: RandomStream, low: float, high: float) -> float:
+    """A uniform random number, rounded to 3 decimal places."""
+    return round(low + (high - low) * float(rng.random()), 3)
 
 
-def pick(chance: RandomStream, some: Any) -> Any:
-    return some[int(chance.integers(len(some)))]
+def random_choice(rng: RandomStream, options: Any) -> Any:
+    """A random element of a sequence."""
+    return options[int(rng.integers(len(options)))]
 
 
-def plain(seed: int, number: int) -> Raw:
-    """The history of that number of a campaign, drawn with no look at any other."""
-    chance = random_stream(seed, "campaign", number)
+def random_trial(seed: int, number: int) -> RawTrial:
+    """The trial of a history number, generated independently of all others."""
+    rng = random_stream(seed, "campaign", number)
     agents, backends, cores = (
-        int(chance.integers(2, 8)),
-        int(chance.integers(3, 9)),
-        int(chance.integers(1, 3)),
+        int(rng.integers(2, 8)),
+        int(rng.integers(3, 9)),
+        int(rng.integers(1, 3)),
     )
-    touch = bool(chance.random() < 0.8)
-    share = touch and bool(chance.random() < 0.7)
-    raw: Raw = {
+    agents_connected = bool(rng.random() < 0.8)
+    shares = agents_connected and bool(rng.random() < 0.7)
+    raw: RawTrial = {
         "name": f"history-{number}",
-        "seconds": LENGTH,
+        "seconds": ARRIVALS_S,
         "zones": ["a", "b"],
         "agents": {
             "count": agents,
-            "store": touch,
-            "fleet": touch,
-            "ran": touch,
-            "share_ms": SHARE_MS if share else 0.0,
+            "store": agents_connected,
+            "fleet": agents_connected,
+            "ran": agents_connected,
+            "share_ms": SHARE_INTERVAL_MS if shares else 0.0,
+        },
+        "limits": {"peers": agents_connected},
+        "clients": {
+            "replays": agents_connected and bool(rng.random() < 0.5),
+            "retries": int(rng.integers(0, 3)),
         },
-        "limits": {"peers": touch},
-        "clients": {"replays": touch and bool(chance.random() < 0.5), "retries": int(chance.integers(0, 3))},
         "backends": [{"count": backends, "cores": cores, "speed": [0.6, 1.5]}],
         "products": [
             {"name": "look", "work": 30, "slo": 500, "timeout": 1500},
             {"name": "pay", "kind": "non-idempotent", "work": 30, "slo": 500, "timeout": 1500, "value": 5},
         ],
         "customers": [{"name": "one", "share": 0.6}, {"name": "two", "share": 0.4}],
-        "traffic": {"calls_per_s": round(min(150.0, among(chance, 0.2, 0.8) * backends * cores * 33))},
+        "traffic": {"calls_per_s": round(min(150.0, random_between(rng, 0.2, 0.8) * backends * cores * 33))},
         "backend": {"choke_at": 4, "choke_after": 1500, "choke_slower": 2.5},
         "rules": {
             "cold": 3000.0,
             "drain_grace": 500.0,
             "fall": 1000.0,
-            "start_capacity": among(chance, 0.1, 0.5),
+            "start_capacity": random_between(rng, 0.1, 0.5),
             "ask_within": 3000.0,
         },
         "registry": {
             "lag": [100, 300],
             "silent_lag": [500, 900],
-            "call_cost": round(among(chance, 0.0, 30.0)),
-            "ask": bool(chance.random() < 0.7),
+            "call_cost": round(random_between(rng, 0.0, 30.0)),
+            "ask": bool(rng.random() < 0.7),
         },
-        "faults": [power(chance)] if chance.random() < POWER else [],
+        "faults": [random_power_loss(rng)] if rng.random() < POWER_LOSS_SHARE else [],
         "troubles": [],
     }
-    for _ in range(int(chance.integers(1, MOST_FAULTS + 1))):
-        raw["troubles"].append(trouble(chance))
+    for _ in range(int(rng.integers(1, MAX_TROUBLES + 1))):
+        raw["troubles"].append(random_trouble(rng))
     return raw
 
 
-def power(chance: RandomStream) -> Raw:
-    found: Raw = {"kind": "power", "at": among(chance, FIRST, LAST - 2), "agents": among(chance, 0.3, 1.5)}
-    if chance.random() < 0.7:
-        found["backends"] = among(chance, 0.3, 2.0)
-    if chance.random() < 0.7:
-        found["registry"] = among(chance, 0.2, 3.0)
-        if chance.random() < 0.4:
-            found["registry_older"] = among(chance, 0.5, 3.0)
-    if chance.random() < 0.2:
-        found["rack"] = "b"
-    return found
-
-
-def trouble(chance: RandomStream) -> Raw:
-    kind = pick(chance, ROOMS[pick(chance, sorted(ROOMS))])
+def random_power_loss(rng: RandomStream) -> RawTrial:
+    """A power loss that strikes the agents, and in part of the cases backends, the registry or one zone only."""
+    result: RawTrial = {
+        "kind": "power",
+        "at": random_between(rng, EARLIEST_BEGIN_S, LATEST_BEGIN_S - 2),
+        "agents": random_between(rng, 0.3, 1.5),
+    }
+    if rng.random() < 0.7:
+        result["backends"] = random_between(rng, 0.3, 2.0)
+    if rng.random() < 0.7:
+        result["registry"] = random_between(rng, 0.2, 3.0)
+        if rng.random() < 0.4:
+            result["registry_older"] = random_between(rng, 0.5, 3.0)
+    if rng.random() < 0.2:
+        result["rack"] = "b"
+    return result
+
+
+def random_trouble(rng: RandomStream) -> RawTrial:
+    """A trouble of a random kind, with a random begin, duration and extent."""
+    kind = random_choice(rng, TROUBLES_BY_AREA[random_choice(rng, sorted(TROUBLES_BY_AREA))])
     target_kind, usual, low, high = TROUBLES[kind]
-    found: Raw = {"kind": kind, "at": among(chance, FIRST, LAST), "seconds": among(chance, *SPAN)}
+    result: RawTrial = {
+        "kind": kind,
+        "at": random_between(rng, EARLIEST_BEGIN_S, LATEST_BEGIN_S),
+        "seconds": random_between(rng, *DURATION_RANGE_S),
+    }
     if target_kind == "zones":
-        found["targets"] = ["b"]
+        result["targets"] = ["b"]
     elif target_kind != "none" or kind == "datagrams-late":
-        found["share"] = among(chance, 0.2, 1.0 if target_kind == "agents" else 0.6)
+        result["share"] = random_between(rng, 0.2, 1.0 if target_kind == "agents" else 0.6)
     if high > low:
-        found["strength"] = round(min(high, max(low, usual * among(chance, 0.3, 1.5))), 3)
+        result["strength"] = round(min(high, max(low, usual * random_between(rng, 0.3, 1.5))), 3)
     if kind == "surge":
-        found["strength"] = among(chance, 1.3, 2.5)
-    return sound(found)
+        result["strength"] = random_between(rng, 1.3, 2.5)
+    return with_minimum_restart_time(result)
 
 
-def sound(fault: Raw) -> Raw:
-    """Guards against a process that is started anew on an address that the one before is still being stopped on."""
+def with_minimum_restart_time(fault: RawTrial) -> RawTrial:
+    """Extends a restart so that a process doesn't start on an address while its predecessor is still stopping on it."""
     if fault["kind"] == "restart-agents":
-        fault["seconds"] = max(STOPS, fault["seconds"])
+        fault["seconds"] = max(MAX_PROCESS_STOP_S, fault["seconds"])
     return fault
 
 
-def near(raw: Raw, seed: int, number: int) -> Raw:
-    """A step from there: one thing is added, taken away, moved, brought together with another, or made longer."""
-    chance = random_stream(seed, "campaign near", number)
-    found = copy.deepcopy(raw)
-    found["name"] = f"history-{number}"
-    for _ in range(1 + int(chance.integers(2))):
-        faults = found["troubles"]
-        step = pick(chance, ("add", "add", "drop", "move", "meet", "last", "power", "load"))
-        if step == "add" and len(faults) < 2 * MOST_FAULTS:
-            faults.append(trouble(chance))
-        elif step == "drop" and len(faults) > 1:
-            faults.pop(int(chance.integers(len(faults))))
-        elif step == "move" and faults:
-            pick(chance, faults)["at"] = among(chance, FIRST, LAST)
-        elif step == "meet" and len(faults) > 1:
-            # Guards against two that each were there and never at one time.
-            one, other = pick(chance, faults), pick(chance, faults)
-            one["at"] = round(min(LAST, other["at"] + 0.3 * float(chance.random())), 3)
-        elif step == "last" and faults:
-            longer = pick(chance, faults)
-            longer["seconds"] = among(chance, SPAN[0], 2 * SPAN[1])
-            sound(longer)
-        elif step == "power":
-            found["faults"] = [power(chance)]
-        elif step == "load":
-            found["traffic"]["calls_per_s"] = round(
-                min(200.0, found["traffic"]["calls_per_s"] * among(chance, 0.6, 1.6))
+def mutate(raw: RawTrial, seed: int, number: int) -> RawTrial:
+    """The trial after one or two mutations.
+
+    A mutation adds, removes, moves or extends a trouble, moves it to the time of another, or changes the power loss
+    or the load.
+    """
+    rng = random_stream(seed, "campaign near", number)
+    result = copy.deepcopy(raw)
+    result["name"] = f"history-{number}"
+    for _ in range(1 + int(rng.integers(2))):
+        troubles = result["troubles"]
+        mutation = random_choice(rng, ("add", "add", "drop", "move", "meet", "last", "power", "load"))
+        if mutation == "add" and len(troubles) < 2 * MAX_TROUBLES:
+            troubles.append(random_trouble(rng))
+        elif mutation == "drop" and len(troubles) > 1:
+            troubles.pop(int(rng.integers(len(troubles))))
+        elif mutation == "move" and troubles:
+            random_choice(rng, troubles)["at"] = random_between(rng, EARLIEST_BEGIN_S, LATEST_BEGIN_S)
+        elif mutation == "meet" and len(troubles) > 1:
+            # Covers pairs of troubles that have occurred in the history, but not at the same time.
+            moved, other = random_choice(rng, troubles), random_choice(rng, troubles)
+            moved["at"] = round(min(LATEST_BEGIN_S, other["at"] + 0.3 * float(rng.random())), 3)
+        elif mutation == "last" and troubles:
+            extended = random_choice(rng, troubles)
+            extended["seconds"] = random_between(rng, DURATION_RANGE_S[0], 2 * DURATION_RANGE_S[1])
+            with_minimum_restart_time(extended)
+        elif mutation == "power":
+            result["faults"] = [random_power_loss(rng)]
+        elif mutation == "load":
+            result["traffic"]["calls_per_s"] = round(
+                min(200.0, result["traffic"]["calls_per_s"] * random_between(rng, 0.6, 1.6))
             )
-    return found
+    return result
 
 
-def with_processes(raw: Raw) -> Raw | None:
-    """The same with every part a process, as small as that can be; None where it holds what can't be made so."""
-    if any(t["kind"] in VIRTUAL_ALONE for t in raw["troubles"]):
+def reduced_for_processes(raw: RawTrial) -> RawTrial | None:
+    """The trial in a smaller size, to be run with real processes; None if it has a fault that needs virtual time."""
+    if any(t["kind"] in VIRTUAL_ONLY for t in raw["troubles"]):
         return None
-    found = copy.deepcopy(raw)
-    found["mode"] = "loopback"
-    found["agents"]["count"] = min(5, found["agents"]["count"])
-    found["backends"][0]["count"] = min(6, found["backends"][0]["count"])
-    found["traffic"]["calls_per_s"] = min(80.0, found["traffic"]["calls_per_s"])
-    return found
+    result = copy.deepcopy(raw)
+    result["mode"] = "loopback"
+    result["agents"]["count"] = min(5, result["agents"]["count"])
+    result["backends"][0]["count"] = min(6, result["backends"][0]["count"])
+    result["traffic"]["calls_per_s"] = min(80.0, result["traffic"]["calls_per_s"])
+    return result
--- a/lupinreach/trial/campaign/runner.py
+++ b/lupinreach/trial/campaign/runner.py
@@ -1,4 +1,4 @@
-"""A campaign: histories drawn, played on all cores, judged by the rules and by every bound, shrunk where they break something or do worst."""
+"""A campaign: generates histories, runs them on all cores, checks rules and bounds, and minimizes the worst ones."""
 
 from __future__ import annotations
 
@@ -20,46 +20,47 @@
 from lupinreach.config import BadConfig
 from lupinreach.trial import bounds, play, spec
 from lupinreach.trial.campaign import coverage, generator
-from lupinreach.trial.campaign.database import Book, History
+from lupinreach.trial.campaign.database import CampaignDatabase, History
 from lupinreach.trial.spec import Trial
 
 VIRTUAL, PROCESSES = "virtual", "processes"
-GUIDED = 0.5  # of what is drawn goes near to what reached something rare; the rest is drawn plainly
-RARE = 3  # histories that have reached a word: as long it is rare
-BESIDE = 3  # small fleets of processes
-LOOKS = 0.5  # s between two looks of a worker at whether its campaign is there
-SHRINKS = 12  # steps of shrinking at most
-DOWN = 0.5  # served over possible from the last trigger's end on, under which a history is one in which service stays down
+GUIDED_SHARE = 0.5  # of the histories mutate one with a rare feature; the others are independent
+RARE_COUNT = 3  # a feature is rare until more histories than this have covered it
+PROCESS_RUN_WORKERS = 3  # small fleets of processes that run at the same time
+PARENT_POLL_S = 0.5  # interval at which a worker checks whether its campaign still runs
+MAX_MINIMIZE_STEPS = 12  # successful reductions of one history
+DOWN_SHARE = 0.5  # served over possible value since the last fault ended, below which service counts as down
 
 
-def _ends_with(parent: int) -> None:
-    """In a worker: guards against one that waits for ever for work from a campaign that was killed."""
+def _exit_with_parent(parent: int) -> None:
+    """In a worker: exits when the campaign was killed, instead of waiting for work forever."""
 
     def watch() -> None:
         while os.getppid() == parent:
-            time.sleep(LOOKS)
+            time.sleep(PARENT_POLL_S)
         os._exit(1)
 
     threading.Thread(target=watch, daemon=True).start()
 
 
-def pool_of(workers: int) -> ProcessPoolExecutor:
-    return ProcessPoolExecutor(workers, initializer=_ends_with, initargs=(os.getpid(),))
+def create_pool(workers: int) -> ProcessPoolExecutor:
+    """A pool whose workers end with this process."""
+    return ProcessPoolExecutor(workers, initializer=_exit_with_parent, initargs=(os.getpid(),))
 
 
-def one(job: tuple[int, int | None, generator.Raw, int]) -> History:
-    """One history, played and judged."""
+def run_history(job: tuple[int, int | None, generator.RawTrial, int]) -> History:
+    """Runs and checks one history."""
     number, parent, raw, seed = job
-    trial, began = spec.read(raw), time.process_time()
-    passed: list[str] = []
+    trial, cpu_began = spec.read(raw), time.process_time()
+    exceeded: list[str] = []
     if trial.world.mode == VIRTUAL:
-        with bounds.watch_bounds(trial.world.agents) as watch:
+        with bounds.watch_bounds(trial.world.agents) as monitor:
             ledger = virtual.play(trial.world, seed)
-        passed, mode = watch.passed, VIRTUAL
+        exceeded, mode = monitor.exceeded, VIRTUAL
         played = play.judge(trial, seed, ledger)
-        reached = coverage.words(trial.world, ledger.records, played, passed)
+        features = coverage.features(trial.world, ledger.records, played, exceeded)
     else:
-        played, mode, reached = play.run(trial, seed), PROCESSES, frozenset[str]()
+        played, mode, features = play.run(trial, seed), PROCESSES, frozenset[str]()
     return History(
         number,
         mode,
@@ -68,164 +69,208 @@
         played.verdict,
         played.unsure,
         tuple(sorted({b.name for b in played.result.violations})),
-        tuple(passed),
-        played.recovery.plain(),
-        reached,
-        time.process_time() - began,
+        tuple(exceeded),
+        played.recovery.to_dict(),
+        features,
+        time.process_time() - cpu_began,
     )
 
 
-class Guide:
-    """How often each word was reached, and the histories that reached what is rare. Bounded by the words there are."""
+class CoverageGuide:
+    """Counts how often each feature was covered, and keeps the latest histories that covered it.
 
-    def __init__(self) -> None:
-        self.times: Counter[str] = Counter()
-        self._by: dict[str, list[tuple[int, generator.Raw]]] = {}  # the last `RARE` that reached a word
-
-    def learn(self, h: History) -> None:
-        for word in h.reached:
-            self.times[word] += 1
-            self._by.setdefault(word, []).append((h.number, h.raw))
-            del self._by[word][:-RARE]
+    Its size is bounded by the number of features.
+    """
 
-    def parent(self, chance: RandomStream) -> tuple[int, generator.Raw] | None:
-        """One that reached a word that few did; each such word alike."""
-        rare = sorted(word for word, times in self.times.items() if times <= RARE)
-        return generator.pick(chance, self._by[generator.pick(chance, rare)]) if rare else None
+    def __init__(self) -> None:
+        self.counts: Counter[str] = Counter()
+        self._recent_by_feature: dict[
+            str, list[tuple[int, generator.RawTrial]]
+        ] = {}  # the last `RARE_COUNT` histories that covered a feature
+
+    def add_history(self, history: History) -> None:
+        """Adds the features of a history."""
+        for feature in history.features:
+            self.counts[feature] += 1
+            self._recent_by_feature.setdefault(feature, []).append((history.number, history.raw))
+            del self._recent_by_feature[feature][:-RARE_COUNT]
+
+    def parent(self, rng: RandomStream) -> tuple[int, generator.RawTrial] | None:
+        """A random history with a rare feature, each rare feature being equally likely; None if there is none."""
+        rare_features = sorted(feature for feature, count in self.counts.items() if count <= RARE_COUNT)
+        return (
+            generator.random_choice(rng, self._recent_by_feature[generator.random_choice(rng, rare_features)])
+            if rare_features
+            else None
+        )
 
 
 class Campaign:
-    """Plays until so many histories are in the book."""
+    """Runs histories until the database has the number wanted."""
 
     def __init__(
-        self, book: Book, seed: int, guided: float = GUIDED, told: Callable[[str], None] = lambda _: None
+        self,
+        database: CampaignDatabase,
+        seed: int,
+        guided: float = GUIDED_SHARE,
+        report: Callable[[str], None] = lambda _: None,
     ) -> None:
-        self._book = book
+        self._database = database
         self._seed = seed
         self._guided = guided
-        self._told = told
-        self.guide = Guide()
-        for h in book.histories(VIRTUAL):
-            self.guide.learn(h)
-
-    def draw(self, number: int) -> tuple[int, int | None, generator.Raw, int]:
-        """The history of a number: plain, or near to one that reached something rare by now."""
-        chance = random_stream(self._seed, "guide", number)
-        if chance.random() < self._guided and (found := self.guide.parent(chance)) is not None:
-            parent, raw = found
-            return number, parent, generator.near(raw, self._seed, number), number
-        return number, None, generator.plain(self._seed, number), number
-
-    def play(
-        self, many: int, workers: int | None = None, until: Callable[[History], bool] = lambda _: False
+        self._report = report
+        self.guide = CoverageGuide()
+        for history in database.histories(VIRTUAL):
+            self.guide.add_history(history)
+
+    def create_job(self, number: int) -> tuple[int, int | None, generator.RawTrial, int]:
+        """The job of a history number: an independent trial, or a mutation of one that has a rare feature so far."""
+        rng = random_stream(self._seed, "guide", number)
+        if rng.random() < self._guided and (rare_history := self.guide.parent(rng)) is not None:
+            parent, raw = rare_history
+            return number, parent, generator.mutate(raw, self._seed, number), number
+        return number, None, generator.random_trial(self._seed, number), number
+
+    def run(
+        self,
+        count_wanted: int,
+        workers: int | None = None,
+        stop_when: Callable[[History], bool] = lambda _: False,
     ) -> list[History]:
-        """Those of the first `many` numbers that aren't in the book yet; ends early where `until` says so."""
+        """Runs those of the first `count_wanted` numbers that the database lacks; ends early once `stop_when` is true."""
         workers = workers or os.cpu_count() or 1
-        done, found = self._book.numbers(VIRTUAL), list[History]()
-        left = (n for n in range(1, many + 1) if n not in done)
-        with pool_of(workers) as pool:
-            out: set[Future[History]] = set()
+        done, results = self._database.completed_numbers(VIRTUAL), list[History]()
+        remaining = (n for n in range(1, count_wanted + 1) if n not in done)
+        with create_pool(workers) as pool:
+            pending: set[Future[History]] = set()
             try:
                 while True:
-                    for number in left:
-                        out.add(pool.submit(one, self.draw(number)))
-                        if len(out) >= 2 * workers:  # what is drawn later knows what was reached meanwhile
+                    for number in remaining:
+                        pending.add(pool.submit(run_history, self.create_job(number)))
+                        if (
+                            len(pending) >= 2 * workers
+                        ):  # later jobs are guided by what has been covered by then
                             break
-                    if not out:
-                        return found
-                    ended, out = wait(out, return_when=FIRST_COMPLETED)
-                    for future in ended:
-                        h = future.result()
-                        self._book.add(h)
-                        self.guide.learn(h)
-                        found.append(h)
-                        if h.broken or h.passed:
-                            self._told(f"history {h.number}: {', '.join((*h.broken, *h.passed))}")
-                        if until(h):
-                            return found
+                    if not pending:
+                        return results
+                    completed, pending = wait(pending, return_when=FIRST_COMPLETED)
+                    for future in completed:
+                        history = future.result()
+                        self._database.add(history)
+                        self.guide.add_history(history)
+                        results.append(history)
+                        if history.broken or history.exceeded:
+                            self._report(
+                                f"history {history.number}: {', '.join((*history.broken, *history.exceeded))}"
+                            )
+                        if stop_when(history):
+                            return results
             finally:
-                for future in out:
+                for future in pending:
                     future.cancel()
 
-    def again(self, share: float, workers: int = BESIDE) -> list[History]:
-        """A share of what was played in virtual time, with every part a process: each n-th that can be made so."""
-        done, step, found = self._book.numbers(PROCESSES), max(1, round(1 / share)), []
+    def run_with_processes(self, share: float, workers: int = PROCESS_RUN_WORKERS) -> list[History]:
+        """Repeats a share of the histories with real processes: every n-th of those that can be run so."""
+        done, interval, results = self._database.completed_numbers(PROCESSES), max(1, round(1 / share)), []
         jobs = []
-        for i, h in enumerate(h for h in self._book.histories(VIRTUAL) if generator.with_processes(h.raw)):
-            if i % step == 0 and h.number not in done and (raw := generator.with_processes(h.raw)):
-                jobs.append((h.number, None, raw, h.number))
-        with pool_of(workers) as pool:
-            for h in pool.map(one, jobs):
-                self._book.add(h)
-                found.append(h)
-                if h.broken:
-                    self._told(f"history {h.number} with processes: {', '.join(h.broken)}")
-        return found
-
-    def shrink(self, most: int, folder: Path) -> list[Path]:
-        """The files of the smallest of what breaks something, and of the `most` that do worst."""
-        bad = [h for h in self._book.histories(VIRTUAL) if h.broken or h.passed]
-        well = [h for h in self._book.histories(VIRTUAL) if not (h.broken or h.passed)]
-        worst = sorted(well, key=lambda h: (h.figures["whole"], h.number))[: max(0, most - len(bad))]
+        for i, history in enumerate(
+            history
+            for history in self._database.histories(VIRTUAL)
+            if generator.reduced_for_processes(history.raw)
+        ):
+            if (
+                i % interval == 0
+                and history.number not in done
+                and (raw := generator.reduced_for_processes(history.raw))
+            ):
+                jobs.append((history.number, None, raw, history.number))
+        with create_pool(workers) as pool:
+            for history in pool.map(run_history, jobs):
+                self._database.add(history)
+                results.append(history)
+                if history.broken:
+                    self._report(f"history {history.number} with processes: {', '.join(history.broken)}")
+        return results
+
+    def minimize(self, max_count: int, folder: Path) -> list[Path]:
+        """Minimizes the histories with violations, and the worst of the others up to `max_count` in all; their files."""
+        violating = [
+            history for history in self._database.histories(VIRTUAL) if history.broken or history.exceeded
+        ]
+        passing = [
+            history
+            for history in self._database.histories(VIRTUAL)
+            if not (history.broken or history.exceeded)
+        ]
+        worst = sorted(passing, key=lambda history: (history.figures["whole"], history.number))[
+            : max(0, max_count - len(violating))
+        ]
         folder.mkdir(parents=True, exist_ok=True)
-        kept, files = {row[0] for row in self._book.kept()}, []
-        for h in [*bad, *worst]:
-            if h.number in kept:
+        minimized, paths = {row[0] for row in self._database.minimized()}, []
+        for history in [*violating, *worst]:
+            if history.number in minimized:
                 continue
             why = (
-                f"breaks {h.broken[0]!r}"
-                if h.broken
-                else f"passes the bound of {h.passed[0]}"
-                if h.passed
+                f"breaks {history.broken[0]!r}"
+                if history.broken
+                else f"passes the bound of {history.exceeded[0]}"
+                if history.exceeded
                 else "worst service"
             )
-            trial, seed = smallest(h)
-            path = folder / f"history-{h.number}.toml"
+            trial, seed = minimize_history(history)
+            path = folder / f"history-{history.number}.toml"
             path.write_text(f"# Seed {seed}: {why}.\n" + to_toml(replace(trial.world, seeds=(seed,))))
-            self._book.keep(h.number, why, size(trial), path.name)
-            self._told(f"{path}: {why}; {size(trial)}")
-            files.append(path)
-        return files
+            self._database.add_minimized(history.number, why, describe(trial), path.name)
+            self._report(f"{path}: {why}; {describe(trial)}")
+            paths.append(path)
+        return paths
 
 
-def size(trial: Trial) -> str:
+def describe(trial: Trial) -> str:
+    """The size of a trial in one line."""
     kinds = ", ".join(sorted({t.kind for t in trial.world.troubles}))
     return f"{trial.world.agents} agents, {trial.world.backend_count} backends, {len(trial.world.troubles)} faults ({kinds})"
 
 
-def smallest(h: History) -> tuple[Trial, int]:
-    """The fewest faults and agents that still show what this history shows, and the seed."""
-    trial, seed = spec.read(h.raw), h.number
+def minimize_history(history: History) -> tuple[Trial, int]:
+    """The smallest trial found that still has a violation or service value of this history, and the seed."""
+    trial, seed = spec.read(history.raw), history.number
 
-    def shows(some: Trial) -> bool:
-        with suppress(BadConfig, ValueError), bounds.watch_bounds(some.world.agents) as watch:
-            played = play.judge(some, seed, virtual.play(some.world, seed))
-            if h.broken:
-                return any(b.name in h.broken for b in played.result.violations)
-            if h.passed:
-                return any(name in h.passed for name in watch.passed)
-            return played.recovery.whole <= h.figures["whole"] * 1.05 + 0.02 and played.recovery.whole < 1
+    def reproduces(candidate: Trial) -> bool:
+        with suppress(BadConfig, ValueError), bounds.watch_bounds(candidate.world.agents) as monitor:
+            played = play.judge(candidate, seed, virtual.play(candidate.world, seed))
+            if history.broken:
+                return any(b.name in history.broken for b in played.result.violations)
+            if history.exceeded:
+                return any(name in history.exceeded for name in monitor.exceeded)
+            return (
+                played.recovery.whole <= history.figures["whole"] * 1.05 + 0.02 and played.recovery.whole < 1
+            )
         return False
 
-    for _ in range(SHRINKS):
-        better = next((some for some in _smaller(trial) if shows(some)), None)
-        if better is None:
+    for _ in range(MAX_MINIMIZE_STEPS):
+        smaller_trial = next(
+            (candidate for candidate in _smaller_trials(trial) if reproduces(candidate)), None
+        )
+        if smaller_trial is None:
             break
-        trial = better
+        trial = smaller_trial
     return trial, seed
 
 
-def _smaller(trial: Trial) -> Iterator[Trial]:
+def _smaller_trials(trial: Trial) -> Iterator[Trial]:
     for world in smaller(trial.world):
-        if world.length == trial.world.length:  # what comes after the last fault is what is looked at
+        if (
+            world.length == trial.world.length
+        ):  # a shorter run would cut off the recovery after the last fault
             yield replace(trial, world=world)
 
 
-def stays_down(h: History) -> bool:
-    """If service is not back though the trigger is gone: 0.95 of the possible was never reached, and half of it not over the whole."""
-    return h.figures["back_after"] is None and (h.figures["whole"] or 0.0) < DOWN
+def stays_down(history: History) -> bool:
+    """Whether service stays down after the fault: never at 0.95 of the possible value, and under half of it overall."""
+    return history.figures["back_after"] is None and (history.figures["whole"] or 0.0) < DOWN_SHARE
 
 
-def back(h: History) -> float:
-    """Ms from the trigger's end to 0.95 of the possible; infinite where that never comes."""
-    return inf if h.figures["back_after"] is None else float(h.figures["back_after"])
+def recovery_ms(history: History) -> float:
+    """Ms from the end of the fault to 0.95 of the possible value; infinite if that is never reached."""
+    return inf if history.figures["back_after"] is None else float(history.figures["back_after"])
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -18,56 +18,57 @@
 from lupinreach.trial.play import TrialRun
 from lupinreach.trial.spec import Trial
 
-UNSURE = 3  # exit code: no verdict can be given
-MODES = {"virtual": "virtual", "processes": "loopback"}  # as the world's mode has them
+EXIT_UNSURE = 3  # exit code when no verdict can be given
+WORLD_MODES = {"virtual": "virtual", "processes": "loopback"}  # world mode for each choice of --mode
 
 
-def trial_of(file: str, seed: tuple[int, ...], policy: str | None = None, mode: str | None = None) -> Trial:
+def load_trial(file: str, seed: tuple[int, ...], policy: str | None = None, mode: str | None = None) -> Trial:
+    """Reads a trial and applies the options; exits with an error if it can't be run so."""
     try:
-        found = spec.read_file(file)
-    except BadConfig as wrong:
-        bad(wrong)
+        result = spec.read_file(file)
+    except BadConfig as error:
+        bad(error)
     world = replace(
-        found.world,
-        seeds=seed or found.world.seeds,
-        policy=policy or found.world.policy,
-        mode=MODES[mode] if mode else found.world.mode,
+        result.world,
+        seeds=seed or result.world.seeds,
+        policy=policy or result.world.policy,
+        mode=WORLD_MODES[mode] if mode else result.world.mode,
     )
     if world.mode != "virtual":
         from lupinreach.trial.rig.stage import unsupported_reason
 
-        if why := unsupported_reason(world):
-            bad(why)
-    return replace(found, world=world)
+        if reason := unsupported_reason(world):
+            bad(reason)
+    return replace(result, world=world)
 
 
 @lupinreach.command("check-config")
 @click.argument("file")
 def check_config(file: str) -> None:
-    """Read a configuration (an agent's JSON, or the TOML of a world or a trial) and name the faulty key."""
+    """Check a configuration (the JSON of an agent, or the TOML of a world or trial) and name the faulty key."""
     try:
         if file.endswith(".json"):
             config = read_agent({"PROXY_CONFIG": file})
             print(f"{file}: good; agent {config.name}, {len(config.settings.products)} products")
         else:
-            found = spec.read_file(file)
-            world = found.world
+            result = spec.read_file(file)
+            world = result.world
             print(
                 f"{file}: good; world {world.name}, {world.agents} agents, {world.backend_count} backends, "
                 f"{len(world.troubles)} troubles"
             )
-    except BadConfig as wrong:
-        bad(wrong)
+    except BadConfig as error:
+        bad(error)
 
 
 @lupinreach.group()
 def trial() -> None:
-    """Trials: parts of a whole fleet fail; is what is possible served, and are the rules kept?"""
+    """Trials: run a whole fleet while parts of it fail, measure its service and check the rules."""
 
 
 @trial.command("list")
 def list_trials() -> None:
-    """The trials that come with it."""
+    """List the packaged trials."""
     for path in sorted(spec.TRIALS.glob("*.toml")):
         print(f"{path.stem:24} {path.read_text(encoding='utf-8').splitlines()[0].lstrip('# ')}")
 
@@ -75,13 +76,17 @@
 @trial.command()
 @click.argument("file")
 @click.option(
-    "--seed", type=click.IntRange(0), multiple=True, help="in place of the file's; may be given again"
+    "--seed", type=click.IntRange(0), multiple=True, help="replaces the seeds of the file; can be repeated"
 )
 @click.option("--policy", type=click.Choice(list(POLICIES)))
-@click.option("--mode", type=click.Choice(list(MODES)), help="in virtual time, or with every part a process")
-@click.option("--jobs", type=click.IntRange(1), help="runs beside each other")
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="write every run's figures to a file")
-@click.option("--report", type=click.Path(file_okay=False), help="write a page with plots of the first seed")
+@click.option("--mode", type=click.Choice(list(WORLD_MODES)), help="in virtual time, or with real processes")
+@click.option("--jobs", type=click.IntRange(1), help="number of parallel runs")
+@click.option(
+    "--json", "out", type=click.Path(dir_okay=False), help="write the metrics of every run to a file"
+)
+@click.option(
+    "--report", type=click.Path(file_okay=False), help="write an HTML report with plots of the first seed"
+)
 def run(
     file: str,
     seed: tuple[int, ...],
@@ -91,60 +96,63 @@
     out: str | None,
     report: str | None,
 ) -> None:
-    """Play a trial; ends with one line of JSON.
+    """Run a trial; the last line of output is JSON.
 
-    Exit 0: rules kept, 1: one broken or less than expected, 2: a bad file, 3: unsure, 130: stopped.
+    Exit 0: rules kept, 1: a rule broken or a metric not as expected, 2: bad file, 3: unsure, 130: stopped.
     """
-    one = trial_of(file, seed, policy, mode)
-    played: list[TrialRun] = []
+    loaded = load_trial(file, seed, policy, mode)
+    runs: list[TrialRun] = []
 
-    def done(p: TrialRun) -> None:
-        played.append(p)
-        told.print(_line(p) + (" (stopped)" if p.stopped else ""), markup=False)
+    def on_run(run_result: TrialRun) -> None:
+        runs.append(run_result)
+        told.print(_run_summary(run_result) + (" (stopped)" if run_result.stopped else ""), markup=False)
 
     stopped = False
     try:
-        play.run_many([(one, s) for s in one.world.seeds], jobs, done)
+        play.run_many([(loaded, s) for s in loaded.world.seeds], jobs, on_run)
     except KeyboardInterrupt:
         stopped = True
-        told.print(f"stopped after {len(played)} of {len(one.world.seeds)} runs")
-    for p in played:
-        for b in p.result.violations[:MOST_TOLD]:
-            told.print(f"seed {p.result.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False)
-        for line in p.missed:
-            told.print(f"seed {p.result.seed}: {line}", markup=False)
-    if not played:
+        told.print(f"stopped after {len(runs)} of {len(loaded.world.seeds)} runs")
+    for run_result in runs:
+        for v in run_result.result.violations[:MOST_TOLD]:
+            told.print(
+                f"seed {run_result.result.seed} at {v.at:.0f} ms: {v.rule}: {v.name}: {v.what}",
+                markup=False,
+            )
+        for line in run_result.missed:
+            told.print(f"seed {run_result.result.seed}: {line}", markup=False)
+    if not runs:
         print(
             json.dumps(
-                {"trial": one.world.name, "verdict": "stopped" if stopped else play.UNSURE, "seeds": []}
+                {"trial": loaded.world.name, "verdict": "stopped" if stopped else play.UNSURE, "seeds": []}
             )
         )
-        sys.exit(STOPPED if stopped else UNSURE)
+        sys.exit(STOPPED if stopped else EXIT_UNSURE)
     if out:
         rows = [
             {
-                "seed": p.result.seed,
-                "verdict": p.verdict,
-                **p.recovery.plain(),
-                "missed": p.missed,
-                "seconds": [vars(s) for s in p.seconds],
-                "rig": p.rig,
-                "breaches": [vars(b) for b in p.result.violations],
+                "seed": run_result.result.seed,
+                "verdict": run_result.verdict,
+                **run_result.recovery.to_dict(),
+                "missed": run_result.missed,
+                "seconds": [vars(s) for s in run_result.seconds],
+                "rig": run_result.rig,
+                "breaches": [vars(v) for v in run_result.result.violations],
             }
-            for p in played
+            for run_result in runs
         ]
-        Path(out).write_text(json.dumps({"trial": one.world.name, "runs": rows}, indent=1) + "\n")
+        Path(out).write_text(json.dumps({"trial": loaded.world.name, "runs": rows}, indent=1) + "\n")
     if report:
         from lupinreach.trial.report import write
 
-        told.print(f"report: {write(Path(report), one, played)}")
-    found = play.summary(one, played)
-    print(json.dumps(found | ({"stopped": True} if stopped else {})))
+        told.print(f"report: {write(Path(report), loaded, runs)}")
+    result = play.summary(loaded, runs)
+    print(json.dumps(result | ({"stopped": True} if stopped else {})))
     if stopped:
         sys.exit(STOPPED)
-    if found["verdict"] == play.UNSURE:
-        sys.exit(UNSURE)
-    sys.exit(KEPT if found["verdict"] == play.KEPT and found["as_expected"] else BROKEN)
+    if result["verdict"] == play.UNSURE:
+        sys.exit(EXIT_UNSURE)
+    sys.exit(KEPT if result["verdict"] == play.KEPT and result["as_expected"] else BROKEN)
 
 
 @trial.command()
@@ -153,15 +161,19 @@
 @click.option("--seed", type=click.IntRange(0), multiple=True)
 @click.option("--jobs", type=click.IntRange(1))
 def compare(file: str, against: tuple[str, ...], seed: tuple[int, ...], jobs: int | None) -> None:
-    """The same seeds under two policies or more."""
-    one = trial_of(file, seed)
-    found = play.compare(one, list(dict.fromkeys([one.world.policy, *against])), one.world.seeds, jobs)
+    """Run the same seeds under two or more policies."""
+    loaded = load_trial(file, seed)
+    result = play.compare(
+        loaded, list(dict.fromkeys([loaded.world.policy, *against])), loaded.world.seeds, jobs
+    )
     table = Table(box=None)
     for column in ("policy", "first 10 s", "first 20 s", "whole", "back after s", "cold load", "rules"):
         table.add_column(column, justify="left" if column in ("policy", "rules") else "right")
-    lines = {}
-    for name, runs in found.items():
-        lines[name] = total = play.summary(replace(one, world=replace(one.world, policy=name)), runs)
+    summaries = {}
+    for name, runs in result.items():
+        summaries[name] = total = play.summary(
+            replace(loaded, world=replace(loaded.world, policy=name)), runs
+        )
         table.add_row(
             name,
             *(f"{total[k]:.3f}" for k in ("first_10s", "first_20s", "whole")),
@@ -174,40 +186,45 @@
     print(
         json.dumps(
             {
-                "trial": one.world.name,
-                "seeds": list(one.world.seeds),
-                "policies": {name: {k: total[k] for k in keep} for name, total in lines.items()},
+                "trial": loaded.world.name,
+                "seeds": list(loaded.world.seeds),
+                "policies": {name: {k: total[k] for k in keep} for name, total in summaries.items()},
             }
         )
     )
-    sys.exit(KEPT if lines[one.world.policy]["verdict"] == play.KEPT else BROKEN)
+    sys.exit(KEPT if summaries[loaded.world.policy]["verdict"] == play.KEPT else BROKEN)
 
 
 @trial.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option(
-    "--histories", type=click.IntRange(0), default=100, help="so many in all, those in the file among them"
+    "--histories",
+    type=click.IntRange(0),
+    default=100,
+    help="total number, including those already in the file",
+)
+@click.option("--seed", type=click.IntRange(0), default=1, help="seed of the whole campaign")
+@click.option(
+    "--plain", is_flag=True, help="generate every history independently, without guidance by coverage"
 )
-@click.option("--seed", type=click.IntRange(0), default=1, help="of the whole campaign")
-@click.option("--plain", is_flag=True, help="draw all of them with no look at what was reached")
 @click.option(
     "--processes",
     type=click.FloatRange(0.0, 1.0),
     default=0.0,
-    help="this share again with every part a process",
+    help="share of the histories to repeat with real processes",
 )
 @click.option(
     "--shrink",
     "most",
     type=click.IntRange(0),
     default=0,
-    help="shrink what breaks something, and the worst, so many in all",
+    help="minimize the histories with violations and the worst others, up to this number",
 )
-@click.option("--jobs", type=click.IntRange(1), help="histories beside each other")
+@click.option("--jobs", type=click.IntRange(1), help="number of parallel histories")
 @click.option(
     "--report",
     type=click.Path(file_okay=False),
-    help="write a page, and the files of what was shrunk, to a folder",
+    help="write an HTML report and the minimized trials to a folder",
 )
 def campaign(
     file: str,
@@ -219,41 +236,41 @@
     jobs: int | None,
     report: str | None,
 ) -> None:
-    """Draw whole-fleet failures, play and judge them, and keep all of it in FILE; a campaign that was stopped goes on.
+    """Generate, run and check whole-fleet failures, and store them in FILE; a stopped campaign is resumed.
 
-    Ends with one line of JSON. Exit 0: no rule broken and no bound passed, 1: one was, 2: a bad file, 130: stopped.
+    The last line of output is JSON. Exit 0: no rule broken and no bound exceeded, 1: one was, 2: bad file, 130: stopped.
     """
     from lupinreach.trial.campaign import page, runner
-    from lupinreach.trial.campaign.database import Book, NoBook
+    from lupinreach.trial.campaign.database import CampaignDatabase, InvalidDatabase
 
     try:
-        book = Book(Path(file), seed)
-    except NoBook as wrong:
-        bad(BadConfig(str(wrong)))
-    one = runner.Campaign(
-        book, seed, 0.0 if plain else runner.GUIDED, lambda text: told.print(text, markup=False)
+        database = CampaignDatabase(Path(file), seed)
+    except InvalidDatabase as error:
+        bad(BadConfig(str(error)))
+    active_campaign = runner.Campaign(
+        database, seed, 0.0 if plain else runner.GUIDED_SHARE, lambda text: told.print(text, markup=False)
     )
     stopped = False
     try:
-        one.play(histories, jobs)
+        active_campaign.run(histories, jobs)
         if processes:
-            one.again(processes)
+            active_campaign.run_with_processes(processes)
         if most:
-            one.shrink(most, Path(report or Path(file).parent))
+            active_campaign.minimize(most, Path(report or Path(file).parent))
     except KeyboardInterrupt:
         stopped = True
     if report:
-        told.print(f"report: {page.write(Path(report), book)}")
-    found = page.summary(book)
-    print(json.dumps(found | ({"stopped": True} if stopped else {})))
-    broken = found["broken"] or found["passed"] or found["broken_with_processes"]
+        told.print(f"report: {page.write(Path(report), database)}")
+    result = page.summary(database)
+    print(json.dumps(result | ({"stopped": True} if stopped else {})))
+    broken = result["broken"] or result["passed"] or result["broken_with_processes"]
     sys.exit(STOPPED if stopped else BROKEN if broken else KEPT)
 
 
-def _line(p: TrialRun) -> str:
-    r = p.recovery
+def _run_summary(run_result: TrialRun) -> str:
+    recovery = run_result.recovery
     return (
-        f"seed {p.result.seed}: {p.verdict}, served over possible {r.first_10s:.3f} in the first 10 s, "
-        f"{r.first_20s:.3f} in the first 20, back after {r.back_after / 1000:.0f} s, "
-        f"cold load {r.cold_load:.2f}{', ' + p.unsure if p.unsure else ''}"
+        f"seed {run_result.result.seed}: {run_result.verdict}, served over possible {recovery.first_10s:.3f} in the first 10 s, "
+        f"{recovery.first_20s:.3f} in the first 20, back after {recovery.back_after / 1000:.0f} s, "
+        f"cold load {recovery.cold_load:.2f}{', ' + run_result.unsure if run_result.unsure else ''}"
     )
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -15,43 +15,45 @@
 from lupinreach.ops.sharing import Sharing
 from lupinreach.trial import play, spec
 from lupinreach.trial.campaign import generator, page, runner
-from lupinreach.trial.campaign.database import Book, History, NoBook
-from lupinreach.trial.campaign.runner import Campaign, Guide, one, smallest
+from lupinreach.trial.campaign.database import CampaignDatabase, History, InvalidDatabase
+from lupinreach.trial.campaign.runner import Campaign, CoverageGuide, minimize_history, run_history
 from lupinreach.trial.models.search import StateLimitExceeded, search
 
 # What is drawn.
 
 
 def test_a_number_is_one_history_everywhere_and_every_kind_of_fault_is_drawn():
-    raws = [generator.plain(5, n) for n in range(300)]
-    assert raws[:9] == [generator.plain(5, n) for n in range(9)] and raws[0] != generator.plain(6, 0)
-    kinds = Counter(t["kind"] for raw in raws for t in raw["troubles"])
-    assert set(kinds) == {kind for room in generator.ROOMS.values() for kind in room}
-    assert 0.5 < sum(bool(raw["faults"]) for raw in raws) / 300 < 0.7
-    for n, raw in enumerate(raws):
-        near = generator.near(raw, 5, n)
-        spec.read(raw), spec.read(near)  # strict
-        if small := generator.with_processes(near):
+    trials = [generator.random_trial(5, n) for n in range(300)]
+    assert trials[:9] == [generator.random_trial(5, n) for n in range(9)] and trials[
+        0
+    ] != generator.random_trial(6, 0)
+    kinds = Counter(t["kind"] for raw in trials for t in raw["troubles"])
+    assert set(kinds) == {kind for area in generator.TROUBLES_BY_AREA.values() for kind in area}
+    assert 0.5 < sum(bool(raw["faults"]) for raw in trials) / 300 < 0.7
+    for n, raw in enumerate(trials):
+        mutated = generator.mutate(raw, 5, n)
+        spec.read(raw), spec.read(mutated)  # strict
+        if reduced := generator.reduced_for_processes(mutated):
             assert (
-                spec.read(small).world.agents <= 5
-                and not {t["kind"] for t in small["troubles"]} & generator.VIRTUAL_ALONE
+                spec.read(reduced).world.agents <= 5
+                and not {t["kind"] for t in reduced["troubles"]} & generator.VIRTUAL_ONLY
             )
 
 
-def history(number, reached=(), **more):
+def history(number, features=(), **more):
     figures = {"whole": 0.9, "back_after": 0.0, "cold_load": 0.1, "first_10s": 0.9}
     return replace(
         History(
             number,
             runner.VIRTUAL,
             None,
-            generator.plain(1, number),
+            generator.random_trial(1, number),
             play.KEPT,
             "",
             (),
             (),
             figures,
-            frozenset(reached),
+            frozenset(features),
             1.0,
         ),
         **more,
@@ -59,38 +61,42 @@
 
 
 def test_what_is_drawn_goes_near_to_what_reached_something_rare():
-    guide = Guide()
+    guide = CoverageGuide()
     for n in range(1, 40):
-        guide.learn(history(n, {"usual"} | ({"rare"} if n == 7 else set())))
-    chance = random_stream(1, "test")
-    assert {guide.parent(chance)[0] for _ in range(20)} == {7}
-    assert Guide().parent(chance) is None
+        guide.add_history(history(n, {"usual"} | ({"rare"} if n == 7 else set())))
+    rng = random_stream(1, "test")
+    assert {guide.parent(rng)[0] for _ in range(20)} == {7}
+    assert CoverageGuide().parent(rng) is None
 
 
 # The book.
 
 
 def test_a_book_holds_what_was_played_and_is_of_one_campaign(tmp_path):
-    book = Book(tmp_path / "c", 3)
-    book.add(history(2, {"a", "b"}, broken=("effect twice",)))
-    book.add(history(1))
-    book.close()
-    again = Book(tmp_path / "c", 3)
-    assert [h.number for h in again.histories()] == [1, 2] and again.numbers(runner.VIRTUAL) == {1, 2}
-    assert list(again.histories())[1].broken == ("effect twice",) and list(again.histories())[1].reached == {
+    database = CampaignDatabase(tmp_path / "c", 3)
+    database.add(history(2, {"a", "b"}, broken=("effect twice",)))
+    database.add(history(1))
+    database.close()
+    reopened = CampaignDatabase(tmp_path / "c", 3)
+    assert [h.number for h in reopened.histories()] == [1, 2] and reopened.completed_numbers(
+        runner.VIRTUAL
+    ) == {1, 2}
+    assert list(reopened.histories())[1].broken == ("effect twice",) and list(reopened.histories())[
+        1
+    ].features == {
         "a",
         "b",
     }
-    with pytest.raises(NoBook, match="seed 3, not 1 and 4"):
-        Book(tmp_path / "c", 4)
+    with pytest.raises(InvalidDatabase, match="format 1 and seed 3, expected 1 and 4"):
+        CampaignDatabase(tmp_path / "c", 4)
     (tmp_path / "no").write_bytes(b"nothing of the kind, and long enough to be looked at" * 9)
-    with pytest.raises(NoBook, match="not a database"):
-        Book(tmp_path / "no", 3)
+    with pytest.raises(InvalidDatabase, match="not a database"):
+        CampaignDatabase(tmp_path / "no", 3)
 
 
 @pytest.mark.parametrize("after", [0.4])
 def test_a_campaign_that_is_killed_goes_on_and_has_lost_at_most_what_was_in_play(tmp_path, after):
-    words = [
+    command_line = [
         sys.executable,
         "-m",
         "lupinreach.cli",
@@ -106,7 +112,11 @@
         "--plain",
     ]
     running = subprocess.Popen(
-        words, cwd=tmp_path, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL, start_new_session=True
+        command_line,
+        cwd=tmp_path,
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+        start_new_session=True,
     )
     deadline = time.monotonic() + 20
     while time.monotonic() < deadline and len(_numbers(tmp_path / "c.db")) < 1:
@@ -119,7 +129,7 @@
             os.killpg(running.pid, 0)
             time.sleep(0.05)
     before = _numbers(tmp_path / "c.db")
-    done = subprocess.run(words, cwd=tmp_path, capture_output=True, text=True)
+    done = subprocess.run(command_line, cwd=tmp_path, capture_output=True, text=True)
     found = json.loads(done.stdout.splitlines()[-1])
     assert (
         done.returncode == 0
@@ -131,42 +141,48 @@
 
 def _numbers(path):
     try:
-        return Book(path, 2).numbers(runner.VIRTUAL)
-    except NoBook:
+        return CampaignDatabase(path, 2).completed_numbers(runner.VIRTUAL)
+    except InvalidDatabase:
         return set()
 
 
 # What is found.
 
 
-def planted(raw):
+def with_planted_fault(raw):
     return raw | {"fault": "sends-to-draining"}
 
 
 def test_a_planted_mistake_is_found_shrunk_and_kept_as_a_file_that_replays_it(tmp_path, monkeypatch):
-    plain = generator.plain
-    monkeypatch.setattr(generator, "plain", lambda seed, number: planted(plain(seed, number)))
-    monkeypatch.setattr(generator, "POWER", 0.0)
-    book = Book(tmp_path / "c", 1)
+    original = generator.random_trial
+    monkeypatch.setattr(
+        generator, "random_trial", lambda seed, number: with_planted_fault(original(seed, number))
+    )
+    monkeypatch.setattr(generator, "POWER_LOSS_SHARE", 0.0)
+    database = CampaignDatabase(tmp_path / "c", 1)
     numbers = iter(range(1, 200))
     while True:  # in this process, where the patch is
         number = next(numbers)
-        raw = generator.plain(1, number)
+        raw = generator.random_trial(1, number)
         if not any(t["kind"] == "drain" for t in raw["troubles"]):
             continue
-        h = one((number, None, raw, number))
-        book.add(h)
+        h = run_history((number, None, raw, number))
+        database.add(h)
         if h.broken:
             break
     assert h.broken == ("sent to draining",) and number < 60
-    small, seed = smallest(h)
-    assert len(small.world.troubles) == 1 and small.world.agents <= spec.read(raw).world.agents
-    (path,) = Campaign(book, 1).shrink(1, tmp_path)
+    reduced, seed = minimize_history(h)
+    assert len(reduced.world.troubles) == 1 and reduced.world.agents <= spec.read(raw).world.agents
+    (path,) = Campaign(database, 1).minimize(1, tmp_path)
     text = path.read_text()
-    assert text.startswith(f"# Seed {seed}: breaks 'sent to draining'.") and book.kept()[0][0] == number
-    again = spec.read_file(path)
-    assert {b.name for b in play.run(again, again.world.seeds[0]).result.violations} == {"sent to draining"}
-    assert "sent to draining" in page.page(book) and page.summary(book)["broken"] == {
+    assert (
+        text.startswith(f"# Seed {seed}: breaks 'sent to draining'.") and database.minimized()[0][0] == number
+    )
+    reopened = spec.read_file(path)
+    assert {b.name for b in play.run(reopened, reopened.world.seeds[0]).result.violations} == {
+        "sent to draining"
+    }
+    assert "sent to draining" in page.page(database) and page.summary(database)["broken"] == {
         number: ["sent to draining"]
     }
 
@@ -175,12 +191,13 @@
     number = next(
         n
         for n in range(1, 99)
-        if generator.plain(1, n)["agents"]["share_ms"] and generator.plain(1, n)["agents"]["count"] > 4
+        if generator.random_trial(1, n)["agents"]["share_ms"]
+        and generator.random_trial(1, n)["agents"]["count"] > 4
     )
-    raw = generator.plain(1, number) | {"faults": [], "troubles": []}
-    assert one((number, None, raw, number)).passed == ()
+    raw = generator.random_trial(1, number) | {"faults": [], "troubles": []}
+    assert run_history((number, None, raw, number)).exceeded == ()
     monkeypatch.setattr("lupinreach.fleet.grants.Budget.usable", lambda self, now: 2 * self.own)
-    assert one((number, None, raw, number)).passed == ("trials",)
+    assert run_history((number, None, raw, number)).exceeded == ("trials",)
     assert Sharing.look.__name__ == "look"  # and the watch is gone
 
 
@@ -194,11 +211,11 @@
 # The search through models.
 
 
-class Ring:
+class TokenRing:
     """A token that goes round n places, is lost at one, and is waited for at the last."""
 
-    def __init__(self, n, fair=(), lost=False, alike=False):
-        self.n, self.fair, self.lost, self.alike = n, frozenset(fair), lost, alike
+    def __init__(self, n, fair=(), lost=False, symmetric=False):
+        self.n, self.fair, self.lost, self.alike = n, frozenset(fair), lost, symmetric
 
     def first(self):
         return [0]
@@ -223,11 +240,11 @@
 
 
 def test_a_search_tells_the_shortest_story_of_what_is_wrong_and_of_what_never_comes():
-    assert search(Ring(7)).trace == ("on",) * 5 + ("five",)
-    assert search(Ring(4)).trace == ("never done",) and search(Ring(4)).cycle == ("rest",)
-    assert search(Ring(4, fair=["on"])).ok and search(Ring(4, fair=["on"])).states == 5
-    lost = search(Ring(4, fair=["on"], lost=True))
+    assert search(TokenRing(7)).trace == ("on",) * 5 + ("five",)
+    assert search(TokenRing(4)).trace == ("never done",) and search(TokenRing(4)).cycle == ("rest",)
+    assert search(TokenRing(4, fair=["on"])).ok and search(TokenRing(4, fair=["on"])).states == 5
+    lost = search(TokenRing(4, fair=["on"], lost=True))
     assert lost.trace == ("on", "on", "lose", "never done") and lost.cycle == ()
-    assert search(Ring(4, alike=True)).states == 3  # the same from either end
+    assert search(TokenRing(4, symmetric=True)).states == 3  # the same from either end
     with pytest.raises(StateLimitExceeded):
-        search(Ring(4), max_states=3)
+        search(TokenRing(4), max_states=3)
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -65,7 +65,7 @@
 
 
 def test_every_trial_that_comes_with_it_is_read_and_a_bad_command_starts_nothing(tmp_path):
-    for path in spec.TRIALS.glob("*.toml"):
+    for path in spec.TRIALS_DIR.glob("*.toml"):
         assert spec.read_file(path.stem).world.name == path.stem
     bad = tmp_path / "bad.toml"
     bad.write_text('base = "fleet"\n[[faults]]\nkind = "power"\nat = 1\nagents = 1\nrack = "east"\n')
