--- a/lupinreach/trial/campaign/page.py
+++ b/lupinreach/trial/campaign/page.py
@@ -10,7 +10,7 @@
 
 import matplotlib.pyplot as plt
 
-from lupinreach.bed.commands.report import STYLE, frame, svg
+from lupinreach.bed.commands.report import STYLE, render_svg, time_plot
 from lupinreach.fleet.recovery import Stage
 from lupinreach.trial.campaign import generator
 from lupinreach.trial.campaign.database import CampaignDatabase, History
@@ -100,18 +100,18 @@
     for title, histories in (("virtual time", simulated), ("processes", with_processes)):
         if not histories:
             continue
-        figure, area = frame([], "share of the histories")
+        figure, area = time_plot([], "share of the histories")
         times = sorted(recovery_ms(history) / 1000 for history in histories)
         ends = [t for t in times if t < inf]
         area.step(ends, [(i + 1) / len(times) for i in range(len(ends))], where="post", color="#2a5f9e")
         area.set_ylim(0, 1)
         area.set_xlabel("s from the last trigger's end to 0.95 of the possible")
-        plots.append(f"<h2>Times of recovery, {title}</h2>{svg(figure)}")
-    figure, area = frame([], "features covered so far")
+        plots.append(f"<h2>Times of recovery, {title}</h2>{render_svg(figure)}")
+    figure, area = time_plot([], "features covered so far")
     covered: set[str] = set()
     area.plot([len(covered := covered | history.features) for history in simulated], color="#2a7f62")
     area.set_xlabel("histories")
-    plots.append(f"<h2>Coverage</h2>{svg(figure)}")
+    plots.append(f"<h2>Coverage</h2>{render_svg(figure)}")
     plt.close("all")
     uncovered = sorted(expected_features() - without_counts(feature_counts))
     minimized_rows = "".join(
@@ -133,14 +133,10 @@
 
 def _history_table(histories: object) -> str:
     rows = "".join(
-        f"<tr><td>{history.number}</td><td>{html.escape(', '.join((*history.broken, *history.exceeded)) or 'kept')}</td><td>{history.figures['whole']}</td>"
-        f"<td>{history.figures['cold_load']}</td><td>{history.figures['back_after']}</td><td>{html.escape(_fault_kinds(history))}</td></tr>"
+        f"<tr><td>{history.number}</td><td>{html.escape(', '.join((*history.broken, *history.exceeded)) or 'kept')}</td><td>{history.figures['whole']}</td><td>{history.figures['cold_load']}</td><td>{history.figures['back_after']}</td><td>{html.escape(_fault_kinds(history))}</td></tr>"
         for history in histories
     )  # type: ignore[attr-defined]
-    return (
-        "<table><tr><th>history</th><th>broken, passed</th><th>served over possible</th><th>cold load</th><th>back after ms</th><th>faults</th></tr>"
-        f"{rows}</table>"
-    )
+    return f"<table><tr><th>history</th><th>broken, passed</th><th>served over possible</th><th>cold load</th><th>back after ms</th><th>faults</th></tr>{rows}</table>"
 
 
 def _fault_kinds(history: History) -> str:
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -10,9 +10,16 @@
 import click
 from rich.table import Table
 
-from lupinreach.bed.commands.cli import BROKEN, KEPT, MOST_TOLD, bad, lupinreach, told
+from lupinreach.bed.commands.cli import (
+    EXIT_BROKEN,
+    EXIT_KEPT,
+    MAX_PRINTED_VIOLATIONS,
+    exit_with_usage_error,
+    lupinreach,
+    stderr_console,
+)
 from lupinreach.bed.ways.policies import POLICIES
-from lupinreach.bed.ways.stopping import STOPPED
+from lupinreach.bed.ways.stopping import EXIT_STOPPED
 from lupinreach.config import BadConfig, read_agent
 from lupinreach.trial import play, spec
 from lupinreach.trial.play import TrialRun
@@ -27,7 +34,7 @@
     try:
         result = spec.read_file(file)
     except BadConfig as error:
-        bad(error)
+        exit_with_usage_error(error)
     world = replace(
         result.world,
         seeds=seed or result.world.seeds,
@@ -38,7 +45,7 @@
         from lupinreach.trial.rig.stage import unsupported_reason
 
         if reason := unsupported_reason(world):
-            bad(reason)
+            exit_with_usage_error(reason)
     return replace(result, world=world)
 
 
@@ -54,11 +61,10 @@
             result = spec.read_file(file)
             world = result.world
             print(
-                f"{file}: good; world {world.name}, {world.agents} agents, {world.backend_count} backends, "
-                f"{len(world.troubles)} troubles"
+                f"{file}: good; world {world.name}, {world.agents} agents, {world.backend_count} backends, {len(world.troubles)} troubles"
             )
     except BadConfig as error:
-        bad(error)
+        exit_with_usage_error(error)
 
 
 @lupinreach.group()
@@ -105,29 +111,30 @@
 
     def on_run(run_result: TrialRun) -> None:
         runs.append(run_result)
-        told.print(_run_summary(run_result) + (" (stopped)" if run_result.stopped else ""), markup=False)
+        stderr_console.print(
+            _run_summary(run_result) + (" (stopped)" if run_result.stopped else ""), markup=False
+        )
 
     stopped = False
     try:
         play.run_many([(loaded, s) for s in loaded.world.seeds], jobs, on_run)
     except KeyboardInterrupt:
         stopped = True
-        told.print(f"stopped after {len(runs)} of {len(loaded.world.seeds)} runs")
+        stderr_console.print(f"stopped after {len(runs)} of {len(loaded.world.seeds)} runs")
     for run_result in runs:
-        for v in run_result.result.violations[:MOST_TOLD]:
-            told.print(
-                f"seed {run_result.result.seed} at {v.at:.0f} ms: {v.rule}: {v.name}: {v.what}",
-                markup=False,
+        for v in run_result.result.violations[:MAX_PRINTED_VIOLATIONS]:
+            stderr_console.print(
+                f"seed {run_result.result.seed} at {v.at:.0f} ms: {v.rule}: {v.name}: {v.what}", markup=False
             )
         for line in run_result.missed:
-            told.print(f"seed {run_result.result.seed}: {line}", markup=False)
+            stderr_console.print(f"seed {run_result.result.seed}: {line}", markup=False)
     if not runs:
         print(
             json.dumps(
                 {"trial": loaded.world.name, "verdict": "stopped" if stopped else play.UNSURE, "seeds": []}
             )
         )
-        sys.exit(STOPPED if stopped else EXIT_UNSURE)
+        sys.exit(EXIT_STOPPED if stopped else EXIT_UNSURE)
     if out:
         rows = [
             {
@@ -145,14 +152,14 @@
     if report:
         from lupinreach.trial.report import write
 
-        told.print(f"report: {write(Path(report), loaded, runs)}")
+        stderr_console.print(f"report: {write(Path(report), loaded, runs)}")
     result = play.summary(loaded, runs)
     print(json.dumps(result | ({"stopped": True} if stopped else {})))
     if stopped:
-        sys.exit(STOPPED)
+        sys.exit(EXIT_STOPPED)
     if result["verdict"] == play.UNSURE:
         sys.exit(EXIT_UNSURE)
-    sys.exit(KEPT if result["verdict"] == play.KEPT and result["as_expected"] else BROKEN)
+    sys.exit(EXIT_KEPT if result["verdict"] == play.KEPT and result["as_expected"] else EXIT_BROKEN)
 
 
 @trial.command()
@@ -181,7 +188,7 @@
             f"{total['cold_load']:.2f}",
             total["verdict"],
         )
-    told.print(table)
+    stderr_console.print(table)
     keep = ("verdict", "first_10s", "first_20s", "whole", "back_after_s", "cold_load", "service")
     print(
         json.dumps(
@@ -192,7 +199,7 @@
             }
         )
     )
-    sys.exit(KEPT if summaries[loaded.world.policy]["verdict"] == play.KEPT else BROKEN)
+    sys.exit(EXIT_KEPT if summaries[loaded.world.policy]["verdict"] == play.KEPT else EXIT_BROKEN)
 
 
 @trial.command()
@@ -246,9 +253,12 @@
     try:
         database = CampaignDatabase(Path(file), seed)
     except InvalidDatabase as error:
-        bad(BadConfig(str(error)))
+        exit_with_usage_error(BadConfig(str(error)))
     active_campaign = runner.Campaign(
-        database, seed, 0.0 if plain else runner.GUIDED_SHARE, lambda text: told.print(text, markup=False)
+        database,
+        seed,
+        0.0 if plain else runner.GUIDED_SHARE,
+        lambda text: stderr_console.print(text, markup=False),
     )
     stopped = False
     try:
@@ -260,17 +270,13 @@
     except KeyboardInterrupt:
         stopped = True
     if report:
-        told.print(f"report: {page.write(Path(report), database)}")
+        stderr_console.print(f"report: {page.write(Path(report), database)}")
     result = page.summary(database)
     print(json.dumps(result | ({"stopped": True} if stopped else {})))
     broken = result["broken"] or result["passed"] or result["broken_with_processes"]
-    sys.exit(STOPPED if stopped else BROKEN if broken else KEPT)
+    sys.exit(EXIT_STOPPED if stopped else EXIT_BROKEN if broken else EXIT_KEPT)
 
 
 def _run_summary(run_result: TrialRun) -> str:
     recovery = run_result.recovery
-    return (
-        f"seed {run_result.result.seed}: {run_result.verdict}, served over possible {recovery.first_10s:.3f} in the first 10 s, "
-        f"{recovery.first_20s:.3f} in the first 20, back after {recovery.back_after / 1000:.0f} s, "
-        f"cold load {recovery.cold_load:.2f}{', ' + run_result.unsure if run_result.unsure else ''}"
-    )
+    return f"seed {run_result.result.seed}: {run_result.verdict}, served over possible {recovery.first_10s:.3f} in the first 10 s, {recovery.first_20s:.3f} in the first 20, back after {recovery.back_after / 1000:.0f} s, cold load {recovery.cold_load:.2f}{', ' + run_result.unsure if run_result.unsure else ''}"
--- a/lupinreach/trial/report.py
+++ b/lupinreach/trial/report.py
@@ -8,7 +8,7 @@
 
 import matplotlib.pyplot as plt
 
-from lupinreach.bed.commands.report import STYLE, frame, svg
+from lupinreach.bed.commands.report import STYLE, render_svg, time_plot
 from lupinreach.trial.play import TrialRun
 from lupinreach.trial.spec import Trial
 
@@ -31,21 +31,21 @@
     troubles = list(dict.fromkeys(troubles))[:12]
     rows = runs[0].seconds
     figures: list[tuple[str, str, Any]] = []
-    figure, area = frame(troubles, "billed value x ms of work a second")
+    figure, area = time_plot(troubles, "billed value x ms of work a second")
     seconds = range(len(rows))
     area.fill_between(seconds, [s.asked for s in rows], step="post", color="#e4e4e4", label="asked")
     area.fill_between(seconds, [s.possible for s in rows], step="post", color="#b8d0e8", label="possible")
     area.step(seconds, [s.served for s in rows], where="post", color="#2a5f9e", label="served")
     area.legend(loc="lower right")
     figures.append(("Served, possible, asked", "By the second in which the first try was sent.", figure))
-    figure, area = frame(troubles, "attempts per second")
+    figure, area = time_plot(troubles, "attempts per second")
     area.step(seconds, [s.shots for s in rows], where="post", label="sent", color="#2a7f62")
     area.step(
         seconds, [s.wasted for s in rows], where="post", label="answer reached no client", color="#c04040"
     )
     area.legend(loc="upper right")
     figures.append(("Shots", "To backends, by the second in which they were sent.", figure))
-    figure, area = frame(troubles, "per second")
+    figure, area = time_plot(troubles, "per second")
     area.step(seconds, [s.queries for s in rows], where="post", color="#806040")
     figures.append(("Registry messages", "Lists and list changes sent, over the whole fleet.", figure))
     names = list(runs[0].recovery.to_dict())
@@ -61,7 +61,9 @@
         for run in runs
         for b in run.result.violations[:5]
     )
-    plots = "".join(f"<h2>{title}</h2><p>{caption}</p>{svg(figure)}" for title, caption, figure in figures)
+    plots = "".join(
+        f"<h2>{title}</h2><p>{caption}</p>{render_svg(figure)}" for title, caption, figure in figures
+    )
     plt.close("all")
     return (
         f"<!doctype html><html lang='en'><meta charset='utf-8'><title>{html.escape(trial.world.name)}</title>"
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -28,7 +28,7 @@
     RegistryHost,
 )
 from lupinreach.bed.ways.loopback import BACKLOG, LoopbackGround
-from lupinreach.bed.ways.stage import draw
+from lupinreach.bed.ways.stage import draw_fleet
 from lupinreach.bed.world import ledger as record_kinds
 from lupinreach.bed.world import spec as world_spec
 from lupinreach.bed.world.ledger import Ledger
@@ -56,11 +56,11 @@
         self.addresses = addresses
         self.ledger = Ledger(begin)
 
-    async def _open(
+    async def _start_server(
         self, machine: Machine, address: Address, protocol: Callable[[], asyncio.Protocol]
     ) -> None:
         server = await self.loop.create_server(protocol, *address, backlog=BACKLOG, reuse_address=True)
-        if machine in self._shut:
+        if machine in self._closed_machines:
             server.close()
         else:
             self._servers.setdefault(machine, []).append(server)
@@ -102,7 +102,7 @@
 
     async def open(self) -> None:
         self.hosts = {}
-        for b in draw(self.world, self.seed).backends:
+        for b in draw_fleet(self.world, self.seed).backends:
             if b.number in self.numbers:
                 host = BackendHost(
                     self.environment,
@@ -261,7 +261,7 @@
         )
         self.relay_network = RelayNetwork(paths, random_stream(self.seed, "relay", *self.numbers[:1]))
         addresses, self.machines = self.addresses, {"registry": Machine("registry", 0)}
-        backends = [(b.number, b.zone) for b in draw(self.world, self.seed).backends]
+        backends = [(b.number, b.zone) for b in draw_fleet(self.world, self.seed).backends]
         for n in range(self.world.agents):
             self.machines[f"agent {n}"] = Machine(f"agent {n}", n % zones)
         for n, zone in backends:
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -11,7 +11,7 @@
 
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.loop import VirtualLoop
-from lupinreach.bed.ways.memory import RST, MemoryNet, MemorySockets, Side
+from lupinreach.bed.ways.memory import RST, ConnectionEnd, MemoryNet, MemorySockets
 from lupinreach.bed.world.network import Machine, Paths
 from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.bed.world.spec import read as read_world
@@ -233,8 +233,7 @@
 def test_run_command_prints_a_summary_and_writes_the_report(tmp_path):
     file = tmp_path / "one.toml"
     file.write_text(
-        'base = "calm"\nname = "one"\nseconds = 6\n[[faults]]\nkind = "power"\nat = 2\nagents = 1\n'
-        "backends = 1\nregistry = 1\n[expect]\nwhole = 0.1\n"
+        'base = "calm"\nname = "one"\nseconds = 6\n[[faults]]\nkind = "power"\nat = 2\nagents = 1\nbackends = 1\nregistry = 1\n[expect]\nwhole = 0.1\n'
     )
     result = command(
         "trial",
@@ -272,7 +271,7 @@
     loop = VirtualLoop()
     paths = Paths(1.0, 1.0, 0.0, 0.0, random_stream(1, "paths"))
     net = MemoryNet(loop, paths)
-    net.everybody = ("all", 1)
+    net.broadcast_address = ("all", 1)
     recorders = []
     for n in range(3):
         with loop.owned_by(n + 1):
@@ -287,13 +286,13 @@
     for i in range(messages):
         loop.call_later(
             i / 1000,
-            net.tell,
-            net.posts["0", 1].machine,
+            net.send_datagram,
+            net.datagram_endpoints["0", 1].machine,
             ("0", 1),
             ("1", 1) if i % 2 else ("all", 1),
             b"%d" % i,
         )
-    loop.call_later(messages / 2000, net.die, 3)
+    loop.call_later(messages / 2000, net.close_owner, 3)
     loop.run_until_complete(asyncio.sleep(5))
     loop.end()
     return [[int(data) for data, addr in recorder.got if addr == ("0", 1)] for recorder in recorders]
@@ -355,18 +354,18 @@
     paths = SimpleNamespace(
         reaches=lambda *_: reachable[0], delay=lambda *_: 0.0, transmission_ms=lambda *_: 0.0
     )
-    net = SimpleNamespace(paths=paths, loop=loop, waiting={}, context=None)
+    net = SimpleNamespace(paths=paths, loop=loop, blocked_ends={}, context=None)
 
-    class RecordingEnd(Side):
-        def take(self, what):
+    class RecordingEnd(ConnectionEnd):
+        def receive(self, what):
             delivered.append(what)
 
     end, other = RecordingEnd(net, Machine("a", 0)), RecordingEnd(net, Machine("b", 1))
-    end.other, other.other = other, end
-    end.put(b"said")
-    end.put(RST)
+    end.remote, other.remote = other, end
+    end.transmit(b"said")
+    end.transmit(RST)
     reachable[0] = True
-    end.again()
+    end.flush_unsent()
     loop.run_until_complete(asyncio.sleep(0.01))
     loop.close()
     assert delivered == [RST]
