--- a/lupinreach/bed/commands/search.py
+++ b/lupinreach/bed/commands/search.py
@@ -17,7 +17,10 @@
 MIN_LENGTH_MS = 2000.0  # of a shrunk world
 MAX_SHRINK_ROUNDS = 12  # accepted simplifications
 # Clients without an agent: low service, whatever the policy does.
-EXCLUDED_TROUBLES = ("kill-agents", "restart-agents")
+EXCLUDED_TROUBLES = (
+    "kill-agents",
+    "restart-agents",
+)
 
 
 @dataclass
@@ -151,7 +154,10 @@
 
 def size(world: World) -> str:
     """The size of a world in words."""
-    return f"{len(world.troubles)} troubles, {world.agents} agents, {world.backend_count} backends, {world.length / 1000:.1f} s, {world.traffic.calls_per_s:.0f} API calls a second"
+    return (
+        f"{len(world.troubles)} troubles, {world.agents} agents, {world.backend_count} backends, "
+        f"{world.length / 1000:.1f} s, {world.traffic.calls_per_s:.0f} API calls a second"
+    )
 
 
 def _reproduce(world: World, name: str, workers: int | None) -> Finding | None:
--- a/lupinreach/bed/ways/loopback.py
+++ b/lupinreach/bed/ways/loopback.py
@@ -153,7 +153,7 @@
         self._closed_machines: set[Machine] = set()
         self._agents: dict[int, asyncio.subprocess.Process] = {}
         self._tasks: set[asyncio.Task[Any]] = set()  # removed when they end
-        self.blocked: dict[DelayedConnection, None] = {}  # with held bytes; emptied by `mended`
+        self.blocked: dict[DelayedConnection, None] = {}  # with held bytes; emptied by `release_held`
         self.client_machine_of: Callable[[bytes], Machine | None] = lambda _: None
         self.process_failures: list[str] = []
 
--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -1,7 +1,7 @@
 """Checks the bounds on what agents share, each time an agent of a run in virtual time evaluates its shared state.
 
-Each maximum is the greatest observed value divided by the bound's own formula (`grants.most`, `evidence.harm`,
-`counts.most`, `warmth.earliest`), so a value over 1 exceeds the bound.
+Each maximum is the greatest observed value divided by the bound's own formula (`grants.most`,
+`evidence.harm`, `counts.most`, `warmth.earliest`), so a value over 1 exceeds the bound.
 """
 
 from __future__ import annotations
@@ -54,7 +54,8 @@
             if other.trials is not None
         ]
         if sharing.trials is not None:
-            # The total follows the longest backend list: an agent that knows of fewer backends has a smaller share.
+            # The total follows the longest backend list: an agent that knows fewer backends has a smaller
+            # share.
             total = self.agent_count * max(
                 other.trials.own for other in self.sharing_by_agent.values() if other.trials is not None
             )
--- a/lupinreach/trial/campaign/coverage.py
+++ b/lupinreach/trial/campaign/coverage.py
@@ -1,8 +1,8 @@
 """The features that a history covered, as text; the campaign mutates histories with rare features. Pure.
 
-Features are stages of the return to service, the status of sharing with other agents and of the agent itself, log
-events of agents about their store and fleet, pairs of faults that overlapped in time, answers and ends of attempts by
-kind, violated rules and exceeded bounds.
+Features are stages of the return to service, the status of sharing with other agents and of the agent itself,
+log events of agents about their store and fleet, pairs of faults that overlapped in time, answers and ends of
+attempts by kind, violated rules and exceeded bounds.
 """
 
 from __future__ import annotations
--- a/lupinreach/trial/campaign/generator.py
+++ b/lupinreach/trial/campaign/generator.py
@@ -1,8 +1,8 @@
 """Generates the histories of a campaign: at random, or as mutations of a history with rare features. Pure.
 
-A history is a trial in the form of a trial file: a small fleet, a load, and several overlapping faults of power,
-processes, links, disks, clocks, the registry and upgrades. All of it is derived from the seed and the number of the
-history, so a number gives the same history on every machine.
+A history is a trial in the form of a trial file: a small fleet, a load, and several overlapping faults of
+power, processes, links, disks, clocks, the registry and upgrades. All of it is derived from the seed and the
+number of the history, so a number gives the same history on every machine.
 """
 
 from __future__ import annotations
@@ -26,7 +26,8 @@
 )
 MAX_TROUBLES = 5
 SHARE_INTERVAL_MS = 300.0
-# Kinds of trouble by area. Each area is equally likely, so that the many kinds of disk faults don't crowd out the others.
+# Kinds of trouble by area. Each area is equally likely, so that the many kinds of disk faults don't crowd out
+# the others.
 TROUBLES_BY_AREA: dict[str, tuple[str, ...]] = {
     "processes": ("kill-agents", "restart-agents", "sleep-agents", "twin-agents", "busy-agents"),
     "backends": ("crash", "replace", "drain", "slow", "silent", "vanish", "stall", "reset", "fail", "narrow"),
@@ -117,7 +118,7 @@
 
 
 def random_power_loss(rng: RandomStream) -> RawTrial:
-    """A power loss that strikes the agents, and in part of the cases backends, the registry or one zone only."""
+    """A power loss of the agents, in some cases also of backends and registry, or of one zone only."""
     result: RawTrial = {
         "kind": "power",
         "at": random_between(rng, EARLIEST_BEGIN_S, LATEST_BEGIN_S - 2),
@@ -155,7 +156,7 @@
 
 
 def with_minimum_restart_time(fault: RawTrial) -> RawTrial:
-    """Extends a restart so that a process doesn't start on an address while its predecessor is still stopping on it."""
+    """Extends a restart so that a process doesn't start while its predecessor is still stopping on its address."""
     if fault["kind"] == "restart-agents":
         fault["seconds"] = max(MAX_PROCESS_STOP_S, fault["seconds"])
     return fault
@@ -164,8 +165,8 @@
 def mutate(raw: RawTrial, seed: int, number: int) -> RawTrial:
     """The trial after one or two mutations.
 
-    A mutation adds, removes, moves or extends a trouble, moves it to the time of another, or changes the power loss
-    or the load.
+    A mutation adds, removes, moves or extends a trouble, moves it to the time of another, or changes the
+    power loss or the load.
     """
     rng = random_stream(seed, "campaign near", number)
     result = copy.deepcopy(raw)
@@ -197,7 +198,7 @@
 
 
 def reduced_for_processes(raw: RawTrial) -> RawTrial | None:
-    """The trial in a smaller size, to be run with real processes; None if it has a fault that needs virtual time."""
+    """A smaller trial for a run with real processes; None if the trial has a fault that needs virtual time."""
     if any(t["kind"] in VIRTUAL_ONLY for t in raw["troubles"]):
         return None
     result = copy.deepcopy(raw)
--- a/lupinreach/trial/campaign/page.py
+++ b/lupinreach/trial/campaign/page.py
@@ -1,4 +1,4 @@
-"""The HTML report of a campaign: coverage, violations, the worst histories, recovery times and minimized histories."""
+"""The HTML report of a campaign: coverage, violations, the worst histories and the recovery times."""
 
 from __future__ import annotations
 
@@ -115,12 +115,15 @@
     plt.close("all")
     uncovered = sorted(expected_features() - without_counts(feature_counts))
     minimized_rows = "".join(
-        f"<tr><td>{n}</td><td>{html.escape(why)}</td><td>{html.escape(summary_text)}</td><td><a href='{html.escape(file)}'>{html.escape(file)}</a></td></tr>"
+        f"<tr><td>{n}</td><td>{html.escape(why)}</td><td>{html.escape(summary_text)}</td>"
+        f"<td><a href='{html.escape(file)}'>{html.escape(file)}</a></td></tr>"
         for n, why, summary_text, file in database.minimized()
     )
     return (
-        f"<!doctype html><html lang='en'><meta charset='utf-8'><title>Campaign</title><style>{STYLE}</style><h1>Campaign</h1>"
-        f"<p>Simulated backends, clients and network. {len(simulated)} histories in virtual time, {len(with_processes)} again with processes; "
+        f"<!doctype html><html lang='en'><meta charset='utf-8'><title>Campaign</title><style>{STYLE}</style>"
+        "<h1>Campaign</h1>"
+        f"<p>Simulated backends, clients and network. {len(simulated)} histories in virtual time, "
+        f"{len(with_processes)} again with processes; "
         f"{totals['reached']} features covered, {len(uncovered)} expected ones not covered.</p>"
         f"<h2>Violations</h2>{_history_table(history for history in simulated if history.broken or history.exceeded)}"
         f"<h2>Worst service</h2>{_history_table(sorted(simulated, key=lambda history: history.figures['whole'])[:TABLE_ROWS])}"
@@ -133,10 +136,15 @@
 
 def _history_table(histories: object) -> str:
     rows = "".join(
-        f"<tr><td>{history.number}</td><td>{html.escape(', '.join((*history.broken, *history.exceeded)) or 'kept')}</td><td>{history.figures['whole']}</td><td>{history.figures['cold_load']}</td><td>{history.figures['back_after']}</td><td>{html.escape(_fault_kinds(history))}</td></tr>"
+        f"<tr><td>{history.number}</td><td>{html.escape(', '.join((*history.broken, *history.exceeded)) or 'kept')}</td>"
+        f"<td>{history.figures['whole']}</td><td>{history.figures['cold_load']}</td><td>{history.figures['back_after']}</td>"
+        f"<td>{html.escape(_fault_kinds(history))}</td></tr>"
         for history in histories
     )  # type: ignore[attr-defined]
-    return f"<table><tr><th>history</th><th>broken, passed</th><th>served over possible</th><th>cold load</th><th>back after ms</th><th>faults</th></tr>{rows}</table>"
+    return (
+        "<table><tr><th>history</th><th>broken, passed</th><th>served over possible</th><th>cold load</th>"
+        f"<th>back after ms</th><th>faults</th></tr>{rows}</table>"
+    )
 
 
 def _fault_kinds(history: History) -> str:
--- a/lupinreach/trial/campaign/runner.py
+++ b/lupinreach/trial/campaign/runner.py
@@ -96,7 +96,7 @@
             del self._recent_by_feature[feature][:-RARE_COUNT]
 
     def parent(self, rng: RandomStream) -> tuple[int, generator.RawTrial] | None:
-        """A random history with a rare feature, each rare feature being equally likely; None if there is none."""
+        """A random history with a rare feature, each such feature being equally likely; None if there is none."""
         rare_features = sorted(feature for feature, count in self.counts.items() if count <= RARE_COUNT)
         return (
             generator.random_choice(rng, self._recent_by_feature[generator.random_choice(rng, rare_features)])
@@ -137,7 +137,10 @@
         workers: int | None = None,
         stop_when: Callable[[History], bool] = lambda _: False,
     ) -> list[History]:
-        """Runs those of the first `count_wanted` numbers that the database lacks; ends early once `stop_when` is true."""
+        """Runs those of the first `count_wanted` numbers that the database lacks.
+
+        It ends early once `stop_when` is true.
+        """
         workers = workers or os.cpu_count() or 1
         done, results = self._database.completed_numbers(VIRTUAL), list[History]()
         remaining = (n for n in range(1, count_wanted + 1) if n not in done)
@@ -193,7 +196,10 @@
         return results
 
     def minimize(self, max_count: int, folder: Path) -> list[Path]:
-        """Minimizes the histories with violations, and the worst of the others up to `max_count` in all; their files."""
+        """Minimizes the histories with violations, and the worst of the others up to `max_count` in all.
+
+        Returns the files of the minimized trials.
+        """
         violating = [
             history for history in self._database.histories(VIRTUAL) if history.broken or history.exceeded
         ]
@@ -229,7 +235,10 @@
 def describe(trial: Trial) -> str:
     """The size of a trial in one line."""
     kinds = ", ".join(sorted({t.kind for t in trial.world.troubles}))
-    return f"{trial.world.agents} agents, {trial.world.backend_count} backends, {len(trial.world.troubles)} faults ({kinds})"
+    return (
+        f"{trial.world.agents} agents, {trial.world.backend_count} backends, "
+        f"{len(trial.world.troubles)} faults ({kinds})"
+    )
 
 
 def minimize_history(history: History) -> tuple[Trial, int]:
@@ -267,7 +276,7 @@
 
 
 def stays_down(history: History) -> bool:
-    """Whether service stays down after the fault: never at 0.95 of the possible value, and under half of it overall."""
+    """Whether service stays down after the fault: never 0.95 of the possible value, and under half of it overall."""
     return history.figures["back_after"] is None and (history.figures["whole"] or 0.0) < DOWN_SHARE
 
 
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -61,7 +61,8 @@
             result = spec.read_file(file)
             world = result.world
             print(
-                f"{file}: good; world {world.name}, {world.agents} agents, {world.backend_count} backends, {len(world.troubles)} troubles"
+                f"{file}: good; world {world.name}, {world.agents} agents, {world.backend_count} backends, "
+                f"{len(world.troubles)} troubles"
             )
     except BadConfig as error:
         exit_with_usage_error(error)
@@ -124,7 +125,8 @@
     for run_result in runs:
         for v in run_result.result.violations[:MAX_PRINTED_VIOLATIONS]:
             stderr_console.print(
-                f"seed {run_result.result.seed} at {v.at:.0f} ms: {v.rule}: {v.name}: {v.what}", markup=False
+                f"seed {run_result.result.seed} at {v.at:.0f} ms: {v.rule}: {v.name}: {v.what}",
+                markup=False,
             )
         for line in run_result.missed:
             stderr_console.print(f"seed {run_result.result.seed}: {line}", markup=False)
@@ -245,7 +247,8 @@
 ) -> None:
     """Generate, run and check whole-fleet failures, and store them in FILE; a stopped campaign is resumed.
 
-    The last line of output is JSON. Exit 0: no rule broken and no bound exceeded, 1: one was, 2: bad file, 130: stopped.
+    The last line of output is JSON. Exit 0: no rule broken and no bound exceeded, 1: one was, 2: bad file,
+    130: stopped.
     """
     from lupinreach.trial.campaign import page, runner
     from lupinreach.trial.campaign.database import CampaignDatabase, InvalidDatabase
@@ -279,4 +282,8 @@
 
 def _run_summary(run_result: TrialRun) -> str:
     recovery = run_result.recovery
-    return f"seed {run_result.result.seed}: {run_result.verdict}, served over possible {recovery.first_10s:.3f} in the first 10 s, {recovery.first_20s:.3f} in the first 20, back after {recovery.back_after / 1000:.0f} s, cold load {recovery.cold_load:.2f}{', ' + run_result.unsure if run_result.unsure else ''}"
+    return (
+        f"seed {run_result.result.seed}: {run_result.verdict}, served over possible {recovery.first_10s:.3f} "
+        f"in the first 10 s, {recovery.first_20s:.3f} in the first 20, back after {recovery.back_after / 1000:.0f} s, "
+        f"cold load {recovery.cold_load:.2f}{', ' + run_result.unsure if run_result.unsure else ''}"
+    )
--- a/lupinreach/trial/metrics.py
+++ b/lupinreach/trial/metrics.py
@@ -1,9 +1,10 @@
 """Served and possible value for each second of a run, from its ledger. Pure; complements `bed.judging.service`.
 
-The possible value of a second is the billed value of the first tries that reach a running agent, as far as the
-backends that the agent can reach have capacity for their work at that time. The capacity of a cold backend grows with
-its age, that of a slow one is divided by its slowdown. If capacity is short, the possible value is that share of the
-total, not the most valuable calls first, so a policy that chooses well gains by it.
+The possible value of a second is the billed value of the first tries that reach a running agent, as far as
+the backends that the agent can reach have capacity for their work at that time. The capacity of a cold
+backend grows with its age, that of a slow one is divided by its slowdown. If capacity is short, the possible
+value is that share of the total, not the most valuable calls first, so a policy that chooses well gains by
+it.
 """
 
 from __future__ import annotations
@@ -228,7 +229,7 @@
 
 
 def to_draining(world: World, records: Iterable[Record], begin: float) -> int:
-    """The number of attempts after `begin` (ms) to a backend whose draining should be known to all agents by then.
+    """The number of attempts after `begin` (ms) to a backend whose draining all agents should know of by then.
 
     It counts whatever list the agent has, also an old one or none.
     """
--- a/lupinreach/trial/models/incarnations.py
+++ b/lupinreach/trial/models/incarnations.py
@@ -1,7 +1,7 @@
 """Model of the incarnation numbers of one agent, on the real `Own`.
 
-Processes start, one or two at a time, on a disk that is current, older or empty. They may sync it, send messages to
-either of two peers, settle and be killed. No two processes may announce the same incarnation.
+Processes start, one or two at a time, on a disk that is current, older or empty. They may sync it, send
+messages to either of two peers, settle and be killed. No two processes may announce the same incarnation.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 class IncarnationModel:
     """The model for the search.
 
-    `token` gives each process its token. If `peers_raise_number` is set, a process raises its number above what peers
-    know.
+    `token` gives each process its token. If `peers_raise_number` is set, a process raises its number above
+    what peers know.
     """
 
     fair: frozenset[str] = frozenset()
--- a/lupinreach/trial/models/lending.py
+++ b/lupinreach/trial/models/lending.py
@@ -1,7 +1,7 @@
 """Model of three agents that lend each other shares of one budget, on the real `Budget`.
 
-Time moves in steps of half a lease, up to two leases. Messages are lost, delayed and duplicated, clocks drift by
-`DRIFT`, and agents restart.
+Time moves in steps of half a lease, up to two leases. Messages are lost, delayed and duplicated, clocks drift
+by `DRIFT`, and agents restart.
 """
 
 from __future__ import annotations
--- a/lupinreach/trial/models/recovery_order.py
+++ b/lupinreach/trial/models/recovery_order.py
@@ -1,7 +1,7 @@
 """Model of the stages of the return to service on a coarse clock, on the real `Return`.
 
-Facts become true in any order and at any time, or never. Fairness is assumed for time and for the listing of a
-backend: the agent must then return to full service, whatever other facts stay false.
+Facts become true in any order and at any time, or never. Fairness is assumed for time and for the listing of
+a backend: the agent must then return to full service, whatever other facts stay false.
 """
 
 from __future__ import annotations
--- a/lupinreach/trial/models/search.py
+++ b/lupinreach/trial/models/search.py
@@ -1,9 +1,9 @@
 """Explicit-state model checking: checks invariants and liveness over all reachable states. Pure.
 
-A model defines its initial states, the moves of a state, which states are equal (`key`, which may also merge symmetric
-states), the invariant that a state violates, and for liveness when a state has reached its goal (`done`) and which
-moves are weakly fair (`fair`): a fair move that stays enabled is made eventually. States can be any objects; only
-their keys are stored. A counterexample of an invariant is a shortest one.
+A model defines its initial states, the moves of a state, which states are equal (`key`, which may also merge
+symmetric states), the invariant that a state violates, and for liveness when a state has reached its goal
+(`done`) and which moves are weakly fair (`fair`): a fair move that stays enabled is made eventually. States
+can be any objects; only their keys are stored. A counterexample of an invariant is a shortest one.
 """
 
 from __future__ import annotations
--- a/lupinreach/trial/play.py
+++ b/lupinreach/trial/play.py
@@ -65,8 +65,8 @@
         ledger.stopped,
         {"late": lateness, "unheard": outcome.result.unheard, **durations},
     )
-    # The coordinator is not a peer of the agents. Starting agents can delay it for a second; its troubles are then
-    # late, but are recorded when they take effect.
+    # The coordinator is not a peer of the agents. Starting agents can delay it for a second; its troubles are
+    # then late, but are recorded when they take effect.
     peer_lateness = {name: lateness_of for name, lateness_of in lateness.items() if name != "coordinator"}
     outcome.rig_lateness_ms = max(lateness_of["p999"] for lateness_of in peer_lateness.values())
     maximum, process = max((lateness_of["most"], name) for name, lateness_of in peer_lateness.items())
--- a/lupinreach/trial/rig/host.py
+++ b/lupinreach/trial/rig/host.py
@@ -1,7 +1,7 @@
 """A process of the rig. It runs some backends, the registry, some clients or a relay.
 
-It reads orders from standard input and writes events to standard output, one line of JSON each. At its end it writes
-its ledger to a file.
+It reads orders from standard input and writes events to standard output, one line of JSON each. At its end it
+writes its ledger to a file.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 class Role:
-    """The part that is common to all kinds of processes. The `do_*` methods and their parameters are the orders."""
+    """What all kinds of processes have in common. The `do_*` methods and their parameters are the orders."""
 
     def __init__(self, order: dict[str, Any]) -> None:
         self.world = world_spec.read(order["world"])
@@ -195,7 +195,7 @@
         parted: list[tuple[str, str]],
         **_: Any,
     ) -> None:
-        """Sets which agents can be reached: a list that a relay would hold back must not be recorded as delivered."""
+        """Sets which agents can be reached, so that a list that a relay holds back isn't recorded as delivered."""
         machines_by_name, paths = self.machines, self.environment.paths
         paths.cut_zones, paths.reset_zones, paths.blocked_pairs = (
             set(cut),
@@ -300,7 +300,8 @@
         self.environment.ledger.add_record(what, self.environment.now(), name)
 
     def _record_sent(self, name: str, agent: int, backend: int) -> None:
-        # Recorded as it leaves the agent, since an attempt that a cut holds back for seconds was still sent in time.
+        # Recorded as it leaves the agent: an attempt that a cut holds back for seconds was still sent in
+        # time.
         self.environment.ledger.add_record(record_kinds.SENT, self.environment.now(), agent, 0, backend, name)
 
     async def do_plane(
--- a/lupinreach/trial/rig/lateness.py
+++ b/lupinreach/trial/rig/lateness.py
@@ -1,4 +1,4 @@
-"""Measures the scheduling delays of a process of the rig: of its event loop, and in the run queue of the system."""
+"""Measures the delays of a process of the rig: of its event loop, and in the run queue of the system."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
             due = time.monotonic() + SAMPLE_INTERVAL_S
 
     def summary(self) -> dict[str, float]:
-        """In ms: the p99.9 and maximum lateness, the time of the maximum, and the total time spent waiting for a core."""
+        """The p99.9 and maximum lateness, the time of the maximum, and the time spent waiting for a core, in ms."""
         return {
             "p999": self._histogram.get_value_at_percentile(99.9) / STEPS_PER_MS,
             "most": round(self.worst, 3),
--- a/lupinreach/trial/rig/relay.py
+++ b/lupinreach/trial/rig/relay.py
@@ -1,8 +1,8 @@
 """The relay between the processes of a rig. It delays, holds, drops or cuts each direction of a connection separately.
 
-What passes is decided by the test bed's `Paths`, as in virtual time. A connection to an unreachable machine is
-accepted and stays silent, since a connection attempt without an answer can't be simulated on loopback. A connection to
-a machine that is down is refused.
+What passes is decided by the test bed's `Paths`, as in virtual time. A connection to an unreachable machine
+is accepted and stays silent, since a connection attempt without an answer can't be simulated on loopback. A
+connection to a machine that is down is refused.
 """
 
 from __future__ import annotations
@@ -302,7 +302,7 @@
     async def open_datagram_socket(
         self, listen_address: Address, on_datagram: Callable[[bytes, Address], None]
     ) -> Any:
-        """Opens a socket at an address; each datagram is passed to the callback with the address of its sender."""
+        """Opens a socket at an address; the callback receives each datagram with the address of its sender."""
         transport, _ = await self.loop.create_datagram_endpoint(
             lambda: _DatagramProtocol(on_datagram), local_addr=listen_address
         )
--- a/lupinreach/trial/rig/stage.py
+++ b/lupinreach/trial/rig/stage.py
@@ -1,7 +1,7 @@
 """The coordinator of a rig: starts all its processes, applies troubles when they are due, and merges the ledgers.
 
-It is the test bed's stage with the peers in other processes. Each peer that the stage acts on is represented by a
-proxy, which sends each change to the process that runs the peer.
+It is the test bed's stage with the peers in other processes. Each peer that the stage acts on is represented
+by a proxy, which sends each change to the process that runs the peer.
 """
 
 from __future__ import annotations
@@ -309,7 +309,7 @@
         await asyncio.gather(*(p.end() for p in self._processes), return_exceptions=True)
 
     def lateness(self) -> dict[str, dict[str, float]]:
-        """The lateness of each process of the rig, in ms; `at` is the time of its worst sample since the run began."""
+        """The lateness of each process of the rig, in ms; `at` is the time of its worst sample within the run."""
         result = {
             f"{p.role} {p.numbers[0] if p.numbers else 0}": p.lateness for p in self._processes if p.lateness
         }
@@ -321,7 +321,8 @@
     def merged(self, records: list[Record], until: float) -> Ledger:
         """Merges all ledgers in the order of the machine's clock and fills in the incarnations of agents.
 
-        Records of the peers after `until` are left out: the run was over and its processes were being stopped.
+        Records of the peers after `until` are left out: the run was over and its processes were being
+        stopped.
         """
         rows: list[Record] = list(records)
         for p in self._processes:
@@ -451,7 +452,7 @@
 
 
 async def run_rig(world: World, seed: int) -> tuple[Ledger, dict[str, dict[str, float]], dict[str, float]]:
-    """One run: the merged ledger, the lateness of each process of the rig, and how long start and stop took in s."""
+    """One run: the merged ledger, the lateness of each process of the rig, and the s that start and stop took."""
     with tempfile.TemporaryDirectory(prefix="lupinreach-rig-") as folder:
         began_at = time.monotonic()
         environment = RigEnvironment(world, seed, Path(folder))
--- a/lupinreach/trial/spec.py
+++ b/lupinreach/trial/spec.py
@@ -1,7 +1,7 @@
 """A trial: a world of the test bed, the faults that strike it as a whole, and the expected metrics. Read strictly.
 
-A trial file holds the tables of a world file and three keys of its own: `[[faults]]`, which become troubles of the
-world; `since`, the time from which recovery is measured; and `[expect]`.
+A trial file holds the tables of a world file and three keys of its own: `[[faults]]`, which become troubles
+of the world; `since`, the time from which recovery is measured; and `[expect]`.
 """
 
 from __future__ import annotations
@@ -94,9 +94,9 @@
 def _power_troubles(section: StrictSection, world: World) -> tuple[list[Trouble], float]:
     """The troubles of a power loss, and the time in ms at which both agents and backends have begun to return.
 
-    Power fails at `at`. Agents, backends and the registry each return a given number of seconds later, never, or
-    are not struck at all if no time is given. `over` spreads a return over that many seconds, one machine after the
-    other. `rack` limits the fault to one zone.
+    Power fails at `at`. Agents, backends and the registry each return a given number of seconds later, never,
+    or are not struck at all if no time is given. `over` spreads a return over that many seconds, one machine
+    after the other. `rack` limits the fault to one zone.
     """
     section.choice("kind", {"power": "power"})
     at = section.number("at", low=0.0) * 1000
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -83,7 +83,10 @@
     ) == {1, 2}
     assert list(reopened.histories())[1].broken == ("effect twice",) and list(reopened.histories())[
         1
-    ].features == {"a", "b"}
+    ].features == {
+        "a",
+        "b",
+    }
     with pytest.raises(InvalidDatabase, match="format 1 and seed 3, expected 1 and 4"):
         CampaignDatabase(tmp_path / "c", 4)
     (tmp_path / "no").write_bytes(b"nothing of the kind, and long enough to be looked at" * 9)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -72,8 +72,8 @@
 
 
 def test_replacement_and_removal_in_one_list_change_count_in_either_order():
-    # Found by the campaign (seed 12, history 46): a backend was replaced while no lists were sent, so that one list
-    # change held both its successor and its removal, in either order.
+    # Found by the campaign (seed 12, history 46): a backend was replaced while no lists were sent, so that
+    # one list change held both its successor and its removal, in either order.
     world = spec.read(SMALL).world
     for entries in ([[0, "Ready"], [0, "Gone"]], [[0, "Gone"], [0, "Ready"]]):
         rows = [
@@ -87,7 +87,8 @@
 
 
 def test_deaf_agent_is_not_blamed_for_an_answer_it_did_not_receive():
-    # Found by the campaign (seed 41, history 315): the backend failed at once, and the agent received nothing of it.
+    # Found by the campaign (seed 41, history 315): the backend failed at once, and the agent received nothing
+    # of it.
     deaf = {"troubles": [{"kind": "deaf-agents", "at": 1, "seconds": 3, "targets": [0]}]}
     for changes, broken in ((deaf, set()), ({}, {"held"})):
         rows = [
@@ -103,7 +104,8 @@
 
 
 def test_backend_missing_from_a_list_is_removed_only_by_a_newer_list():
-    # Found by the campaign (seed 21, history 71): the registry returned with a list from a time without any backends.
+    # Found by the campaign (seed 21, history 71): the registry returned with a list from a time without any
+    # backends.
     world = spec.read(SMALL).world
     for version, broken in ((3, set()), (6, {"sent to draining"})):
         rows = [
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -121,8 +121,8 @@
 
 
 def test_agent_is_started_once_and_after_its_predecessor_ended():
-    # Found by the campaign (seed 11, history 1): a restart shorter than the stop, with a power loss in between, started
-    # two processes on one address.
+    # Found by the campaign (seed 11, history 1): a restart shorter than the stop, with a power loss in
+    # between, started two processes on one address.
     faults = [
         {"kind": "restart-agents", "at": 2, "seconds": 0.3, "targets": [0, 1]},
         {"kind": "kill-agents", "at": 2.2, "seconds": 0.4, "targets": [1, 2]},
@@ -192,8 +192,8 @@
 
 
 def test_registry_without_power_learns_of_changes_only_after_its_return():
-    # Found in trials: the registry removed crashed backends while it was down itself, so that agents got lists that no
-    # real registry could have had.
+    # Found in trials: the registry removed crashed backends while it was down itself, so that agents got
+    # lists that no real registry could have had.
     trial = spec.read(SMALL | {"faults": [POWER | {"agents": 3, "backends": 3.5, "registry": 5}]})
     records = virtual.play(trial.world, 3).records
     begin = next(r[1] for r in records if r[0] == "asked")
@@ -233,7 +233,8 @@
 def test_run_command_prints_a_summary_and_writes_the_report(tmp_path):
     file = tmp_path / "one.toml"
     file.write_text(
-        'base = "calm"\nname = "one"\nseconds = 6\n[[faults]]\nkind = "power"\nat = 2\nagents = 1\nbackends = 1\nregistry = 1\n[expect]\nwhole = 0.1\n'
+        'base = "calm"\nname = "one"\nseconds = 6\n[[faults]]\nkind = "power"\nat = 2\nagents = 1\n'
+        "backends = 1\nregistry = 1\n[expect]\nwhole = 0.1\n"
     )
     result = command(
         "trial",
@@ -347,8 +348,8 @@
 
 
 def test_reset_behind_a_cut_discards_unsent_data():
-    # Found by the campaign (seed 31, history 32): a registry that went down behind a cut delivered its earlier messages
-    # once the cut healed.
+    # Found by the campaign (seed 31, history 32): a registry that went down behind a cut delivered its
+    # earlier messages once the cut healed.
     delivered, reachable = [], [False]
     loop = VirtualLoop()
     paths = SimpleNamespace(
