--- a/lupinreach/trial/play.py
+++ b/lupinreach/trial/play.py
@@ -63,7 +63,7 @@
     outcome = judge(trial, seed, ledger)
     outcome.stopped, outcome.rig = (
         ledger.stopped,
-        {"late": lateness, "unheard": outcome.result.unheard, **durations},
+        {"late": lateness, "unheard": outcome.result.undelivered, **durations},
     )
     # The coordinator is not a peer of the agents. Starting agents can delay it for a second; its troubles are
     # then late, but are recorded when they take effect.
