--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -1,4 +1,4 @@
-"""The campaign: histories by number, a book that survives a kill, guidance, what is planted found and shrunk; and the search through models."""
+"""Tests of the campaign (generated histories, its database, guidance, minimizing) and of the model search."""
 
 import json
 import os
@@ -14,83 +14,89 @@
 from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.ops.sharing import Sharing
 from lupinreach.trial import play, spec
-from lupinreach.trial.campaign import draw, hunt, page
-from lupinreach.trial.campaign.book import Book, History, NoBook
-from lupinreach.trial.campaign.hunt import Campaign, Guide, one, smallest
-from lupinreach.trial.models.search import TooMany, search
-
-# What is drawn.
-
-
-def test_a_number_is_one_history_everywhere_and_every_kind_of_fault_is_drawn():
-    raws = [draw.plain(5, n) for n in range(300)]
-    assert raws[:9] == [draw.plain(5, n) for n in range(9)] and raws[0] != draw.plain(6, 0)
-    kinds = Counter(t["kind"] for raw in raws for t in raw["troubles"])
-    assert set(kinds) == {kind for room in draw.ROOMS.values() for kind in room}
-    assert 0.5 < sum(bool(raw["faults"]) for raw in raws) / 300 < 0.7
-    for n, raw in enumerate(raws):
-        near = draw.near(raw, 5, n)
-        spec.read(raw), spec.read(near)  # strict
-        if small := draw.with_processes(near):
+from lupinreach.trial.campaign import generator, page, runner
+from lupinreach.trial.campaign.database import CampaignDatabase, History, InvalidDatabase
+from lupinreach.trial.campaign.runner import Campaign, CoverageGuide, minimize_history, run_history
+from lupinreach.trial.models.search import StateLimitExceeded, search
+
+# Generated histories.
+
+
+def test_numbers_determine_histories_and_every_kind_of_trouble_occurs():
+    trials = [generator.random_trial(5, n) for n in range(300)]
+    assert trials[:9] == [generator.random_trial(5, n) for n in range(9)] and trials[
+        0
+    ] != generator.random_trial(6, 0)
+    kinds = Counter(t["kind"] for raw in trials for t in raw["troubles"])
+    assert set(kinds) == {kind for area in generator.TROUBLES_BY_AREA.values() for kind in area}
+    assert 0.5 < sum(bool(raw["faults"]) for raw in trials) / 300 < 0.7
+    for n, raw in enumerate(trials):
+        mutated = generator.mutate(raw, 5, n)
+        spec.read(raw), spec.read(mutated)  # strict
+        if reduced := generator.reduced_for_processes(mutated):
             assert (
-                spec.read(small).world.agents <= 5
-                and not {t["kind"] for t in small["troubles"]} & draw.VIRTUAL_ALONE
+                spec.read(reduced).world.agents <= 5
+                and not {t["kind"] for t in reduced["troubles"]} & generator.VIRTUAL_ONLY
             )
 
 
-def history(number, reached=(), **more):
+def history(number, features=(), **changes):
     figures = {"whole": 0.9, "back_after": 0.0, "cold_load": 0.1, "first_10s": 0.9}
     return replace(
         History(
             number,
-            hunt.VIRTUAL,
+            runner.VIRTUAL,
             None,
-            draw.plain(1, number),
+            generator.random_trial(1, number),
             play.KEPT,
             "",
             (),
             (),
             figures,
-            frozenset(reached),
+            frozenset(features),
             1.0,
         ),
-        **more,
+        **changes,
     )
 
 
-def test_what_is_drawn_goes_near_to_what_reached_something_rare():
-    guide = Guide()
+def test_guide_picks_a_history_with_a_rare_feature():
+    guide = CoverageGuide()
     for n in range(1, 40):
-        guide.learn(history(n, {"usual"} | ({"rare"} if n == 7 else set())))
-    chance = random_stream(1, "test")
-    assert {guide.parent(chance)[0] for _ in range(20)} == {7}
-    assert Guide().parent(chance) is None
-
-
-# The book.
-
-
-def test_a_book_holds_what_was_played_and_is_of_one_campaign(tmp_path):
-    book = Book(tmp_path / "c", 3)
-    book.add(history(2, {"a", "b"}, broken=("effect twice",)))
-    book.add(history(1))
-    book.close()
-    again = Book(tmp_path / "c", 3)
-    assert [h.number for h in again.histories()] == [1, 2] and again.numbers(hunt.VIRTUAL) == {1, 2}
-    assert list(again.histories())[1].broken == ("effect twice",) and list(again.histories())[1].reached == {
+        guide.add_history(history(n, {"usual"} | ({"rare"} if n == 7 else set())))
+    rng = random_stream(1, "test")
+    assert {guide.parent(rng)[0] for _ in range(20)} == {7}
+    assert CoverageGuide().parent(rng) is None
+
+
+# The database.
+
+
+def test_database_keeps_histories_and_rejects_other_campaigns(tmp_path):
+    database = CampaignDatabase(tmp_path / "c", 3)
+    database.add(history(2, {"a", "b"}, broken=("effect twice",)))
+    database.add(history(1))
+    database.close()
+    reopened = CampaignDatabase(tmp_path / "c", 3)
+    assert [h.number for h in reopened.histories()] == [1, 2] and reopened.completed_numbers(
+        runner.VIRTUAL
+    ) == {1, 2}
+    assert list(reopened.histories())[1].broken == ("effect twice",) and list(reopened.histories())[
+        1
+    ].features == {
         "a",
         "b",
     }
-    with pytest.raises(NoBook, match="seed 3, not 1 and 4"):
-        Book(tmp_path / "c", 4)
+    with pytest.raises(InvalidDatabase, match="format 1 and seed 3, expected 1 and 4"):
+        CampaignDatabase(tmp_path / "c", 4)
     (tmp_path / "no").write_bytes(b"nothing of the kind, and long enough to be looked at" * 9)
-    with pytest.raises(NoBook, match="not a database"):
-        Book(tmp_path / "no", 3)
+    with pytest.raises(InvalidDatabase, match="not a database"):
+        CampaignDatabase(tmp_path / "no", 3)
 
 
 @pytest.mark.parametrize("after", [0.4])
-def test_a_campaign_that_is_killed_goes_on_and_has_lost_at_most_what_was_in_play(tmp_path, after):
-    words = [
+def test_killed_campaign_resumes_and_keeps_completed_histories(tmp_path, after):
+    command_line = [
         sys.executable,
         "-m",
         "lupinreach.cli",
@@ -105,25 +111,29 @@
         "2",
         "--plain",
     ]
-    running = subprocess.Popen(
-        words, cwd=tmp_path, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL, start_new_session=True
+    process = subprocess.Popen(
+        command_line,
+        cwd=tmp_path,
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+        start_new_session=True,
     )
     deadline = time.monotonic() + 20
     while time.monotonic() < deadline and len(_numbers(tmp_path / "c.db")) < 1:
         time.sleep(0.05)
     time.sleep(after)
-    running.send_signal(9)  # the one that writes; its workers see that it is gone
-    running.wait()
-    with pytest.raises(ProcessLookupError):  # none of its group is left
+    process.send_signal(9)  # kills the process that writes; its workers notice that
+    process.wait()
+    with pytest.raises(ProcessLookupError):  # no process of its group is left
         while time.monotonic() < deadline + 10:
-            os.killpg(running.pid, 0)
+            os.killpg(process.pid, 0)
             time.sleep(0.05)
     before = _numbers(tmp_path / "c.db")
-    done = subprocess.run(words, cwd=tmp_path, capture_output=True, text=True)
-    found = json.loads(done.stdout.splitlines()[-1])
+    completed = subprocess.run(command_line, cwd=tmp_path, capture_output=True, text=True)
+    result = json.loads(completed.stdout.splitlines()[-1])
     assert (
-        done.returncode == 0
-        and found["histories"] == 5
+        completed.returncode == 0
+        and result["histories"] == 5
         and len(before) >= 1
         and before <= _numbers(tmp_path / "c.db") == set(range(1, 6))
     )
@@ -131,74 +141,81 @@
 
 def _numbers(path):
     try:
-        return Book(path, 2).numbers(hunt.VIRTUAL)
-    except NoBook:
+        return CampaignDatabase(path, 2).completed_numbers(runner.VIRTUAL)
+    except InvalidDatabase:
         return set()
 
 
-# What is found.
+# Violations found.
 
 
-def planted(raw):
+def with_planted_fault(raw):
     return raw | {"fault": "sends-to-draining"}
 
 
-def test_a_planted_mistake_is_found_shrunk_and_kept_as_a_file_that_replays_it(tmp_path, monkeypatch):
-    plain = draw.plain
-    monkeypatch.setattr(draw, "plain", lambda seed, number: planted(plain(seed, number)))
-    monkeypatch.setattr(draw, "POWER", 0.0)
-    book = Book(tmp_path / "c", 1)
+def test_planted_fault_is_found_minimized_and_saved_as_a_replayable_trial(tmp_path, monkeypatch):
+    original = generator.random_trial
+    monkeypatch.setattr(
+        generator, "random_trial", lambda seed, number: with_planted_fault(original(seed, number))
+    )
+    monkeypatch.setattr(generator, "POWER_LOSS_SHARE", 0.0)
+    database = CampaignDatabase(tmp_path / "c", 1)
     numbers = iter(range(1, 200))
-    while True:  # in this process, where the patch is
+    while True:  # run in this process, which has the patch
         number = next(numbers)
-        raw = draw.plain(1, number)
+        raw = generator.random_trial(1, number)
         if not any(t["kind"] == "drain" for t in raw["troubles"]):
             continue
-        h = one((number, None, raw, number))
-        book.add(h)
+        h = run_history((number, None, raw, number))
+        database.add(h)
         if h.broken:
             break
     assert h.broken == ("sent to draining",) and number < 60
-    small, seed = smallest(h)
-    assert len(small.world.troubles) == 1 and small.world.agents <= spec.read(raw).world.agents
-    (path,) = Campaign(book, 1).shrink(1, tmp_path)
+    reduced, seed = minimize_history(h)
+    assert len(reduced.world.troubles) == 1 and reduced.world.agents <= spec.read(raw).world.agents
+    (path,) = Campaign(database, 1).minimize(1, tmp_path)
     text = path.read_text()
-    assert text.startswith(f"# Seed {seed}: breaks 'sent to draining'.") and book.kept()[0][0] == number
-    again = spec.read_file(path)
-    assert {b.name for b in play.run(again, again.world.seeds[0]).result.violations} == {"sent to draining"}
-    assert "sent to draining" in page.page(book) and page.summary(book)["broken"] == {
+    assert (
+        text.startswith(f"# Seed {seed}: breaks 'sent to draining'.") and database.minimized()[0][0] == number
+    )
+    reopened = spec.read_file(path)
+    assert {b.name for b in play.run(reopened, reopened.world.seeds[0]).result.violations} == {
+        "sent to draining"
+    }
+    assert "sent to draining" in page.page(database) and page.summary(database)["broken"] == {
         number: ["sent to draining"]
     }
 
 
-def test_a_bound_that_is_passed_is_told_by_its_name(monkeypatch):
+def test_exceeded_bound_is_reported_by_name(monkeypatch):
     number = next(
         n
         for n in range(1, 99)
-        if draw.plain(1, n)["agents"]["share_ms"] and draw.plain(1, n)["agents"]["count"] > 4
+        if generator.random_trial(1, n)["agents"]["share_ms"]
+        and generator.random_trial(1, n)["agents"]["count"] > 4
     )
-    raw = draw.plain(1, number) | {"faults": [], "troubles": []}
-    assert one((number, None, raw, number)).passed == ()
+    raw = generator.random_trial(1, number) | {"faults": [], "troubles": []}
+    assert run_history((number, None, raw, number)).exceeded == ()
     monkeypatch.setattr("lupinreach.fleet.grants.Budget.usable", lambda self, now: 2 * self.own)
-    assert one((number, None, raw, number)).passed == ("trials",)
-    assert Sharing.update.__name__ == "update"  # and the watch is gone
+    assert run_history((number, None, raw, number)).exceeded == ("trials",)
+    assert Sharing.update.__name__ == "update"  # the monitor has been removed
 
 
-def test_a_bad_book_and_bad_words_end_with_2_and_nothing_played(tmp_path):
+def test_invalid_database_or_option_exits_with_2(tmp_path):
     (tmp_path / "no").write_bytes(b"nothing of the kind, and long enough to be looked at" * 9)
-    done = command("trial", "campaign", str(tmp_path / "no"), "--histories", "1")
-    assert done.returncode == 2 and "not a database" in done.stderr
+    completed = command("trial", "campaign", str(tmp_path / "no"), "--histories", "1")
+    assert completed.returncode == 2 and "not a database" in completed.stderr
     assert command("trial", "campaign", str(tmp_path / "c"), "--histories", "-1").returncode == 2
 
 
-# The search through models.
+# The model search.
 
 
-class Ring:
-    """A token that goes round n places, is lost at one, and is waited for at the last."""
+class TokenRing:
+    """A token that moves along n places, may be lost at place 2, and is expected at the last."""
 
-    def __init__(self, n, fair=(), lost=False, alike=False):
-        self.n, self.fair, self.lost, self.alike = n, frozenset(fair), lost, alike
+    def __init__(self, n, fair=(), lost=False, symmetric=False):
+        self.n, self.fair, self.lost, self.alike = n, frozenset(fair), lost, symmetric
 
     def first(self):
         return [0]
@@ -222,12 +239,12 @@
         return state == self.n
 
 
-def test_a_search_tells_the_shortest_story_of_what_is_wrong_and_of_what_never_comes():
-    assert search(Ring(7)).story == ("on",) * 5 + ("five",)
-    assert search(Ring(4)).story == ("never done",) and search(Ring(4)).cycle == ("rest",)
-    assert search(Ring(4, fair=["on"])).well and search(Ring(4, fair=["on"])).states == 5
-    lost = search(Ring(4, fair=["on"], lost=True))
-    assert lost.story == ("on", "on", "lose", "never done") and lost.cycle == ()
-    assert search(Ring(4, alike=True)).states == 3  # the same from either end
-    with pytest.raises(TooMany):
-        search(Ring(4), most=3)
+def test_search_finds_shortest_counterexamples_of_invariants_and_liveness():
+    assert search(TokenRing(7)).trace == ("on",) * 5 + ("five",)
+    assert search(TokenRing(4)).trace == ("never done",) and search(TokenRing(4)).cycle == ("rest",)
+    assert search(TokenRing(4, fair=["on"])).ok and search(TokenRing(4, fair=["on"])).states == 5
+    lost = search(TokenRing(4, fair=["on"], lost=True))
+    assert lost.trace == ("on", "on", "lose", "never done") and lost.cycle == ()
+    assert search(TokenRing(4, symmetric=True)).states == 3  # symmetric states are merged
+    with pytest.raises(StateLimitExceeded):
+        search(TokenRing(4), max_states=3)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,8 +27,8 @@
     StartupSequence,
 )
 from lupinreach.fleet.wire import HEARTBEAT, QUERY, REPLY, Drain, Malformed, Member, Message
-from lupinreach.trial.models.lives import Lives
-from lupinreach.trial.models.order import STAYS, Order
+from lupinreach.trial.models.incarnations import IncarnationModel
+from lupinreach.trial.models.recovery_order import STAGE_TIMES, RecoveryOrderModel
 from lupinreach.trial.models.search import search
 
 INTERVAL_MS = 1000.0
@@ -65,10 +65,10 @@
 
 
 def test_incarnations_are_unique_in_every_short_history_and_only_with_tokens():
-    found = search(Lives())
-    assert found.well and found.states > 1000
+    found = search(IncarnationModel())
+    assert found.ok and found.states > 1000
     # Injected fault: without tokens a number is used twice where disks may be older copies.
-    assert search(Lives(token=lambda process: 0)).story[-1] == "life 1 twice"
+    assert search(IncarnationModel(token=lambda process: 0)).trace[-1] == "life 1 twice"
 
 
 def test_settled_process_is_superseded_by_a_newer_one_and_does_not_raise_its_number():
@@ -342,9 +342,11 @@
 
 
 def test_startup_only_moves_forward_keeps_its_limits_and_serves_once_it_has_a_list():
-    assert search(Order()).well
-    without = search(Order(fair=frozenset({"time"})))  # without a list it stays in `LISTENING` forever
-    assert without.story[-1] == "never done" and "time" in without.cycle
+    assert search(RecoveryOrderModel()).ok
+    without = search(
+        RecoveryOrderModel(fair=frozenset({"time"}))
+    )  # without a list it stays in `LISTENING` forever
+    assert without.trace[-1] == "never done" and "time" in without.cycle
 
     class Unlimited(StartupSequence):
         """Injected fault: no limit for a stage."""
@@ -352,7 +354,7 @@
         def __init__(self, now, limits):
             super().__init__(now, StageLimits(limits.read, 1e9, limits.hold, limits.cold))
 
-    assert search(Order(Unlimited)).story[-1] == "stays in standing too long"
+    assert search(RecoveryOrderModel(Unlimited)).trace[-1] == "stays in standing too long"
 
     class MovesBack(StartupSequence):
         """Injected fault: goes back to `TRYING`."""
@@ -363,16 +365,16 @@
                 self.stage = Stage.TRYING
             return passed
 
-    assert search(Order(MovesBack)).story[-1] == "skips a stage, or goes back"
+    assert search(RecoveryOrderModel(MovesBack)).trace[-1] == "skips a stage, or goes back"
 
 
 def test_startup_with_a_list_ends_within_the_sum_of_its_stage_limits():
-    one, now = StartupSequence(0.0, STAYS), 0.0
+    one, now = StartupSequence(0.0, STAGE_TIMES), 0.0
     while one.stage is not Stage.FULL:
         now += 0.5
         one.advance(now, StartupFacts(listed=1))
     assert now <= 1 + 2 + 3 + 4 + 2
-    alone = StartupSequence(0.0, STAYS)
+    alone = StartupSequence(0.0, STAGE_TIMES)
     for now in range(1, 100):
         alone.advance(float(now), StartupFacts())
     assert (
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -33,7 +33,7 @@
 from lupinreach.fleet.uptimes import Uptime, Uptimes, earliest_up_since
 from lupinreach.fleet.wire import BORROW, UPDATE, Message
 from lupinreach.model import Listing, SharedEstimates, UpdateKind
-from lupinreach.trial.models.lending import EXACT, LEASE, TOTAL, Lending
+from lupinreach.trial.models.lending import LEASE, TOLERANCE, TOTAL, LendingModel
 from lupinreach.trial.models.search import search
 
 # Uptimes of cold backends by the reports of others.
@@ -116,8 +116,8 @@
 
 
 def test_no_history_exceeds_the_total_or_leaves_an_agent_below_its_unlent_share():
-    found = search(Lending())
-    assert found.well and found.states > 10_000
+    found = search(LendingModel())
+    assert found.ok and found.states > 10_000
 
 
 class LeaseFromReceipt(Budget):
@@ -155,8 +155,8 @@
 
 @pytest.mark.parametrize("of", [LeaseFromReceipt, ForgetsLentShare, LongBorrowerLease, LendsWholeShare])
 def test_search_finds_each_injected_fault(of):
-    story = search(Lending(of)).story
-    assert story is not None and len(story) <= 12, story
+    trace = search(LendingModel(of)).trace
+    assert trace is not None and len(trace) <= 12, trace
 
 
 @hypothesis_settings(max_examples=60, deadline=None, derandomize=True)
@@ -189,8 +189,8 @@
                 all_of[to].granted(there, about, amount)
         uses = [b.usable(now * r) for b, r in zip(all_of, rates, strict=True)]
         assert (
-            sum(uses) <= grants.upper_bound(TOTAL, agents) + EXACT
-            and min(uses) >= grants.lower_bound(TOTAL) / agents - EXACT
+            sum(uses) <= grants.upper_bound(TOTAL, agents) + TOLERANCE
+            and min(uses) >= grants.lower_bound(TOTAL) / agents - TOLERANCE
         )
 
 
@@ -245,7 +245,7 @@
     assert len(factors) <= MAX_AFFECTED_SHARE * ready and all(
         1 <= f <= MAX_COST_FACTOR for f in factors.values()
     )
-    assert sum(1 - 1 / f for f in factors.values()) / ready <= max_diverted_share() + EXACT
+    assert sum(1 - 1 / f for f in factors.values()) / ready <= max_diverted_share() + TOLERANCE
     assert here.rejected == sum(
         not 0 <= r.relative_latency <= MAX_RELATIVE_LATENCY or r.age < 0 for r in said
     )
@@ -386,7 +386,10 @@
             agents[message[1]].receive(now, message[2])
         for agent in agents if step % 8 == 7 else ():
             for c, rate in enumerate(agent.rates(now)):
-                if rate > counting.rate_bound(now, [v for k, v in true.items() if k[0] == c], window) + EXACT:
+                if (
+                    rate
+                    > counting.rate_bound(now, [v for k, v in true.items() if k[0] == c], window) + TOLERANCE
+                ):
                     return True
     return False
 
