--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -23,14 +23,14 @@
 
 
 def test_numbers_determine_histories_and_every_kind_of_trouble_occurs():
-    trials = [generator.random_trial(5, n) for n in range(300)]
-    assert trials[:9] == [generator.random_trial(5, n) for n in range(9)] and trials[
-        0
-    ] != generator.random_trial(6, 0)
-    kinds = Counter(t["kind"] for raw in trials for t in raw["troubles"])
+    raws = [generator.random_trial(5, n) for n in range(300)]
+    assert raws[:9] == [generator.random_trial(5, n) for n in range(9)] and raws[0] != generator.random_trial(
+        6, 0
+    )
+    kinds = Counter(t["kind"] for raw in raws for t in raw["troubles"])
     assert set(kinds) == {kind for area in generator.TROUBLES_BY_AREA.values() for kind in area}
-    assert 0.5 < sum(bool(raw["faults"]) for raw in trials) / 300 < 0.7
-    for n, raw in enumerate(trials):
+    assert 0.5 < sum(bool(raw["faults"]) for raw in raws) / 300 < 0.7
+    for n, raw in enumerate(raws):
         mutated = generator.mutate(raw, 5, n)
         spec.read(raw), spec.read(mutated)  # strict
         if reduced := generator.reduced_for_processes(mutated):
