--- a/lupinreach/trial/bounds.py
+++ b/lupinreach/trial/bounds.py
@@ -101,7 +101,7 @@
 
     `wants` replaces the number of trials per second that an agent asks for.
     """
-    monitor, original_look, original_wants = BoundsMonitor(agents), Sharing.look, Sharing._wants
+    monitor, original_look, original_wants = BoundsMonitor(agents), Sharing.update, Sharing._wants
 
     def look(sharing: Sharing) -> None:
         original_look(sharing)
