--- a/benchmarks/configuration_news.py
+++ b/benchmarks/configuration_updates.py
@@ -3,7 +3,7 @@
 One process, no network: the registry's part (take a version, make the update), the proxy's part (apply it), and the
 same with the whole configuration. Medians of a few runs, in milliseconds of this machine.
 
-    python benchmarks/configuration_news.py 320 1000 3300
+    python benchmarks/configuration_updates.py 320 1000 3300
 """
 
 from __future__ import annotations
