--- a/benchmarks/drawn_losses.py
+++ b/benchmarks/random_power_losses.py
@@ -1,6 +1,6 @@
 """Drawn power losses of small fleets, alone or in touch: are the rules kept, and what is served of the possible?
 
-    python benchmarks/drawn_losses.py 1000 --first 1 [--alone] [--share] [--processes]
+    python benchmarks/random_power_losses.py 1000 --first 1 [--alone] [--share] [--processes]
 
 Each number is a fleet, a load, an order of return, disks, clocks and links of its own. Ends with one line of JSON; the numbers of what
 broke stand in it, and play again by `--first N 1`.
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -11,7 +11,7 @@
 from test_rig import SMALL as RIG
 from test_trial import SMALL
 
-from benchmarks.drawn_losses import drawn
+from benchmarks.random_power_losses import drawn
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.disk import MemoryDisk
 from lupinreach.bed.world.chance import stream
