--- a/benchmarks/shared_worth.py
+++ b/benchmarks/sharing_value.py
@@ -1,6 +1,6 @@
 """What sharing is worth: agents alone, sharing, and a policy that sees the true state, on the same days and seeds.
 
-    python benchmarks/shared_worth.py --agents 40 --agents 200 --seeds 5 [--day slow] [--share-ms 500]
+    python benchmarks/sharing_value.py --agents 40 --agents 200 --seeds 5 [--day slow] [--share-ms 500]
 
 One line of JSON a day and number of agents: served of the possible over the whole, in the worst ten seconds, and the
 share of shots that no client got an answer of. Virtual time.
