--- a/benchmarks/mesh_slopes.py
+++ b/benchmarks/mesh_scaling.py
@@ -4,7 +4,7 @@
 the control protocol and carry no traffic. For each number: resident memory, processor time and bytes while
 nothing changes, while proxies restart, and from a configuration's acknowledgement until all have it in force.
 
-    python benchmarks/mesh_slopes.py 100 400 1400
+    python benchmarks/mesh_scaling.py 100 400 1400
 """
 
 from __future__ import annotations
