--- a/benchmarks/recovery_parts.py
+++ b/benchmarks/recovery_ablation.py
@@ -1,6 +1,6 @@
 """What each part of the return from a power loss is worth: the same trials and seeds with one part switched off at a time.
 
-    python benchmarks/recovery_parts.py [--seeds 2] [--agents 40] [--trial power-in-touch ...]
+    python benchmarks/recovery_ablation.py [--seeds 2] [--agents 40] [--trial power-in-touch ...]
 
 One line of JSON a trial and part: served of the possible in the first 10 and 20 s, shots to draining backends, the greatest cold load, most
 calls told in one second, and what rule broke. Virtual time; `all` is the program as it is.
