--- a/benchmarks/operations.py
+++ b/benchmarks/operator_endpoint.py
@@ -1,6 +1,6 @@
 """The operators' door under load, its figures beside what clients counted, and memory with 32 MB bodies.
 
-python benchmarks/operations.py
+python benchmarks/operator_endpoint.py
 """
 
 from __future__ import annotations
