--- a/benchmarks/random_power_losses.py
+++ b/benchmarks/random_power_losses.py
@@ -21,7 +21,7 @@
 BESIDE = 5  # small fleets of processes
 
 
-def drawn(number: int, touch: bool, processes: bool, share: bool = False) -> dict[str, Any]:
+def draw_trial(number: int, touch: bool, processes: bool, share: bool = False) -> dict[str, Any]:
     """The trial of that number, as a file would have it."""
     chance = stream(number, "drawn losses")
 
@@ -110,7 +110,7 @@
 
 def one(job: tuple[int, bool, bool, bool]) -> dict[str, Any]:
     number, touch, processes, share = job
-    p = play.run(spec.read(drawn(number, touch, processes, share)), number)
+    p = play.run(spec.read(draw_trial(number, touch, processes, share)), number)
     return {
         "number": number,
         "verdict": p.verdict,
--- a/tests/test_ran.py
+++ b/tests/test_ran.py
@@ -11,7 +11,7 @@
 from test_rig import SMALL as RIG
 from test_trial import SMALL
 
-from benchmarks.random_power_losses import drawn
+from benchmarks.random_power_losses import draw_trial
 from lupinreach.bed.ways import virtual
 from lupinreach.bed.ways.disk import MemoryDisk
 from lupinreach.bed.world.chance import stream
@@ -68,7 +68,7 @@
 def test_older_disk_is_detected_by_heartbeats_that_witnesses_store(monkeypatch):
     # All agents lost power, half of the disks came back in a state two seconds old, and without witnesses a
     # payment ran twice.
-    trial = spec.read(drawn(5027, True, False))
+    trial = spec.read(draw_trial(5027, True, False))
     assert play.run(trial, 5027).verdict == play.KEPT
     monkeypatch.setattr(fleet_agent, "WITNESSES", 0)
     assert {b.name for b in play.run(trial, 5027).result.breaches} == {"effect twice"}
@@ -76,7 +76,7 @@
 
 def test_copy_two_heartbeats_old_is_detected_by_the_extra_heartbeats_after_payments(monkeypatch):
     # Drawn loss 20075: the witnesses knew no more heartbeats than the old disk held, and a payment ran twice.
-    trial = spec.read(drawn(20075, True, False))
+    trial = spec.read(draw_trial(20075, True, False))
     assert play.run(trial, 20075).verdict == play.KEPT
     monkeypatch.setattr(fleet_agent.FleetAgent, "record_synced", lambda _: None)
     assert {b.name for b in play.run(trial, 20075).result.breaches} == {"effect twice"}
@@ -135,7 +135,7 @@
 
 
 def test_agent_partitioned_during_its_query_queries_again_and_learns_of_drains(monkeypatch):
-    trial = spec.read(drawn(5060, True, False))
+    trial = spec.read(draw_trial(5060, True, False))
     with_repeated_queries = play.run(trial, 5060).recovery.to_draining
     monkeypatch.setattr(fleet_agent, "QUERY_INTERVAL_HEARTBEATS", 10**6)
     assert play.run(trial, 5060).recovery.to_draining > 7 * with_repeated_queries
