--- a/benchmarks/shared_bounds.py
+++ b/benchmarks/shared_bounds.py
@@ -73,7 +73,7 @@
     }
 
 
-def played(
+def run_case(
     case: str, seed: int, agents: int = 12, seconds: float = 20.0
 ) -> tuple[play.Played, dict[str, float]]:
     """One run, and the most that was seen of each figure over its bound."""
@@ -88,7 +88,7 @@
 
 def one(job: tuple[str, int, int, float]) -> dict[str, Any]:
     case, seed, agents, seconds = job
-    run, most = played(case, seed, agents, seconds)
+    run, most = run_case(case, seed, agents, seconds)
     return most | {"kept": run.verdict == play.KEPT}
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -27,7 +27,7 @@
     ],
 )
 def test_no_bound_is_exceeded_at_any_agent_whatever_fails(case):
-    run, most = shared_bounds.played(case, 3, agents=8, seconds=14.0)
+    run, most = shared_bounds.run_case(case, 3, agents=8, seconds=14.0)
     assert run.verdict == play.KEPT, run.result.breaches[:3]
     assert not [name for name in bounds.JUDGED if most[name] > 1], most
     assert most["looks"] > 100 and most["lent"] > 0 and most["heard"] > 0, most
@@ -41,7 +41,9 @@
         "__init__",
         lambda self, now, total, agents, lease: plain(self, now, total, agents, lease, True),
     )
-    assert shared_bounds.played("a part restarts again and again", 3, agents=8, seconds=14.0)[1]["trials"] > 1
+    assert (
+        shared_bounds.run_case("a part restarts again and again", 3, agents=8, seconds=14.0)[1]["trials"] > 1
+    )
 
 
 # Injected faults, each detected by the bound that it exceeds.
@@ -55,21 +57,21 @@
         self._borrow_for *= 3
 
     monkeypatch.setattr(Budget, "__init__", set_back)
-    assert shared_bounds.played("nothing", 3, agents=8, seconds=22.0)[1]["trials"] > 1
+    assert shared_bounds.run_case("nothing", 3, agents=8, seconds=22.0)[1]["trials"] > 1
 
 
 def test_unbounded_cost_factors_are_detected(monkeypatch):
     monkeypatch.setattr(
         Observations, "cost_factors", lambda self, now, own: {key: 1e6 for key in self.estimates(now, own)}
     )
-    assert shared_bounds.played("a slow tenth", 3, agents=8, seconds=14.0)[1]["dearer"] > 1
+    assert shared_bounds.run_case("a slow tenth", 3, agents=8, seconds=14.0)[1]["dearer"] > 1
 
 
 def test_counts_merged_by_sums_are_detected(monkeypatch):
     from test_shared import Sums
 
     monkeypatch.setattr("lupinreach.ops.sharing.Counts", Sums)
-    assert shared_bounds.played("words lost, doubled, late", 3, agents=8, seconds=14.0)[1]["counts"] > 1
+    assert shared_bounds.run_case("words lost, doubled, late", 3, agents=8, seconds=14.0)[1]["counts"] > 1
 
 
 @pytest.mark.rig(
