--- a/benchmarks/shared_bounds.py
+++ b/benchmarks/shared_bounds.py
@@ -1,9 +1,11 @@
-"""The largest excess of what agents share beside its bound, at every agent and look, while parts of the fleet fail.
+"""Shared state relative to its bounds, at every update of every agent, while parts of the fleet fail.
 
     python benchmarks/shared_bounds.py --agents 12 --seeds 20 [--seconds 20]
 
-One line of JSON a hard case: each figure is the most that was seen over the bound's formula (`grants.upper_bound`, `evidence.harm`,
-`counts.rate_bound`), so that over 1 is past it. Virtual time; demands for trials are made unlike, so that shares are lent.
+Prints one line of JSON per fault case. Each value is the highest ratio of an observation to its bound
+(`grants.upper_bound`, `observations.max_diverted_share`, `counts.rate_bound`); above 1 the bound is
+violated. Runs in virtual time. Agents get unequal demand for trials, so that they lend shares to each
+other.
 """
 
 from __future__ import annotations
@@ -51,6 +53,7 @@
 
 
 def world(case: str, agents: int, seconds: float) -> dict[str, Any]:
+    """The trial of a case, in the format of a trial file."""
     return {
         "name": case,
         "seconds": seconds,
@@ -76,17 +79,18 @@
 def run_case(
     case: str, seed: int, agents: int = 12, seconds: float = 20.0
 ) -> tuple[play.Played, dict[str, float]]:
-    """One run, and the most that was seen of each figure over its bound."""
+    """Runs one case; returns the run and the highest ratio of each observation to its bound."""
 
-    def wants(part: Sharing) -> float:
+    def wanted_trials(part: Sharing) -> float:  # unequal demand, so that agents lend to each other
         return 1e3 if part.observations.me % 3 == 0 else 0.0
 
-    with bounds.watched(agents, wants) as watch:
+    with bounds.watched(agents, wanted_trials) as watch:
         trial = spec.read(world(case, agents, seconds))
         return play.judge(trial, seed, virtual.play(trial.world, seed)), dict(watch.most)
 
 
-def one(job: tuple[str, int, int, float]) -> dict[str, Any]:
+def run_job(job: tuple[str, int, int, float]) -> dict[str, Any]:
+    """The highest ratios of one run, and whether it kept the rules."""
     case, seed, agents, seconds = job
     run, most = run_case(case, seed, agents, seconds)
     return most | {"kept": run.verdict == play.KEPT}
@@ -97,11 +101,12 @@
 @click.option("--seeds", type=click.IntRange(1), default=20)
 @click.option("--seconds", type=click.FloatRange(10.0), default=20.0)
 def main(agents: int, seeds: int, seconds: float) -> None:
+    """Runs all cases with several seeds and prints one line per case."""
     jobs = [(case, seed, agents, seconds) for case in CASES for seed in range(seeds)]
     with ProcessPoolExecutor() as pool:
-        found = pool.map(one, jobs)
+        results = pool.map(run_job, jobs)
         for case in CASES:
-            runs = [next(found) for _ in range(seeds)]
+            runs = [next(results) for _ in range(seeds)]
             print(
                 json.dumps(
                     {
