--- a/benchmarks/agent_cost.py
+++ b/benchmarks/agent_cost.py
@@ -44,7 +44,8 @@
     for i, name in enumerate(["this version", "other version"][: len(trees)]):
         cpu_ms = [costs_of_round[i][0] for costs_of_round in rounds]
         print(
-            f"{name}: {statistics.median(cpu_ms):.3f} ms of CPU per call ({min(cpu_ms):.3f} to {max(cpu_ms):.3f}), "
+            f"{name}: {statistics.median(cpu_ms):.3f} ms of CPU per call "
+            f"({min(cpu_ms):.3f} to {max(cpu_ms):.3f}), "
             f"{max(costs_of_round[i][1] for costs_of_round in rounds):.1f} MB"
         )
     if len(trees) > 1:
--- a/benchmarks/bed_scale.py
+++ b/benchmarks/bed_scale.py
@@ -30,7 +30,8 @@
         result = experiment.judge(world, 1, ledger)
         print(
             f"{agents} agents: {cpu_s:.1f} s of CPU, {length_ms / 1000 / cpu_s:.2f} simulated s per s, "
-            f"{1000 * cpu_s / result.figures['calls']:.2f} ms per call, {cpu_s / first_cpu_s:.2f} x the first run; "
+            f"{1000 * cpu_s / result.figures['calls']:.2f} ms per call, "
+            f"{cpu_s / first_cpu_s:.2f} x the first run; "
             f"{'rules kept' if result.kept else result.rules}",
             flush=True,
         )
--- a/benchmarks/mesh_scaling.py
+++ b/benchmarks/mesh_scaling.py
@@ -45,11 +45,11 @@
 
     async def connect(self) -> None:
         """Connects to the registry and registers a backend."""
-        proxy_under_test = self
+        proxy = self
 
         class ByteCountingLink(Link):
             def data_received(self, data: bytes) -> None:
-                proxy_under_test.received += len(data)
+                proxy.received += len(data)
                 super().data_received(data)
 
         self.link = ByteCountingLink(self._message, lambda link: None)
@@ -182,11 +182,16 @@
             applied_s = await until(lambda: all(proxy.version == "00000002" for proxy in proxies), 30.0)
             change_cpu_s = cpu_s(registry) - cpu_before[0], cpu_s(store) - cpu_before[1]
             print(
-                f"{count:5} proxies: registry {memory_mb(registry):.1f} MB ({initial_mb[0]:.1f} before proxies join), store "
-                f"{memory_mb(store):.1f} MB ({initial_mb[1]:.1f}); idle: registry {100 * idle_cpu_s[0] / IDLE_S:.2f}% and store "
-                f"{100 * idle_cpu_s[1] / IDLE_S:.2f}% of a core, {received_bytes_s:.0f} B/s per proxy; all joined after {join_s:.2f} s, "
-                f"{join_cpu_s:.2f} CPU s; a restart {restart_cpu_ms:.1f} CPU ms; a change ({status}) applied by all proxies "
-                f"{1000 * applied_s:.0f} ms after its acknowledgement, registry {1000 * change_cpu_s[0]:.0f} and store "
+                f"{count:5} proxies: registry {memory_mb(registry):.1f} MB ("
+                f"{initial_mb[0]:.1f} before proxies join), store "
+                f"{memory_mb(store):.1f} MB ({initial_mb[1]:.1f}); "
+                f"idle: registry {100 * idle_cpu_s[0] / IDLE_S:.2f}% and store "
+                f"{100 * idle_cpu_s[1] / IDLE_S:.2f}% of a core, {received_bytes_s:.0f} B/s per proxy; "
+                f"all joined after {join_s:.2f} s, "
+                f"{join_cpu_s:.2f} CPU s; a restart {restart_cpu_ms:.1f} CPU ms; "
+                f"a change ({status}) applied by all proxies "
+                f"{1000 * applied_s:.0f} ms after its acknowledgement, "
+                f"registry {1000 * change_cpu_s[0]:.0f} and store "
                 f"{1000 * change_cpu_s[1]:.0f} CPU ms",
                 flush=True,
             )
--- a/benchmarks/operator_endpoint.py
+++ b/benchmarks/operator_endpoint.py
@@ -1,6 +1,8 @@
-"""The operators' door under load, its figures beside what clients counted, and memory with 32 MB bodies.
+"""Latency and metrics of the operators' endpoint under load, and memory with 32 MB bodies.
 
-python benchmarks/operator_endpoint.py
+The metrics are compared with the clients' own counts. The memory is measured with several limits.
+
+    python benchmarks/operator_endpoint.py
 """
 
 from __future__ import annotations
@@ -19,88 +21,105 @@
 from helpers import Peer, look, read_http
 from upgrading import Platform, platform
 
-CALLS = 200
-LARGE = 32 << 20
+REQUESTS = 200
+LARGE_BODY_BYTES = 32 << 20
 
 
 async def silent(request, writer) -> None:
+    """Never answers."""
     await asyncio.Event().wait()
 
 
-def peak(pid: int) -> float:
+def peak_memory_mb(pid: int) -> float:
+    """Highest resident memory of a process so far."""
     return int(re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())[1]) / 1024
 
 
-async def figures(door: tuple[str, int]) -> tuple[dict, float]:
+async def read_metrics(operator_address: tuple[str, int]) -> tuple[dict, float]:
+    """The metrics of the endpoint, and the duration of the request in ms."""
     began = time.monotonic()
-    reader, writer = await asyncio.open_connection(*door)
+    reader, writer = await asyncio.open_connection(*operator_address)
     writer.write(b"GET /_vars HTTP/1.1\r\n\r\n")
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    return json.loads(answer.partition(b"\r\n\r\n")[2]), (time.monotonic() - began) * 1000
+    return json.loads(response.partition(b"\r\n\r\n")[2]), (time.monotonic() - began) * 1000
 
 
-async def door_under_load() -> None:
+async def endpoint_under_load() -> None:
+    """Requests metrics under client traffic and compares them with the clients' counts."""
     with tempfile.TemporaryDirectory() as folder:
         async with platform(Path(folder)) as site:
-            process, door = await site.spawn()
+            process, operator_address = await site.spawn()
             while not site.seen.answers:
                 await asyncio.sleep(0.01)
-            holders = [await asyncio.open_connection(*door) for _ in range(40)]  # say nothing
-            took, worst = [], 0
-            for _ in range(CALLS):
-                said, ms = await figures(door)
-                took.append(ms)
-                worst = max(worst, abs(sum(said["success"].values()) - site.seen.answers[200]))
+            # These connections send nothing.
+            held_connections = [await asyncio.open_connection(*operator_address) for _ in range(40)]
+            durations_ms, max_deviation = [], 0
+            for _ in range(REQUESTS):
+                metrics, ms = await read_metrics(operator_address)
+                durations_ms.append(ms)
+                max_deviation = max(
+                    max_deviation, abs(sum(metrics["success"].values()) - site.seen.answers[200])
+                )
                 await asyncio.sleep(0.02)
-            for _, writer in holders:
+            for _, writer in held_connections:
                 writer.close()
             print(
-                f"door: {CALLS} calls under {sum(site.seen.answers.values())} API calls and 40 held connections, "
-                f"median {statistics.median(took):.1f} ms, worst {max(took):.1f} ms; success at most {worst} from "
+                f"endpoint: {REQUESTS} requests under {sum(site.seen.answers.values())} "
+                f"calls and 40 held connections, "
+                f"median {statistics.median(durations_ms):.1f} ms, worst {max(durations_ms):.1f} ms; "
+                f"success at most {max_deviation} from "
                 f"the clients' count"
             )
 
 
-async def large(memory_mb: int, stops: bool) -> None:
-    """Eight answers and eight requests of 32 MB at once; half of the readers stop after the head, if so wanted."""
+async def large_bodies(memory_mb: int, stalling_readers: bool) -> None:
+    """Sends eight responses and eight requests of 32 MB at once, under a memory limit.
+
+    With `stalling_readers`, half of the readers of responses pause for 3 s after the head.
+    """
 
     async def script(reader, writer):
         try:
             while True:
-                head = await reader.readuntil(b"\r\n\r\n")
-                length = re.search(rb"(?i)content-length: *(\d+)", head)
-                left = int(length[1]) if length else 0
-                while left:
-                    left -= len(await reader.readexactly(min(left, 1 << 16)))
-                size = 4 if length else LARGE
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-                while size:
-                    writer.write(bytes(min(size, 1 << 16)))
-                    size -= min(size, 1 << 16)
+                request_head = await reader.readuntil(b"\r\n\r\n")
+                length = re.search(rb"(?i)content-length: *(\d+)", request_head)
+                remaining = int(length[1]) if length else 0
+                while remaining:
+                    remaining -= len(await reader.readexactly(min(remaining, 1 << 16)))
+                body_bytes = 4 if length else LARGE_BODY_BYTES
+                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % body_bytes)
+                while body_bytes:
+                    writer.write(bytes(min(body_bytes, 1 << 16)))
+                    body_bytes -= min(body_bytes, 1 << 16)
                     await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def one(site: Platform, number: int) -> bool:
+    async def exchange(site: Platform, number: int) -> bool:
         reader, writer = await asyncio.open_connection(*site.address)
         try:
             if number % 2:
                 writer.write(
-                    look(b"pay", method=b"POST", deadline=b"9", more=b"Content-Length: %d\r\n" % LARGE)
+                    look(
+                        b"pay",
+                        method=b"POST",
+                        deadline=b"9",
+                        more=b"Content-Length: %d\r\n" % LARGE_BODY_BYTES,
+                    )
                 )
-                for _ in range(LARGE >> 16):
+                for _ in range(LARGE_BODY_BYTES >> 16):
                     writer.write(bytes(1 << 16))
                     await writer.drain()
                 return b" 200 " in await read_http(reader)
             writer.write(look(deadline=b"9"))
             if b" 200 " not in await reader.readuntil(b"\r\n\r\n"):
                 return False
-            if stops and number % 4 == 0:
+            if stalling_readers and number % 4 == 0:
                 await asyncio.sleep(3)
-            left = LARGE
-            while left:
-                left -= len(await reader.read(1 << 16)) or left
+            remaining = LARGE_BODY_BYTES
+            while remaining:
+                remaining -= len(await reader.read(1 << 16)) or remaining
             return True
         finally:
             writer.close()
@@ -118,14 +137,16 @@
             )
             process, _ = await site.spawn(MALLOC_MMAP_THRESHOLD_="65536", MALLOC_TRIM_THRESHOLD_="131072")
             await asyncio.sleep(1)
-            before = peak(process.pid)
-            done = await asyncio.gather(
-                *(asyncio.wait_for(one(site, n), 8) for n in range(16)), return_exceptions=True
+            initial_mb = peak_memory_mb(process.pid)
+            results = await asyncio.gather(
+                *(asyncio.wait_for(exchange(site, n), 8) for n in range(16)), return_exceptions=True
             )
             print(
-                f"memory, limit {memory_mb} MB, {'four readers that stop, ' if stops else ''}16 messages of 32 MB: "
-                f"{before:.0f} MB before, {peak(process.pid):.0f} MB at most; {done.count(True)} whole, {done.count(False)} turned away, "
-                f"{16 - done.count(True) - done.count(False)} ended otherwise"
+                f"memory, limit {memory_mb} MB, "
+                f"{'four stalling readers, ' if stalling_readers else ''}16 messages of 32 MB: "
+                f"{initial_mb:.0f} MB before, {peak_memory_mb(process.pid):.0f} MB at most; "
+                f"{results.count(True)} complete, {results.count(False)} rejected, "
+                f"{16 - results.count(True) - results.count(False)} ended otherwise"
             )
             process.kill()
             await process.wait()
@@ -133,9 +154,9 @@
 
 
 async def main() -> None:
-    await door_under_load()
-    for memory, stops in ((192, False), (32, False), (32, True)):
-        await large(memory, stops)
+    await endpoint_under_load()
+    for limit_mb, stalling_readers in ((192, False), (32, False), (32, True)):
+        await large_bodies(limit_mb, stalling_readers)
 
 
 if __name__ == "__main__":
--- a/benchmarks/order_cost.py
+++ b/benchmarks/order_cost.py
@@ -1,7 +1,9 @@
-"""Processor time of one order at the primary and at its backup, on real SQLite files; messages are passed by hand.
+"""CPU time of one order at the primary and its backup, on SQLite files; messages stay within the process.
 
-Prints microseconds an order for a small configuration and for one of 300 KB, and the counts of disk writes.
-Run: python benchmarks/order_cost.py [orders]
+Prints CPU microseconds and disk writes per order, summed over the stores of the group, for a small
+configuration and for one of 300 KB.
+
+    python benchmarks/order_cost.py [ORDERS]
 """
 
 from __future__ import annotations
@@ -20,13 +22,13 @@
 from lupinreach.mesh.store.replica import Replica
 from lupinreach.mesh.store.view import Member, Tolerance
 
-HOSTS = ("a", "b", "c")
-SIZES = {"small": 600, "300 KB": 300_000}
+HOST_NAMES = ("a", "b", "c")
+DOCUMENT_BYTES = {"small": 600, "300 KB": 300_000}
 REPEATS = 5
 
 
-class Counted:
-    """A record that counts its writes."""
+class CountingRecord:
+    """A record on disk that counts its writes."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir()
@@ -42,12 +44,12 @@
 
 
 class Node:
-    """One store; what it sends is delivered at once, encoded and decoded as on a link."""
+    """One store; messages are encoded and decoded as on a link, and delivered by `deliver`."""
 
     def __init__(self, group: dict[str, Node], host: str, folder: Path) -> None:
         self.group, self.host = group, host
-        self.record = Counted(folder / host)
-        self.replica = Replica(self.record, self, host, host, list(HOSTS), True, Tolerance(1))
+        self.record = CountingRecord(folder / host)
+        self.replica = Replica(self.record, self, host, host, list(HOST_NAMES), True, Tolerance(1))
         self.inbox: list[tuple[str, bytes]] = []
 
     def send(self, identity: str, message: Message) -> None:
@@ -63,7 +65,7 @@
 
 
 def deliver(group: dict[str, Node]) -> None:
-    """Until nothing is on its way."""
+    """Delivers messages until all inboxes are empty."""
     while any(node.inbox for node in group.values()):
         for node in group.values():
             while node.inbox:
@@ -71,9 +73,10 @@
                 node.replica.handle(sender, decode(msgpack.unpackb(data)))
 
 
-def founded(folder: Path) -> dict[str, Node]:
+def start_group(folder: Path) -> dict[str, Node]:
+    """A serving group of stores, with the first host as the primary."""
     group: dict[str, Node] = {}
-    for host in HOSTS:
+    for host in HOST_NAMES:
         group[host] = Node(group, host, folder)
     for node in group.values():
         for other in group.values():
@@ -87,9 +90,9 @@
 
 
 def measure(size: int, orders: int) -> tuple[float, float]:
-    """Microseconds and disk writes an order."""
+    """CPU microseconds and disk writes per order."""
     with tempfile.TemporaryDirectory() as folder:
-        group = founded(Path(folder))
+        group = start_group(Path(folder))
         before = sum(node.record.writes for node in group.values())
         began = time.process_time()
         for number in range(1, orders + 1):
@@ -98,18 +101,18 @@
             group["a"].replica.submit(order, results.append)
             deliver(group)
             assert results and not results[0].error
-        spent = time.process_time() - began
+        cpu_s = time.process_time() - began
         writes = sum(node.record.writes for node in group.values()) - before
-        return spent / orders * 1e6, writes / orders
+        return cpu_s / orders * 1e6, writes / orders
 
 
 def main() -> None:
-    """Print the least of some repeats for each size."""
+    """Prints the minimum of `REPEATS` measurements for each size."""
     orders = int(sys.argv[1]) if len(sys.argv) > 1 else 300
-    for name, size in SIZES.items():
-        found = [measure(size, orders) for _ in range(REPEATS)]
-        spent, writes = min(found)
-        print(f"{name:8} {spent:8.0f} us an order, {writes:.2f} disk writes")
+    for name, size in DOCUMENT_BYTES.items():
+        measured = [measure(size, orders) for _ in range(REPEATS)]
+        cpu_s, writes = min(measured)
+        print(f"{name:8} {cpu_s:8.0f} us per order, {writes:.2f} disk writes")
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -1,6 +1,8 @@
-"""Lost, turned-back and doubled API calls over a number of upgrades under steady clients, on loopback.
+"""Lost, retried and duplicated calls over a number of process upgrades, with clients that send continuously.
 
-python benchmarks/upgrades.py [UPGRADES]
+Prints answers by status, requests without an answer, and the most runs of one request id.
+
+    python benchmarks/upgrades.py [UPGRADES]
 """
 
 from __future__ import annotations
@@ -16,6 +18,7 @@
 
 
 async def main(upgrades: int) -> None:
+    """Upgrades the process repeatedly and prints what clients and backends counted."""
     with tempfile.TemporaryDirectory() as folder:
         async with platform(Path(folder)) as site:
             process = await site.start()
@@ -23,8 +26,10 @@
                 process = await site.upgrade(process)
             seen = site.seen
             print(
-                f"{upgrades} upgrades: {sum(seen.answers.values())} answered {dict(seen.answers)}, {seen.lost} lost, "
-                f"{seen.turned_back} turned back unheard, runs of one payment or look at most {max(seen.runs.values())}"
+                f"{upgrades} upgrades: {sum(seen.answers.values())} answered "
+                f"{dict(seen.answers)}, {seen.lost} lost, "
+                f"{seen.turned_back} resent after a closed connection, "
+                f"at most {max(seen.runs.values())} runs of one request id"
             )
 
 
