--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -22,7 +22,7 @@
 
 import click
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.fleet import wire
 from lupinreach.fleet.incarnation import Incarnation
 from lupinreach.fleet.membership import FANOUT, Members
@@ -95,7 +95,7 @@
 
 def table_bytes(agents: int) -> int:
     """Bytes of the tables of members and uptimes of an agent that has heard of all others."""
-    draw = stream(1, "costs").random
+    draw = random_stream(1, "costs").random
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     members, uptimes = Members(0, agents, HEARTBEAT_INTERVAL_MS, draw), Uptimes(0, 20_000.0, draw)
@@ -112,7 +112,7 @@
 
     It is one of `rows` backends, each reported by two agents.
     """
-    draw = stream(agents, "spread").random
+    draw = random_stream(agents, "spread").random
     tables = [Uptimes(n, 60_000.0, draw) for n in range(agents)]
     rows_per_datagram = wire.UPDATE_ROW_BYTES // 2 // wire.UPTIME_ROW.size
     for backend in range(rows):
--- a/benchmarks/random_power_losses.py
+++ b/benchmarks/random_power_losses.py
@@ -15,7 +15,7 @@
 
 import click
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.trial import play, spec
 
 SHARE_INTERVAL_MS = 300.0  # between two updates of shared state
@@ -24,7 +24,7 @@
 
 def draw_trial(number: int, cooperating: bool, processes: bool, share: bool = False) -> dict[str, Any]:
     """The trial of a number, in the format of a trial file."""
-    rng = stream(number, "drawn losses")
+    rng = random_stream(number, "drawn losses")
 
     def uniform(low: float, high: float) -> float:
         return low + (high - low) * float(rng.random())
@@ -117,7 +117,7 @@
         "number": number,
         "verdict": played.verdict,
         "unsure": played.unsure,
-        "breaches": sorted({b.name for b in played.result.breaches}),
+        "breaches": sorted({b.name for b in played.result.violations}),
         "cold_load": round(played.recovery.cold_load, 3),
         "to_draining": played.recovery.to_draining,
         "first_10s": played.recovery.first_10s,
--- a/benchmarks/sharing_value.py
+++ b/benchmarks/sharing_value.py
@@ -74,7 +74,7 @@
         "whole": sum(second.served for second in rows) / sum(second.possible for second in rows),
         "worst": min(window_shares),
         "wasted": sum(second.wasted for second in rows) / max(1, sum(second.shots for second in rows)),
-        "breaches": sorted({b.name for b in played.result.breaches}),
+        "breaches": sorted({b.name for b in played.result.violations}),
     }
 
 
--- a/lupinreach/adapter/wire.py
+++ b/lupinreach/adapter/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire in front of the decision module: its words to ours and back. Nothing here decides."""
+"""Translates between the simulator's JSON line protocol and the decision module. Nothing is decided here."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from typing import Any
 
 from lupinreach.balance import Balancer, Call
-from lupinreach.config import BadConfig, believed, read_settings
+from lupinreach.config import BadConfig, is_plausible_load, read_settings
 from lupinreach.model import AttemptEnd, Listing, ListState, Load, NewCall, UpdateKind
 
-ENDINGS = {
+ATTEMPT_ENDS = {
     "delivered": AttemptEnd.FULFILLED,
     "app_error": AttemptEnd.ERRORED,
     "shed": AttemptEnd.REJECTED,
@@ -23,72 +23,72 @@
     "revoked": AttemptEnd.CANCELLED,
     "unused": AttemptEnd.UNSENT,
 }
-HINTED, REPEATED, WRITES = 1, 2, 4
-MOST_LISTS = 16
-MOST_PEER_BYTES = 256
+COST_HINT_FLAG, RETRY_FLAG, WRITE_FLAG = 1, 2, 4
+MAX_LISTS = 16
+MAX_PEER_MESSAGE_BYTES = 256
 
 
 class BadInput(Exception):
-    """The input is not what the wire's page says; the text names what is wrong."""
+    """The input violates the protocol; the text names the fault."""
 
 
-def _of(words: dict[str, Any], word: Any, what: str) -> Any:
+def _lookup(table: dict[str, Any], name: Any, what: str) -> Any:
     try:
-        return words[word]
+        return table[name]
     except (KeyError, TypeError):
-        raise BadInput(f"unknown {what} {word!r}") from None
+        raise BadInput(f"unknown {what} {name!r}") from None
 
 
 class Instance:
-    """One agent's balancer and the maps from the wire's ids to it; also the balancer's port."""
+    """One agent's balancer with the mapping of the protocol's ids; implements the balancer's port."""
 
     def __init__(self, number: int, actions: list[dict[str, Any]], now: float, raw: Any, seed: int) -> None:
         self._number = number
-        self.actions = actions  # of the reply that is being made
-        self._indices: dict[int, int] = {}  # wire id of a backend -> index; emptied when the instance ends
-        self._ids: list[int] = []
-        self._calls: dict[Hashable, Call] = {}  # each leaves once nothing more can come for it
+        self.actions = actions  # of the current reply
+        self._indices: dict[int, int] = {}  # by backend id of the protocol; grows until the instance ends
+        self._ids: list[int] = []  # backend id of the protocol, by index
+        self._calls: dict[Hashable, Call] = {}  # removed once no more events can refer to them
         settings = read_settings(raw)
-        self._fields = settings.load_fields
+        self._load_fields = settings.load_fields
         self._balancer = Balancer(settings, seed, self)
         self._balancer.start(now)
 
-    # The port: what the module asks for.
+    # The module's port.
 
-    def _act(self, name: str, **fields: Any) -> None:
+    def _add_action(self, name: str, **fields: Any) -> None:
         self.actions.append({"t": name, "i": self._number, **fields})
 
     def send(self, token: Hashable, backend: int, until: float) -> None:
-        self._act("try", tid=token, backend=self._ids[backend], try_until=until)
+        self._add_action("try", tid=token, backend=self._ids[backend], try_until=until)
 
-    def cancel(self, token: Hashable, shot: int) -> None:
-        self._act("undo_send", tid=token, **{"try": shot})
+    def cancel(self, token: Hashable, attempt: int) -> None:
+        self._add_action("undo_send", tid=token, **{"try": attempt})
 
     def rate_limit(self, token: Hashable, retry_after: float) -> None:
-        self._act("busy", tid=token, retry_after=retry_after)
+        self._add_action("busy", tid=token, retry_after=retry_after)
 
     def error(self, token: Hashable) -> None:
-        self._act("surrender", tid=token)
+        self._add_action("surrender", tid=token)
 
     def wake(self, at: float, mark: str) -> None:
-        self._act("wake_at", at=at, mark=mark)
+        self._add_action("wake_at", at=at, mark=mark)
 
     def directory(self, follow: bool) -> None:
         if follow:
-            self._act("track", enable=True)
+            self._add_action("track", enable=True)
         else:
-            self._act("list_all")
+            self._add_action("list_all")
 
     def probe(self, backend: int) -> None:
-        self._act("poll", backend=self._ids[backend])
+        self._add_action("poll", backend=self._ids[backend])
 
     def peers(self, message: bytes) -> None:
-        self._act("tell", dst="*", msg=base64.b64encode(message[:MOST_PEER_BYTES]).decode())
+        self._add_action("tell", dst="*", msg=base64.b64encode(message[:MAX_PEER_MESSAGE_BYTES]).decode())
 
     def log(self, text: str) -> None:
-        self._act("write_log", note_text=text)
+        self._add_action("write_log", note_text=text)
 
-    # The wire's events.
+    # Events of the protocol; `EVENTS` names the handler of each one.
 
     def _index(self, wire_id: int) -> int:
         index = self._indices.get(wire_id)
@@ -98,12 +98,13 @@
         return index
 
     def _load(self, row: list[float] | None) -> Load | None:
-        if not row or not believed(row):
+        if not row or not is_plausible_load(row):
             return None
-        named = zip(self._fields, row, strict=False)
+        named = zip(self._load_fields, row, strict=False)
         return Load(**{k: v for k, v in named if k in Load.__dataclass_fields__})
 
     def req(self, now: float, e: dict[str, Any]) -> None:
+        """A client's API call has arrived."""
         flags = e.get("attrs", 0)
         token = e["tid"]
         call = self._balancer.submit(
@@ -114,20 +115,22 @@
                 until=e["valid_until"],
                 customer=e.get("project", 0),
                 key=e.get("resource"),
-                cost=e.get("cost") if flags & HINTED else None,
-                is_retry=bool(flags & REPEATED),
-                write=bool(flags & WRITES),
+                cost=e.get("cost") if flags & COST_HINT_FLAG else None,
+                is_retry=bool(flags & RETRY_FLAG),
+                write=bool(flags & WRITE_FLAG),
             ),
         )
         if not call.closed:
             self._calls[token] = call
 
     def head_received(self, now: float, e: dict[str, Any]) -> None:
+        """An attempt's answer has begun."""
         call = self._calls.get(e["tid"])
         if call is not None:
             call.on_head(now, e.get("try", 0))
 
     def reply(self, now: float, e: dict[str, Any]) -> None:
+        """An attempt has ended."""
         token = e["tid"]
         call = self._calls.get(token)
         if call is None:
@@ -135,7 +138,7 @@
         call.on_attempt_ended(
             now,
             e.get("try", 0),
-            _of(ENDINGS, e.get("ending"), "ending"),
+            _lookup(ATTEMPT_ENDS, e.get("ending"), "ending"),
             e.get("rtt", 0.0),
             bool(e.get("complete")),
             self._load(e.get("metrics")),
@@ -144,6 +147,7 @@
             del self._calls[token]
 
     def cancelled_by_client(self, now: float, e: dict[str, Any]) -> None:
+        """The client has abandoned its API call."""
         token = e["tid"]
         call = self._calls.get(token)
         if call is not None:
@@ -152,18 +156,21 @@
                 del self._calls[token]
 
     def timer(self, now: float, e: dict[str, Any]) -> None:
+        """A timer of the module has expired."""
         self._balancer.on_timer(now, e.get("mark", ""))
 
     def check_result(self, now: float, e: dict[str, Any]) -> None:
+        """A probe has ended."""
         self._balancer.on_probe(
             now,
             self._index(e["backend"]),
-            _of(ENDINGS, e.get("ending"), "ending"),
+            _lookup(ATTEMPT_ENDS, e.get("ending"), "ending"),
             e.get("rtt", 0.0),
             self._load(e.get("metrics")),
         )
 
     def from_peer(self, now: float, e: dict[str, Any]) -> None:
+        """A message of another agent has arrived."""
         try:
             message = base64.b64decode(e.get("msg", ""), validate=True)
         except (binascii.Error, TypeError, ValueError):
@@ -171,8 +178,9 @@
         self._balancer.on_peer_message(now, e.get("sender", 0), message)
 
     def directory_update(self, now: float, e: dict[str, Any], hosts: list[dict[str, Any]]) -> None:
+        """A backend list, a set of changes or a failed request of the directory has arrived."""
         try:
-            news = UpdateKind(e.get("how", 0))
+            update_kind = UpdateKind(e.get("how", 0))
             entries = [
                 Listing(
                     self._index(h["backend"]),
@@ -187,7 +195,7 @@
             ]
         except ValueError as bad:
             raise BadInput(f"directory_update: {bad}") from None
-        self._balancer.update_backends(now, news, entries)
+        self._balancer.update_backends(now, update_kind, entries)
 
 
 EVENTS: dict[str, Callable[[Instance, float, dict[str, Any]], None]] = {
@@ -202,27 +210,28 @@
 
 
 class Host:
-    """All instances of one process. They share the numbered lists of the wire and nothing else."""
+    """All instances of one process. They share nothing but the protocol's numbered backend lists."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance | None] = {}  # None: its settings were malformed
-        self._lists: dict[int, list[dict[str, Any]]] = {}  # at most MOST_LISTS; a new one replaces the old
+        # By number, at most MAX_LISTS; a new list replaces the old one.
+        self._lists: dict[int, list[dict[str, Any]]] = {}
 
     def batch(self, line: str) -> str:
-        """One line in, one line out."""
+        """Process the events of one input line; returns the reply line."""
         try:
             raw = json.loads(line)
         except ValueError:
             raise BadInput("not JSON") from None
         if not isinstance(raw, dict):
             raise BadInput("a batch must be an object")
-        now, news = raw.get("ts"), raw.get("news")
+        now, events = raw.get("ts"), raw.get("news")
         if isinstance(now, bool) or not isinstance(now, (int, float)):
             raise BadInput("ts is missing or no number")
-        if not isinstance(news, list):
+        if not isinstance(events, list):
             raise BadInput("news is missing or no array")
         actions: list[dict[str, Any]] = []
-        for e in news:
+        for e in events:
             if not isinstance(e, dict):
                 raise BadInput("an event must be an object")
             try:
@@ -263,12 +272,12 @@
             if missing.args and missing.args[0] in ("tid", "valid_until", "backend"):
                 raise
             self._fault(number, name, missing, actions)
-        except Exception as bad:  # whatever breaks in the module is the instance's fault, told to the host
+        except Exception as bad:  # an exception in the module is reported as a bug of the instance
             self._fault(number, name, bad, actions)
 
     def _inventory(self, e: dict[str, Any]) -> None:
         page = e.get("page", 0)
-        if not isinstance(page, int) or not 0 <= page < MOST_LISTS:
+        if not isinstance(page, int) or not 0 <= page < MAX_LISTS:
             raise BadInput(f"inventory: page {page!r} is no list number")
         hosts = e.get("hosts", [])
         if not isinstance(hosts, list) or not all(isinstance(h, dict) for h in hosts):
--- a/lupinreach/config.py
+++ b/lupinreach/config.py
@@ -1,7 +1,7 @@
-"""Settings and agent configuration: the one place where they are read, checked and given their defaults.
+"""Reads and validates the settings and the agent configuration and sets their defaults.
 
-Both fronts read through it. The input keeps the words of its pages; what comes out has ours. Every complaint
-names the faulty key by its whole path. Unknown keys are skipped.
+Used by the agent on sockets and by the simulator's adapter. Input keys are those of the documented formats;
+the result uses the names of `model`. Errors name the faulty key by its full path. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 from lupinreach.model import Customer, DedupScope, Idempotency, Limits, Product, Rules, Settings
 
-KINDS = {
+IDEMPOTENCY_KINDS = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.DEDUPLICATED,
     "once": Idempotency.NON_IDEMPOTENT,
 }
-GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
-LOADS = {
+DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
+LOAD_FIELDS = {
     "outstanding": "in_flight",
     "backlog": "waiting",
     "utilization": "busy",
@@ -28,34 +28,33 @@
     "throughput": "calls_per_s",
     "errors_per_s": "errors_per_s",
 }
-WEIGHTS = {"off": False, "nominal": False, "rough": False, "live": True}  # if they move with what is held
-MOST_REPORTED = 1e5  # of anything in a load report: more than one address has ports for
-MOST_CONFIG_BYTES = 16 << 20
-LEAST_MEMORY = 32  # MB
-CARRY_AGE = 60.0  # s
-BEAT, ASK = (
-    1000.0,
-    300.0,
-)  # ms between two words of an agent to the fleet, and for which one that stands up asks it
-FEWEST_SOCKETS = 32  # below it there is no room for a client, a backend and the agent's own
+# If the listed sizes fall with the load.
+WEIGHT_KINDS = {"off": False, "nominal": False, "rough": False, "live": True}
+MAX_LOAD_VALUE = 1e5  # limit of each value of a load report; exceeds the number of ports of an address
+MAX_CONFIG_BYTES = 16 << 20
+MIN_MEMORY_MB = 32
+DEFAULT_CARRY_AGE_S = 60.0
+# Interval of an agent's messages to the fleet; how long a starting agent queries the fleet.
+FLEET_HEARTBEAT_MS, FLEET_QUERY_TIMEOUT_MS = 1000.0, 300.0
+MIN_SOCKETS = 32  # fewer do not suffice for the agent's own descriptors, a client and a backend
 
-NEEDED: Any = object()  # in place of a default: the key must be there
+REQUIRED: Any = object()  # passed as default: the key is required
 
 
 class BadConfig(ValueError):
-    """The input can't be used; the text names the key."""
+    """The input is invalid; the text names the key."""
 
 
-def believed(figures: Iterable[Any]) -> bool:
-    """If a load report's figures are such as a backend can have.
+def is_plausible_load(load_values: Iterable[Any]) -> bool:
+    """If all values of a load report are possible.
 
-    Guards against one that no backend can have, which would rest it for good and spoil the mean.
+    An impossible value would keep the backend from being used and distort the mean over all backends.
     """
-    return all(type(f) in (int, float) and 0 <= f <= MOST_REPORTED for f in figures)
+    return all(type(f) in (int, float) and 0 <= f <= MAX_LOAD_VALUE for f in load_values)
 
 
 class Section:
-    """One object of the input, read key by key."""
+    """One object of the input; each method reads a key, checks its type and range and raises BadConfig."""
 
     def __init__(self, raw: Any, path: str = "") -> None:
         if not isinstance(raw, dict):
@@ -64,15 +63,17 @@
         self._path = path
 
     def at(self, key: str) -> str:
+        """The full path of a key."""
         return f"{self._path}.{key}" if self._path else key
 
     def _get(self, key: str, default: Any) -> Any:
         value = self._raw.get(key)
-        if value is None and default is NEEDED:
+        if value is None and default is REQUIRED:
             raise BadConfig(f"{self.at(key)}: missing")
         return value
 
-    def number(self, key: str, default: float = NEEDED, low: float = 0.0, high: float = inf) -> float:
+    def number(self, key: str, default: float = REQUIRED, low: float = 0.0, high: float = inf) -> float:
+        """A finite number in a range."""
         value = self._get(key, default)
         if value is None:
             return default
@@ -82,10 +83,12 @@
             raise BadConfig(f"{self.at(key)}: {value!r} is out of range")
         return float(value)
 
-    def whole(self, key: str, default: int = NEEDED, low: int = 0, high: float = inf) -> int:
+    def whole(self, key: str, default: int = REQUIRED, low: int = 0, high: float = inf) -> int:
+        """An integer; fractions are cut off."""
         return int(self.number(key, default, low, high))
 
     def flag(self, key: str, default: bool = False) -> bool:
+        """True or false."""
         value = self._get(key, default)
         if value is None:
             return default
@@ -93,7 +96,8 @@
             raise BadConfig(f"{self.at(key)}: {value!r} is neither true nor false")
         return bool(value)
 
-    def text(self, key: str, default: str = NEEDED) -> str:
+    def text(self, key: str, default: str = REQUIRED) -> str:
+        """A string."""
         value = self._get(key, default)
         if value is None:
             return default
@@ -101,25 +105,30 @@
             raise BadConfig(f"{self.at(key)}: {value!r} is no text")
         return value
 
-    def choice(self, key: str, words: Mapping[str, Any], default: str = NEEDED) -> Any:
+    def choice(self, key: str, choices: Mapping[str, Any], default: str = REQUIRED) -> Any:
+        """The value that one of the given strings stands for."""
         value = self.text(key, default)
-        if value not in words:
-            raise BadConfig(f"{self.at(key)}: unknown {value!r}; known are {', '.join(words)}")
-        return words[value]
+        if value not in choices:
+            raise BadConfig(f"{self.at(key)}: unknown {value!r}; known are {', '.join(choices)}")
+        return choices[value]
 
-    def address(self, key: str, default: str = NEEDED) -> Address:
+    def address(self, key: str, default: str = REQUIRED) -> Address:
+        """A `host:port`."""
         return _address(self.text(key, default), self.at(key))
 
     def mapping(self, key: str, default: Any = None) -> dict[str, Any]:
+        """An object as it is; empty if missing."""
         value = self._get(key, default)
         if not isinstance(value, (dict, type(None))):
             raise BadConfig(f"{self.at(key)}: must be an object")
         return value or {}
 
     def section(self, key: str) -> Section:
+        """An object as a section; empty if missing."""
         return Section(self.mapping(key), self.at(key))
 
     def items(self, key: str, default: Any = ()) -> list[Any]:
+        """An array as it is."""
         value = self._get(key, default)
         if value is None:
             return list(default)
@@ -128,9 +137,11 @@
         return value
 
     def sections(self, key: str, default: Any = ()) -> list[Section]:
+        """An array of objects."""
         return [Section(raw, f"{self.at(key)}[{i}]") for i, raw in enumerate(self.items(key, default))]
 
     def texts(self, key: str) -> list[str]:
+        """An array of strings."""
         values = self.items(key)
         for i, value in enumerate(values):
             if not isinstance(value, str):
@@ -155,10 +166,10 @@
 
 
 def read_settings(raw: Any, path: str = "") -> Settings:
-    """The settings in our words; absent keys get their default."""
+    """Read the settings; absent keys get their default. Raises BadConfig."""
     top = Section(raw, path)
     limits, rules, report = top.section("ceilings"), top.section("invariants"), top.section("report")
-    products = tuple(_product(p) for p in top.sections("categories", NEEDED))
+    products = tuple(_product(p) for p in top.sections("categories", REQUIRED))
     if not products:
         raise BadConfig(f"{top.at('categories')}: empty")
     return Settings(
@@ -194,8 +205,8 @@
         must_ask=top.text("discovery", "pushed") == "on_request",
         over_share_value=top.number("over_share_worth", 1.0),
         value_by_work=top.text("counted_by", "request") == "work",
-        live_weights=top.choice("weight_kind", WEIGHTS, "nominal"),
-        load_fields=tuple(LOADS.get(f, f) for f in report.texts("fields")),
+        live_weights=top.choice("weight_kind", WEIGHT_KINDS, "nominal"),
+        load_fields=tuple(LOAD_FIELDS.get(f, f) for f in report.texts("fields")),
         load_on_answers=report.text("how", "off") == "inline",
         warm_keys=top.section("family_info").flag("warm_keys"),
         step=top.number("step", 0.0) or 1.0,
@@ -208,8 +219,8 @@
         slo=raw.number("aim", 0.0),
         timeout=raw.number("give_up"),
         billed_value=raw.number("credit", 1.0),
-        kind=raw.choice("semantics", KINDS, "once"),
-        group=raw.choice("group", GROUPS, "all"),
+        kind=raw.choice("semantics", IDEMPOTENCY_KINDS, "once"),
+        group=raw.choice("group", DEDUP_SCOPES, "all"),
         memory=raw.number("memory_span", 0.0),
         late_value=raw.number("late_worth", 0.0),
         slo_stretch=raw.number("aim_stretch", 0.0),
@@ -219,18 +230,18 @@
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """How agents of one fleet keep in touch, in ms."""
+    """Intervals of the messages between the agents of a fleet, in ms."""
 
-    beat: float
-    ask: float
-    share: float = 0.0  # between two words of what is shared; 0: nothing is
+    beat: float  # between two heartbeats
+    ask: float  # how long a starting agent queries the others
+    share: float = 0.0  # between two messages with shared state; 0: no state is shared
 
 
 def _fleet(top: Section, settings: Settings) -> FleetConfig | None:
-    """Off without its key; with it, what it can't be without has to be there."""
+    """The fleet mode, None without its key; checks that everything it requires is configured."""
     if top._get("fleet", None) is None:
         return None
-    own = top.section("fleet")
+    fleet_section = top.section("fleet")
     if _store(top) is None:
         raise BadConfig("fleet: needs store.file")
     if not settings.limits.peers:
@@ -244,14 +255,14 @@
     if settings.me >= settings.agents:
         raise BadConfig(f"settings.me: {settings.me} is out of range")
     return FleetConfig(
-        own.number("beat_ms", BEAT, low=50.0, high=60_000.0),
-        own.number("ask_ms", ASK, low=10.0, high=10_000.0),
-        own.number("share_ms", 0.0, high=60_000.0),
+        fleet_section.number("beat_ms", FLEET_HEARTBEAT_MS, low=50.0, high=60_000.0),
+        fleet_section.number("ask_ms", FLEET_QUERY_TIMEOUT_MS, low=10.0, high=10_000.0),
+        fleet_section.number("share_ms", 0.0, high=60_000.0),
     )
 
 
 def _store(top: Section) -> str | None:
-    """The one file; `carry` and `store` may both name it, but not two."""
+    """The path of the agent's single file; `carry` and `store` must not name different ones."""
     carried = top.section("carry").text("file") if top.mapping("carry") else None
     stored = top.section("store").text("file") if top.mapping("store") else None
     if carried and stored and carried != stored:
@@ -259,8 +270,8 @@
     return stored or carried
 
 
-def _ran(top: Section, settings: Settings) -> bool:
-    """If ids of what may have run are synced before it does."""
+def _persists_ids(top: Section, settings: Settings) -> bool:
+    """If ids of non-idempotent API calls are synced to disk before the calls may run."""
     if not top.mapping("store") or not top.section("store").flag("ran"):
         return False
     if not any(p.kind is Idempotency.NON_IDEMPOTENT for p in settings.products):
@@ -270,46 +281,46 @@
 
 @dataclass(frozen=True)
 class AgentConfig:
-    """What one agent on sockets is told at its start."""
+    """The configuration of an agent on sockets."""
 
     name: str
     listen: Address
     directory: Address
     seed: int
-    sockets: int  # descriptors that the process may hold
-    memory: int  # bytes that it may hold
+    sockets: int  # limit of the process's descriptors
+    memory: int  # memory limit of the process in bytes
     peer_listen: Address | None
-    peers: tuple[Address, ...]  # by the agents' numbers, this one's own among them
+    peers: tuple[Address, ...]  # in the order of the agents' numbers, including this agent
     peers_all: Address | None
-    known: dict[str, Any]  # the list of backends as this agent last had it, in the directory's form
+    known: dict[str, Any]  # the backend list that this agent last had, in the directory's format
     settings: Settings
-    mgmt: Address | None = None  # where operators connect; None: nowhere
-    store: str | None = None  # file of what goes from one process to the next; None: by none
-    carry_age: float | None = None  # ms; what is older starts nobody. None: no clock is asked
-    fleet: FleetConfig | None = None  # None: the agent is alone
-    ran: bool = False  # ids of non-idempotent API calls outlive the process
-    inherited: int | None = None  # the descriptor on which clients connect, already listening; None: `listen`
+    mgmt: Address | None = None  # the operators' port; None: there is none
+    store: str | None = None  # file of the state that outlives the process; None: no state does
+    carry_age: float | None = None  # ms; older state is not used at a start. None: no limit
+    fleet: FleetConfig | None = None  # None: no fleet mode
+    ran: bool = False  # ids of non-idempotent API calls are made durable
+    inherited: int | None = None  # a listening descriptor passed to the process; None: bind `listen`
 
 
-def read_agent(environment: Mapping[str, str], again: bool = False) -> AgentConfig:
-    """The agent's configuration: the file that PROXY_CONFIG names; the other variables go before its keys.
+def read_agent(environment: Mapping[str, str], reload: bool = False) -> AgentConfig:
+    """Read the agent's configuration from the file in PROXY_CONFIG; other variables override its keys.
 
-    Read again, the file's keys go first: the variables are those of the start and can't have changed.
+    On a reload the file's keys take precedence, since the variables are still those of the start.
     """
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise BadConfig("PROXY_CONFIG: missing")
     try:
         with open(path, "rb") as file:
-            raw = json.loads(file.read(MOST_CONFIG_BYTES))
-    except OSError as bad:
-        raise BadConfig(f"PROXY_CONFIG: {path}: {bad.strerror}") from None
-    except ValueError as bad:
-        raise BadConfig(f"PROXY_CONFIG: {path} is no JSON: {bad}") from None
+            raw = json.loads(file.read(MAX_CONFIG_BYTES))
+    except OSError as error:
+        raise BadConfig(f"PROXY_CONFIG: {path}: {error.strerror}") from None
+    except ValueError as error:
+        raise BadConfig(f"PROXY_CONFIG: {path} is no JSON: {error}") from None
     top = Section(raw)
 
-    def told(variable: str, key: str) -> Address:
-        if variable in environment and not (again and top.text(key, "")):
+    def overridable_address(variable: str, key: str) -> Address:
+        if variable in environment and not (reload and top.text(key, "")):
             return _address(environment[variable], variable)
         return top.address(key)
 
@@ -320,22 +331,24 @@
         raise BadConfig(f"seed: {seed!r} is no hexadecimal number") from None
     return AgentConfig(
         name=environment.get("PROXY_NAME") or top.text("name"),
-        listen=told("PROXY_LISTEN", "listen"),
+        listen=overridable_address("PROXY_LISTEN", "listen"),
         inherited=_descriptor(environment["PROXY_FD"]) if "PROXY_FD" in environment else None,
-        mgmt=told("PROXY_MGMT", "mgmt") if "PROXY_MGMT" in environment or top.text("mgmt", "") else None,
-        directory=told("PROXY_DISCOVERY", "discovery"),
+        mgmt=overridable_address("PROXY_MGMT", "mgmt")
+        if "PROXY_MGMT" in environment or top.text("mgmt", "")
+        else None,
+        directory=overridable_address("PROXY_DISCOVERY", "discovery"),
         seed=number,
-        sockets=top.section("limits").whole("sockets", 1024, low=FEWEST_SOCKETS),
-        memory=top.section("limits").whole("memory_mb", 192, low=LEAST_MEMORY) << 20,
+        sockets=top.section("limits").whole("sockets", 1024, low=MIN_SOCKETS),
+        memory=top.section("limits").whole("memory_mb", 192, low=MIN_MEMORY_MB) << 20,
         peer_listen=top.address("peer_listen") if top.text("peer_listen", "") else None,
         peers=tuple(_address(text, f"peers[{i}]") for i, text in enumerate(top.texts("peers"))),
         peers_all=top.address("peers_all") if top.text("peers_all", "") else None,
         known=top.mapping("known"),
         store=_store(top),
-        carry_age=1000 * top.section("carry").number("most_age_s", CARRY_AGE, low=1.0)
+        carry_age=1000 * top.section("carry").number("most_age_s", DEFAULT_CARRY_AGE_S, low=1.0)
         if top.mapping("carry")
         else None,
-        settings=(settings := read_settings(top.mapping("settings", NEEDED), "settings")),
+        settings=(settings := read_settings(top.mapping("settings", REQUIRED), "settings")),
         fleet=_fleet(top, settings),
-        ran=_ran(top, settings),
+        ran=_persists_ids(top, settings),
     )
--- a/lupinreach/http1/message.py
+++ b/lupinreach/http1/message.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 MAX_HEAD_BYTES = 16 << 10
 MAX_CHUNK_LINE_BYTES = 128
@@ -91,17 +91,17 @@
 def parse_head(buffer: bytearray | bytes, start: int, end: int, is_response: bool) -> Head | None:
     """Parse the head that begins at `start`; None while it is incomplete.
 
-    Raises `Ended` for a malformed or oversized head.
+    Raises `ConnectionEnded` for a malformed or oversized head.
     """
     head_end = buffer.find(b"\r\n\r\n", start, end)
     if head_end < 0 or head_end - start > MAX_HEAD_BYTES:
         if end - start > MAX_HEAD_BYTES:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         return None
     view = memoryview(buffer)
     start_line = (STATUS_LINE if is_response else REQUEST_LINE).match(buffer, start, head_end + 2)
     if not start_line:
-        raise Ended(End.MALFORMED)
+        raise ConnectionEnded(ConnectionEnd.MALFORMED)
     headers: dict[bytes, bytes] = {}
     lines: list[tuple[bytes, Slice]] = []
     lengths, codings, connection_tokens = [], [], b""
@@ -122,13 +122,13 @@
                 connection_tokens += b"," + value.lower()
         at = end
     if at != head_end + 2:
-        raise Ended(End.MALFORMED)
+        raise ConnectionEnded(ConnectionEnd.MALFORMED)
     # Guards against request smuggling: a message whose end two parsers would place differently.
     minor = start_line[1] if is_response else start_line[3]
     if len(lengths) > 1 or (codings and (lengths or codings != [b"chunked"] or minor == b"0")):
-        raise Ended(End.MALFORMED)
+        raise ConnectionEnded(ConnectionEnd.MALFORMED)
     if lengths and not CONTENT_LENGTH.fullmatch(lengths[0]):
-        raise Ended(End.MALFORMED)
+        raise ConnectionEnded(ConnectionEnd.MALFORMED)
     options = (
         frozenset(o.strip() for o in connection_tokens.split(b","))
         if connection_tokens
@@ -175,29 +175,29 @@
             size = line.find(b"\n") + 1
             if not size:
                 if len(line) == MAX_CHUNK_LINE_BYTES:
-                    raise Ended(End.MALFORMED)
+                    raise ConnectionEnded(ConnectionEnd.MALFORMED)
                 break
             at += size
             self._framing_excess += size
             if self._bound_framing and self._framing_excess > MAX_HEAD_BYTES:
                 # Guards against endless trailers and chunk extensions.
-                raise Ended(End.TOO_LARGE)
+                raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
             self._line(line[:size])
         return pieces, at
 
     def _line(self, line: bytes) -> None:
         if self._expects_crlf:
             if line != b"\r\n":
-                raise Ended(End.MALFORMED)
+                raise ConnectionEnded(ConnectionEnd.MALFORMED)
             self._expects_crlf = False
         elif self._in_trailer:
             self.done = line == b"\r\n"
             if not self.done and not HEADER_LINE.fullmatch(line):
-                raise Ended(End.MALFORMED)
+                raise ConnectionEnded(ConnectionEnd.MALFORMED)
         else:
             chunk = CHUNK_SIZE_LINE.fullmatch(line)
             if not chunk:
-                raise Ended(End.MALFORMED)
+                raise ConnectionEnded(ConnectionEnd.MALFORMED)
             self._chunk_left = int(chunk[1], 16)
             self._in_trailer = not self._chunk_left
             if self._in_trailer:
--- a/lupinreach/mesh/reader.py
+++ b/lupinreach/mesh/reader.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from lupinreach.http1.message import ChunkedDecoder, Head, parse_head
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 
 NO_BODY_STATUSES = frozenset({204, 304})
 
@@ -19,7 +19,7 @@
 
 
 class MessageReader:
-    """Turns received bytes into complete messages. Raises `Ended` for a malformed or oversized message."""
+    """Turns received bytes into complete messages. Raises `ConnectionEnded` for invalid or oversized ones."""
 
     def __init__(self, responses: bool, body_limit: int) -> None:
         self.body_limit = body_limit
@@ -72,7 +72,7 @@
         self._chunked_decoder = ChunkedDecoder() if head.chunked else None
         self._length = self._body_length(head)
         if self._length is not None and self._length > self.body_limit:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         return True
 
     def _body_length(self, head: Head) -> int | None:
@@ -100,7 +100,7 @@
             self._size += len(piece)
             done = self._size == self._length
         if self._size > self.body_limit:
-            raise Ended(End.TOO_LARGE)
+            raise ConnectionEnded(ConnectionEnd.TOO_LARGE)
         return self._take_message() if done else None
 
     def _take_message(self) -> CompleteMessage:
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -1,4 +1,4 @@
-"""What the parts that serve API calls share: the agent's own state, and the other parts they go through."""
+"""State and components shared by the parts that serve API calls."""
 
 from __future__ import annotations
 
@@ -7,35 +7,36 @@
 
 from lupinreach.balance import Balancer
 from lupinreach.model import Settings
+from lupinreach.net.body_memory import BodyMemory
 from lupinreach.net.clock import Clock
 from lupinreach.net.counters import Counters
 from lupinreach.net.directory import Directory
-from lupinreach.net.ids import Ids, Remembered
-from lupinreach.net.kept import Kept
+from lupinreach.net.ids import IdPersistence, Ids
 from lupinreach.net.pool import Pool
-from lupinreach.net.standing import Standing
+from lupinreach.net.readiness import Readiness
 from lupinreach.net.tasks import Tasks
 
 
 @dataclass
 class Serving:
-    """Lives as long as the process. A second front gets the same one."""
+    """One instance per process; a second listener would share it."""
 
     settings: Settings
     clock: Clock
     counters: Counters
     tasks: Tasks
-    standing: Standing
+    standing: Readiness
     pool: Pool
     directory: Directory
     balancer: Balancer
-    kept: Kept
+    body_memory: BodyMemory
     ids: Ids = field(default_factory=Ids)
-    # Where ids of what may have run outlive the process: awaited before the module has a non-idempotent API call.
-    remember: Callable[[bytes], Awaitable[Remembered]] | None = None
+    # Makes the id of a non-idempotent API call durable; awaited before the module gets the call. None: ids do
+    # not outlive the process.
+    persist_id: Callable[[bytes], Awaitable[IdPersistence]] | None = None
 
-    # Where agents share what customers ask: hears the customer of each API call that is taken.
-    took: Callable[[int], None] | None = None
+    # Called with the customer of each accepted API call, where agents share the demand of customers.
+    on_call_accepted: Callable[[int], None] | None = None
 
     def __post_init__(self) -> None:
         self.products = {p.name.encode(): (i, p) for i, p in enumerate(self.settings.products)}
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -130,8 +130,12 @@
             agent.tasks.spawn("sharing", self.sharing.run())
         store.put("life", self.own.incarnation.number)
         self._store_heartbeat()
-        agent.hears, agent.sees, agent.tells = self.on_datagram, self.apply_list, self.metrics
-        agent.directory.older = self.is_older_list
+        agent.fleet_datagram_handler, agent.revise_listings, agent.fleet_report = (
+            self.on_datagram,
+            self.apply_list,
+            self.metrics,
+        )
+        agent.directory.is_stale_version = self.is_older_list
         agent.standing.returning = not self.startup.ready
 
     def _draw(self) -> float:
--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -14,7 +14,7 @@
 from lupinreach.net import http
 from lupinreach.net.agent import Agent
 from lupinreach.net.channel import Channel
-from lupinreach.net.ends import End, Ended
+from lupinreach.net.connection_end import ConnectionEnd, ConnectionEnded
 from lupinreach.net.sockets import Sockets
 from lupinreach.ops import metrics
 
@@ -145,10 +145,10 @@
                 await http.read_body(channel, head, MAX_BODY_BYTES)
         except TimeoutError:
             return Response(408, "the call did not come whole in time")
-        except Ended as error:
-            if error.end is End.TOO_LARGE:
+        except ConnectionEnded as error:
+            if error.end is ConnectionEnd.TOO_LARGE:
                 return Response(413, "the call is too large")
-            return Response(400, "the call can't be read") if error.end is End.MALFORMED else None
+            return Response(400, "the call can't be read") if error.end is ConnectionEnd.MALFORMED else None
         method, target, _ = head.start_line
         path = target.partition(b"?")[0]
         if path not in self._routes:
@@ -161,7 +161,9 @@
     def _ready(self) -> Response:
         standing = self._agent.standing
         return (
-            Response(200, "yes") if standing.takes_clients else Response(503, f"no: {standing.state.value}")
+            Response(200, "yes")
+            if standing.serves_new_clients
+            else Response(503, f"no: {standing.state.value}")
         )
 
     def _vars(self) -> Response:
@@ -171,7 +173,10 @@
             products, agent.counters, agent.directory.listed, agent.balancer.avoided_count(agent.clock.now())
         )
         return Response(
-            200, payload=metrics_report if agent.tells is None else metrics_report | {"fleet": agent.tells()}
+            200,
+            payload=metrics_report
+            if agent.fleet_report is None
+            else metrics_report | {"fleet": agent.fleet_report()},
         )
 
     def _drain(self, on: bool) -> Response:
--- a/lupinreach/ops/request_journal.py
+++ b/lupinreach/ops/request_journal.py
@@ -19,7 +19,7 @@
 
 from lupinreach.model import Idempotency
 from lupinreach.net.agent import Agent
-from lupinreach.net.ids import Remembered
+from lupinreach.net.ids import IdPersistence
 from lupinreach.store import trust
 from lupinreach.store.records import FileContents
 from lupinreach.store.store import Store
@@ -46,7 +46,7 @@
         self._slow_sync: asyncio.Task[bool] | None = None  # a sync that exceeded its timeout
         self.on_recorded: Callable[[], None] = lambda: None  # called for each recorded id
         if timeouts:
-            agent.serving.remember = self.record
+            agent.serving.persist_id = self.record
         # A repeated request arrives within a client timeout, so an unreliable disk is in doubt for as long:
         # one that was truncated or is another agent's. In a fleet every disk is, until peers were asked,
         # since an older copy looks valid.
@@ -64,20 +64,20 @@
         if not (store_outdated or self._store_damaged):
             self._in_doubt_until = 0.0
 
-    async def record(self, request_id: bytes) -> Remembered:
+    async def record(self, request_id: bytes) -> IdPersistence:
         """Records durably that this API call may run from now on."""
         counters = self._agent.counters.others
         if self._agent.clock.now() < self._in_doubt_until:
             counters["ran: errored, the disk can't tell"] += 1
-            return Remembered.UNSURE
+            return IdPersistence.OUTCOME_UNKNOWN
         if self._slow_sync is not None and not self._slow_sync.done():
             counters["ran: refused, the disk hangs"] += 1
-            return Remembered.NOT_NOW
+            return IdPersistence.UNAVAILABLE
         self._slow_sync = None
         key = KEY_PREFIX + request_id.decode("latin-1")
         if not self._store.put(key, 1):
             counters["ran: refused, no room"] += 1
-            return Remembered.NOT_NOW
+            return IdPersistence.UNAVAILABLE
         self._current.append(key)
         self.on_recorded()
         sync = self._agent.tasks.spawn("ran", self._store.flush())
@@ -85,9 +85,9 @@
         if not (await asyncio.wait({sync}, timeout=self._sync_timeout_s))[0]:
             self._slow_sync = sync
             counters["ran: refused, the disk hangs"] += 1
-            return Remembered.NOT_NOW
+            return IdPersistence.UNAVAILABLE
         counters["ran: kept" if sync.result() else "ran: not kept"] += 1
-        return Remembered.KEPT
+        return IdPersistence.PERSISTED
 
     async def run(self) -> None:
         """Removes old ids, period by period; the removal is written with the next sync."""
--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -10,9 +10,16 @@
 import click
 from rich.table import Table
 
-from lupinreach.bed.commands.cli import BROKEN, KEPT, MOST_TOLD, bad, lupinreach, told
+from lupinreach.bed.commands.cli import (
+    EXIT_BROKEN,
+    EXIT_KEPT,
+    MAX_PRINTED_VIOLATIONS,
+    exit_with_usage_error,
+    lupinreach,
+    stderr_console,
+)
 from lupinreach.bed.ways.policies import POLICIES
-from lupinreach.bed.ways.stopping import STOPPED
+from lupinreach.bed.ways.stopping import EXIT_STOPPED
 from lupinreach.config import BadConfig, read_agent
 from lupinreach.trial import play, spec
 from lupinreach.trial.play import Played
@@ -26,7 +33,7 @@
     try:
         found = spec.read_file(file)
     except BadConfig as wrong:
-        bad(wrong)
+        exit_with_usage_error(wrong)
     world = replace(
         found.world,
         seeds=seed or found.world.seeds,
@@ -37,7 +44,7 @@
         from lupinreach.trial.rig.stage import fits
 
         if why := fits(world):
-            bad(why)
+            exit_with_usage_error(why)
     return replace(found, world=world)
 
 
@@ -53,11 +60,11 @@
             found = spec.read_file(file)
             world = found.world
             print(
-                f"{file}: good; world {world.name}, {world.agents} agents, {world.fleet} backends, "
+                f"{file}: good; world {world.name}, {world.agents} agents, {world.backend_count} backends, "
                 f"{len(world.troubles)} troubles"
             )
     except BadConfig as wrong:
-        bad(wrong)
+        exit_with_usage_error(wrong)
 
 
 @lupinreach.group()
@@ -100,26 +107,28 @@
 
     def done(p: Played) -> None:
         played.append(p)
-        told.print(_line(p) + (" (stopped)" if p.stopped else ""), markup=False)
+        stderr_console.print(_line(p) + (" (stopped)" if p.stopped else ""), markup=False)
 
     stopped = False
     try:
         play.run_many([(one, s) for s in one.world.seeds], jobs, done)
     except KeyboardInterrupt:
         stopped = True
-        told.print(f"stopped after {len(played)} of {len(one.world.seeds)} runs")
+        stderr_console.print(f"stopped after {len(played)} of {len(one.world.seeds)} runs")
     for p in played:
-        for b in p.result.breaches[:MOST_TOLD]:
-            told.print(f"seed {p.result.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False)
+        for b in p.result.violations[:MAX_PRINTED_VIOLATIONS]:
+            stderr_console.print(
+                f"seed {p.result.seed} at {b.at:.0f} ms: {b.rule}: {b.name}: {b.what}", markup=False
+            )
         for line in p.missed:
-            told.print(f"seed {p.result.seed}: {line}", markup=False)
+            stderr_console.print(f"seed {p.result.seed}: {line}", markup=False)
     if not played:
         print(
             json.dumps(
                 {"trial": one.world.name, "verdict": "stopped" if stopped else play.UNSURE, "seeds": []}
             )
         )
-        sys.exit(STOPPED if stopped else UNSURE)
+        sys.exit(EXIT_STOPPED if stopped else UNSURE)
     if out:
         rows = [
             {
@@ -129,7 +138,7 @@
                 "missed": p.missed,
                 "seconds": [vars(s) for s in p.seconds],
                 "rig": p.rig,
-                "breaches": [vars(b) for b in p.result.breaches],
+                "breaches": [vars(b) for b in p.result.violations],
             }
             for p in played
         ]
@@ -137,14 +146,14 @@
     if report:
         from lupinreach.trial.report import write
 
-        told.print(f"report: {write(Path(report), one, played)}")
+        stderr_console.print(f"report: {write(Path(report), one, played)}")
     found = play.summary(one, played)
     print(json.dumps(found | ({"stopped": True} if stopped else {})))
     if stopped:
-        sys.exit(STOPPED)
+        sys.exit(EXIT_STOPPED)
     if found["verdict"] == play.UNSURE:
         sys.exit(UNSURE)
-    sys.exit(KEPT if found["verdict"] == play.KEPT and found["as_expected"] else BROKEN)
+    sys.exit(EXIT_KEPT if found["verdict"] == play.KEPT and found["as_expected"] else EXIT_BROKEN)
 
 
 @trial.command()
@@ -169,7 +178,7 @@
             f"{total['cold_load']:.2f}",
             total["verdict"],
         )
-    told.print(table)
+    stderr_console.print(table)
     keep = ("verdict", "first_10s", "first_20s", "whole", "back_after_s", "cold_load", "service")
     print(
         json.dumps(
@@ -180,7 +189,7 @@
             }
         )
     )
-    sys.exit(KEPT if lines[one.world.policy]["verdict"] == play.KEPT else BROKEN)
+    sys.exit(EXIT_KEPT if lines[one.world.policy]["verdict"] == play.KEPT else EXIT_BROKEN)
 
 
 @trial.command()
@@ -229,9 +238,9 @@
     try:
         book = Book(Path(file), seed)
     except NoBook as wrong:
-        bad(BadConfig(str(wrong)))
+        exit_with_usage_error(BadConfig(str(wrong)))
     one = hunt.Campaign(
-        book, seed, 0.0 if plain else hunt.GUIDED, lambda text: told.print(text, markup=False)
+        book, seed, 0.0 if plain else hunt.GUIDED, lambda text: stderr_console.print(text, markup=False)
     )
     stopped = False
     try:
@@ -243,11 +252,11 @@
     except KeyboardInterrupt:
         stopped = True
     if report:
-        told.print(f"report: {page.write(Path(report), book)}")
+        stderr_console.print(f"report: {page.write(Path(report), book)}")
     found = page.summary(book)
     print(json.dumps(found | ({"stopped": True} if stopped else {})))
     broken = found["broken"] or found["passed"] or found["broken_with_processes"]
-    sys.exit(STOPPED if stopped else BROKEN if broken else KEPT)
+    sys.exit(EXIT_STOPPED if stopped else EXIT_BROKEN if broken else EXIT_KEPT)
 
 
 def _line(p: Played) -> str:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -10,7 +10,7 @@
 
 from lupinreach.net.agent import Agent
 from lupinreach.net.counters import Counters, Outcome
-from lupinreach.net.standing import SETTLES, Standing, State
+from lupinreach.net.readiness import DRAIN_SETTLE_MS, Readiness, State
 from lupinreach.ops import metrics
 from lupinreach.ops.operator_endpoint import MAX_CONNECTIONS, OperatorEndpoint
 
@@ -62,7 +62,7 @@
         "stop": lambda s: setattr(s, "stopping", True),
     }
     for order in itertools.product(events, repeat=4):
-        standing, listed, drained, stopping = Standing(), False, None, False
+        standing, listed, drained, stopping = Readiness(), False, None, False
         for name in order:
             events[name](standing)
             listed, stopping = listed or name == "listed", stopping or name == "stop"
@@ -81,13 +81,13 @@
             )
             assert standing.state is expected
             assert standing.ready == (expected is State.SERVING)
-            assert standing.parting == (stopping or drained is not None)
-            assert not standing.takes_clients
+            assert standing.closes_after_answer == (stopping or drained is not None)
+            assert not standing.serves_new_clients
             standing.accepting = True
-            assert standing.takes_clients == (listed and not stopping)
+            assert standing.serves_new_clients == (listed and not stopping)
             standing.accepting = False
             for late in (-1.0, 0.0):
-                assert standing.closes_idle((drained or 0.0) + SETTLES + late) == (
+                assert standing.closes_idle((drained or 0.0) + DRAIN_SETTLE_MS + late) == (
                     expected is State.DRAINED and late == 0.0
                 )
 
@@ -164,7 +164,8 @@
         async with Operated(target("s-1", "127.0.0.1:9"), **settings) as site:
             clients = [await site.client() for _ in range(30)]
             while (
-                site.agent.listener.clients and len(site.agent.listener.clients) < site.agent.listener.served
+                site.agent.listener.clients
+                and len(site.agent.listener.clients) < site.agent.listener.max_served
             ):
                 await asyncio.sleep(0)
             assert (await site.call(b"GET", b"/_ready"))[0] == 200
@@ -214,9 +215,9 @@
 
 def test_report_names_every_product_and_counts_at_most_the_listed_backends_as_avoided():
     counters = Counters()
-    counters.told("fulfilled", "a")
-    counters.told("left", "a")
-    counters.told("no room", None)
+    counters.count_answer("fulfilled", "a")
+    counters.count_answer("left", "a")
+    counters.count_answer("no room", None)
     report = metrics.report(["a", "b"], counters, 2, 3)
     assert report == {
         "success": {"a": 1, "b": 0},
@@ -267,7 +268,7 @@
             for _ in range(3):
                 await site.call(b"POST", b"/_lameduck/on")
                 await site.call(b"POST", b"/_lameduck/off")
-            await asyncio.sleep((SETTLES + 300) / 1000)
+            await asyncio.sleep((DRAIN_SETTLE_MS + 300) / 1000)
             assert code(await site.ask(look(), client)) == 200
 
     run(work())
@@ -280,7 +281,7 @@
             site.endpoint.close()
             site.endpoint = OperatorEndpoint(second, ("127.0.0.1", 0))
             site.endpoint.open()
-            starting = asyncio.create_task(second.start(hear_first=0.2))  # the directory stays silent
+            starting = asyncio.create_task(second.start(directory_wait_s=0.2))  # the directory stays silent
             while not second.standing.listed:
                 await asyncio.sleep(0)
             assert (await site.call(b"GET", b"/_ready"))[0] == 503 and not starting.done()
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.fleet import counts as counting
 from lupinreach.fleet import grants, wire
 from lupinreach.fleet import uptimes as uptimes_module
@@ -202,7 +202,7 @@
 
 
 def table(me=0, zone=0):
-    return Observations(me, zone, 500.0, lambda draws=stream(me, "evidence"): float(draws.random()))
+    return Observations(me, zone, 500.0, lambda draws=random_stream(me, "evidence"): float(draws.random()))
 
 
 rows = st.lists(
@@ -328,10 +328,10 @@
             async with Site(target("s1", one.address), target("s2", two.address)) as site:
                 pool, places = site.agent.pool, [site.agent.directory.place(n) for n in (0, 1)]
                 for place in places:
-                    pool.give_back(await pool.take(place), place)
-                assert pool.open == 2 and pool.leave({0}, 1e6) == 0  # not while it may be used again
-                assert pool.leave({0}, 0.0) == 1 and pool.open == 1
-                assert pool.leave({0}, 0.0) == 0
+                    pool.release(await pool.acquire(place), place)
+                assert pool.open == 2 and pool.close_unused({0}, 1e6) == 0  # not while it may be used again
+                assert pool.close_unused({0}, 0.0) == 1 and pool.open == 1
+                assert pool.close_unused({0}, 0.0) == 0
 
     on_loop(work())
 
@@ -340,7 +340,7 @@
 
 
 def counts(me=0, customers=3, window=1000.0):
-    return Counts(me, customers, window, lambda draws=stream(me, "counts"): float(draws.random()))
+    return Counts(me, customers, window, lambda draws=random_stream(me, "counts"): float(draws.random()))
 
 
 class Sums(Counts):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from test_disk import Stops
+from test_disk import PowerLossDisk
 
-from lupinreach.bed.ways.disk import CARRIED, MemoryDisk
-from lupinreach.bed.world.chance import stream
+from lupinreach.bed.ways.disk import STATE_FILE, MemoryDisk
+from lupinreach.bed.world.random_streams import random_stream
 from lupinreach.store import records, trust
 from lupinreach.store.records import HEADER, encode_file, encode_record
 from lupinreach.store.store import Store
@@ -73,9 +73,9 @@
 
 
 def test_file_from_before_the_store_is_read_and_rewritten():
-    disk = MemoryDisk(stream(1, "disk"))
+    disk = MemoryDisk(random_stream(1, "disk"))
     disk.put(b'{"form":1,"at":5}')
-    store = Store(CARRIED, "a", disk)
+    store = Store(STATE_FILE, "a", disk)
     assert store.open().state == {"learnt": {"form": 1, "at": 5}}
     store.put("life", 1)
     assert asyncio.run(store.flush())
@@ -109,8 +109,8 @@
 def test_power_loss_at_any_step_keeps_flushed_values_and_adds_nothing():
     outcomes = 0
     for steps in range(30):
-        disk, safe, put = Stops(stream(1, "disk"), steps), {}, [{}]
-        store = Store(CARRIED, "a", disk)
+        disk, safe, put = PowerLossDisk(random_stream(1, "disk"), steps), {}, [{}]
+        store = Store(STATE_FILE, "a", disk)
         state = {}
         for life in range(1, 4):
             for key, value in (("life", life), ("drain/x", life * 10 if life % 2 else None)):
@@ -119,7 +119,7 @@
             put.append(state)
             if asyncio.run(store.flush()):
                 safe = state
-        for text in disk.outcomes(CARRIED):
+        for text in disk.outcomes(STATE_FILE):
             found = records.decode_file(text, "a").state if text is not None else {}
             assert found.get("life", 0) >= safe.get("life", 0)
             # A record is complete or absent: after a power loss during a flush any prefix of its records may
@@ -136,19 +136,19 @@
         def append(self, path, text, sync):
             super().append(path, text, False)
 
-    disk = Unsynced(stream(1, "disk"))
-    store = Store(CARRIED, "a", disk)
+    disk = Unsynced(random_stream(1, "disk"))
+    store = Store(STATE_FILE, "a", disk)
     for life in (1, 2):
         store.put("life", life)
         assert asyncio.run(store.flush())
     assert {
-        records.decode_file(t, "a").state.get("life") for t in disk.outcomes(CARRIED) if t is not None
+        records.decode_file(t, "a").state.get("life") for t in disk.outcomes(STATE_FILE) if t is not None
     } == {1, 2}
 
 
 def test_two_processes_on_one_disk_lower_neither_incarnation_nor_floor():
-    disk = MemoryDisk(stream(1, "disk"))
-    one, two = Store(CARRIED, "a", disk), Store(CARRIED, "a", disk)
+    disk = MemoryDisk(random_stream(1, "disk"))
+    one, two = Store(STATE_FILE, "a", disk), Store(STATE_FILE, "a", disk)
     one.open(), two.open()
     for store, life in ((one, 4), (two, 6)):
         store.put("life", life)
@@ -156,28 +156,28 @@
     one._appends = False  # its next write is of the whole file
     one.put("floor", 50)
     assert asyncio.run(one.flush())
-    assert Store(CARRIED, "a", disk).open().state == {"life": 6, "floor": 50}
+    assert Store(STATE_FILE, "a", disk).open().state == {"life": 6, "floor": 50}
 
 
 def test_failing_disk_is_reported_once_and_values_are_written_when_it_recovers():
     reported = []
-    disk = MemoryDisk(stream(1, "disk"))
-    store = Store(CARRIED, "a", disk, reported.append)
+    disk = MemoryDisk(random_stream(1, "disk"))
+    store = Store(STATE_FILE, "a", disk, reported.append)
     store.put("life", 1)
     assert asyncio.run(store.flush()) and store.writable
-    disk.stuck = True
+    disk.writes_fail = True
     for floor in (1, 2, 3):
         store.put("floor", floor)
         assert not asyncio.run(store.flush()) and not store.writable
     assert reported == ["can't be written"]
-    disk.stuck = False
+    disk.writes_fail = False
     assert asyncio.run(store.flush()) and store.writable
-    assert Store(CARRIED, "a", disk).open().state == {"life": 1, "floor": 3}
+    assert Store(STATE_FILE, "a", disk).open().state == {"life": 1, "floor": 3}
 
 
 def test_file_and_state_stay_bounded():
-    disk = MemoryDisk(stream(1, "disk"))
-    store = Store(CARRIED, "a", disk)
+    disk = MemoryDisk(random_stream(1, "disk"))
+    store = Store(STATE_FILE, "a", disk)
     for n in range(400):
         store.put("learnt", [n] * 2000)
         assert asyncio.run(store.flush())
