--- a/benchmarks/shared_bounds.py
+++ b/benchmarks/shared_bounds.py
@@ -78,15 +78,15 @@
 
 def run_case(
     case: str, seed: int, agents: int = 12, seconds: float = 20.0
-) -> tuple[play.Played, dict[str, float]]:
+) -> tuple[play.TrialRun, dict[str, float]]:
     """Runs one case; returns the run and the highest ratio of each observation to its bound."""
 
     def wanted_trials(part: Sharing) -> float:  # unequal demand, so that agents lend to each other
         return 1e3 if part.observations.me % 3 == 0 else 0.0
 
-    with bounds.watched(agents, wanted_trials) as watch:
+    with bounds.watch_bounds(agents, wanted_trials) as monitor:
         trial = spec.read(world(case, agents, seconds))
-        return play.judge(trial, seed, virtual.play(trial.world, seed)), dict(watch.most)
+        return play.judge(trial, seed, virtual.play(trial.world, seed)), dict(monitor.maxima)
 
 
 def run_job(job: tuple[str, int, int, float]) -> dict[str, Any]:
@@ -114,7 +114,7 @@
                         "agents": agents,
                         "seeds": seeds,
                         "broken": sum(not r["kept"] for r in runs),
-                        **{k: round(max(r[k] for r in runs), 4) for k in bounds.JUDGED},
+                        **{k: round(max(r[k] for r in runs), 4) for k in bounds.CHECKED_BOUNDS},
                         "leases": round(sum(r["lent"] for r in runs) / sum(r["looks"] for r in runs), 2),
                     }
                 ),
--- a/tests/test_mistakes.py
+++ b/tests/test_mistakes.py
@@ -7,7 +7,7 @@
 from lupinreach.bed.ways.faults import FAULTS
 from lupinreach.net.clock import Clock
 from lupinreach.trial import play, spec
-from lupinreach.trial.rig.stage import fits
+from lupinreach.trial.rig.stage import unsupported_reason
 
 POWER = {"kind": "power", "at": 2, "agents": 1, "backends": 0.8, "registry": 0.5}
 DRAIN = {"kind": "drain", "at": 2, "seconds": 6, "targets": [0, 1]}
@@ -60,11 +60,11 @@
 
 
 def test_worlds_that_need_virtual_time_are_rejected_with_the_key():
-    assert fits(spec.read(RIG | {"fault": "answers-twice"}).world).startswith("fault: ")
+    assert unsupported_reason(spec.read(RIG | {"fault": "answers-twice"}).world).startswith("fault: ")
     hanging_disks = {"troubles": [{"kind": "disk-hangs"}]}
-    assert fits(spec.read(RIG | hanging_disks).world).startswith("troubles[0].kind: ")
-    assert fits(spec.read(RIG | {"policy": "true-state"}).world).startswith("policy: ")
-    assert fits(spec.read(RIG | {"fault": "sends-to-draining"}).world) == ""
+    assert unsupported_reason(spec.read(RIG | hanging_disks).world).startswith("troubles[0].kind: ")
+    assert unsupported_reason(spec.read(RIG | {"policy": "true-state"}).world).startswith("policy: ")
+    assert unsupported_reason(spec.read(RIG | {"fault": "sends-to-draining"}).world) == ""
 
 
 def test_the_true_state_policy_outdoes_least_request_and_overloads_no_cold_backend():
