--- a/benchmarks/recovery_ablation.py
+++ b/benchmarks/recovery_ablation.py
@@ -76,7 +76,7 @@
     name, mechanism, agents, seed = job
     disable, troubles = MECHANISMS[mechanism]
     disable()  # not undone: each process runs one job
-    raw = dict(beds.load(spec.TRIALS / f"{name}.toml", spec.FOLDERS))
+    raw = dict(beds.load(spec.TRIALS_DIR / f"{name}.toml", spec.SEARCH_DIRS))
     raw |= {
         "agents": raw["agents"] | COOPERATION | {"count": agents},
         "limits": raw.get("limits", {}) | {"peers": True},
--- a/benchmarks/sharing_value.py
+++ b/benchmarks/sharing_value.py
@@ -38,7 +38,7 @@
 
 def world(scenario: str, agents: int, mode: str, share_interval_ms: float) -> dict[str, Any]:
     """The trial of a scenario and mode, in the format of a trial file."""
-    raw = dict(beds.load(spec.TRIALS / "fleet.toml", spec.FOLDERS))
+    raw = dict(beds.load(spec.TRIALS_DIR / "fleet.toml", spec.SEARCH_DIRS))
     cooperating, sharing = mode in ("touch", "shared"), mode == "shared"
     raw |= {
         "name": scenario,
