--- a/lupinreach/trial/commands.py
+++ b/lupinreach/trial/commands.py
@@ -76,7 +76,7 @@
 @trial.command("list")
 def list_trials() -> None:
     """List the packaged trials."""
-    for path in sorted(spec.TRIALS.glob("*.toml")):
+    for path in sorted(spec.TRIALS_DIR.glob("*.toml")):
         print(f"{path.stem:24} {path.read_text(encoding='utf-8').splitlines()[0].lstrip('# ')}")
 
 
