--- a/lupinreach/store/store.py
+++ b/lupinreach/store/store.py
@@ -38,7 +38,7 @@
         self._disk = disk or Disk()
         self._on_failure = on_failure
         self.writable = True
-        self.state: State = {}  # bounded by `records.MOST_KEYS`
+        self.state: State = {}  # bounded by `records.MAX_KEYS`
         self.written = 0  # bytes since the start
         self._dirty: dict[str, None] = {}  # keys put since the last write began
         self._appends = False  # this process has written the whole file and may append to it
