--- a/lupinreach/net/call.py
+++ b/lupinreach/net/call.py
@@ -14,7 +14,7 @@
 from lupinreach.net import http, protocol
 from lupinreach.net.connection_end import ATTEMPT_ENDS, ConnectionEnd
 from lupinreach.net.counters import Counters
-from lupinreach.net.exchange import Shot, read_load
+from lupinreach.net.exchange import Exchange, read_load
 from lupinreach.net.ids import IdPersistence
 from lupinreach.net.reply import Reply
 from lupinreach.net.serving import Serving
@@ -95,7 +95,7 @@
 class InFlight:
     """An attempt that was sent to a backend."""
 
-    exchange: Shot
+    exchange: Exchange
     task: asyncio.Task[None]
     sent: float  # ms
 
@@ -266,7 +266,7 @@
         sent = serving.clock.now()
         message = upload.tail if upload else compose(request, (until - sent) / 1000, len(request.body))
         place = serving.directory.place(backend)
-        exchange = Shot(
+        exchange = Exchange(
             serving.pool,
             place,
             message,
--- a/lupinreach/net/exchange.py
+++ b/lupinreach/net/exchange.py
@@ -23,7 +23,7 @@
 STREAM_BUFFER_BYTES = 64 << 10  # buffer of a streamed answer
 
 
-class Shot:
+class Exchange:
     """An exchange in progress. `run` is executed as a task; cancelling it closes the connection."""
 
     def __init__(
--- a/lupinreach/net/probes.py
+++ b/lupinreach/net/probes.py
@@ -4,7 +4,7 @@
 
 from lupinreach.net import http, protocol
 from lupinreach.net.connection_end import ATTEMPT_ENDS, ConnectionEnd
-from lupinreach.net.exchange import Shot, read_load
+from lupinreach.net.exchange import Exchange, read_load
 from lupinreach.net.serving import Serving
 
 
@@ -16,7 +16,7 @@
     message = http.request(b"GET", path, (), b"%s:%d" % (place.address[0].encode(), place.address[1]))
     sent = clock.now()
     until = sent + min(p.slo or p.timeout for p in settings.products)
-    exchange = Shot(serving.pool, place, message, clock.on_loop(until))
+    exchange = Exchange(serving.pool, place, message, clock.on_loop(until))
     await exchange.run()
     serving.counters.others[f"probe {exchange.end.value}"] += 1
     load = None
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -369,7 +369,9 @@
 
     async def settled(self) -> None:
         """Wait until no call and no attempt is running."""
-        while any(t.get_coro().__qualname__ in ("ApiCall.run", "Shot.run") for t in self.agent.tasks.running):
+        while any(
+            t.get_coro().__qualname__ in ("ApiCall.run", "Exchange.run") for t in self.agent.tasks.running
+        ):
             await asyncio.sleep(0)
 
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -17,7 +17,7 @@
 from lupinreach.model import NEVER_RAN, AttemptEnd, Load
 from lupinreach.net import listener, protocol
 from lupinreach.net.connection_end import ATTEMPT_ENDS, ConnectionEnd
-from lupinreach.net.exchange import Shot, read_load
+from lupinreach.net.exchange import Exchange, read_load
 from lupinreach.net.pool import Place, Pool
 
 READY = b"GET /health/ready HTTP/1.1\r\n\r\n"
@@ -578,7 +578,7 @@
             agent.pool = pool = Pool(1, 200.0, 60_000.0, agent.counters)
             places = [enabled_place(pool, p.address, n) for n, p in enumerate((one, two))]
             soon = asyncio.get_running_loop().time() + 5
-            attempts = [Shot(pool, places[n], look(), soon) for n in (0, 1, 0)]
+            attempts = [Exchange(pool, places[n], look(), soon) for n in (0, 1, 0)]
             await attempts[0].run()
             assert attempts[0].end is ConnectionEnd.SERVED and pool.open == 1
             held = agent.tasks.spawn("shot", attempts[1].run())
@@ -601,7 +601,7 @@
         async with Peer(says(OK)) as backend, Site() as site:
             pool = Pool(9, 200.0, 40.0, site.agent.counters)
             site.agent.tasks.spawn("idle backends", pool.sweep(lambda: None, 0.0))
-            await Shot(
+            await Exchange(
                 pool, enabled_place(pool, backend.address), look(), asyncio.get_running_loop().time() + 5
             ).run()
             await asyncio.wait_for(backend.gone.wait(), 1)
@@ -615,20 +615,20 @@
         async with Peer(no_answer) as backend, Site() as site:
             loop, pool = asyncio.get_running_loop(), site.agent.pool
             address = enabled_place(pool, backend.address)
-            refused = Shot(pool, enabled_place(pool, "127.0.0.1:9"), look(), loop.time() + 5)
+            refused = Exchange(pool, enabled_place(pool, "127.0.0.1:9"), look(), loop.time() + 5)
             await refused.run()
-            late = Shot(pool, address, look(), loop.time() - 1)
+            late = Exchange(pool, address, look(), loop.time() - 1)
             await late.run()
-            unwritten = Shot(pool, address, b"x" * 50_000_000, loop.time() + 0.1)
+            unwritten = Exchange(pool, address, b"x" * 50_000_000, loop.time() + 0.1)
             await unwritten.run()
-            written = Shot(pool, address, look(), loop.time() + 0.1)
+            written = Exchange(pool, address, look(), loop.time() + 0.1)
             await written.run()
             idle = await pool.acquire(address)
             pool.release(idle, address)
-            overdue = Shot(pool, address, look(), loop.time())
+            overdue = Exchange(pool, address, look(), loop.time())
             await overdue.run()
             assert overdue.end is ConnectionEnd.SEND_TIMED_OUT and len(backend.requests) == 1
-            unbegun = Shot(pool, address, look(), loop.time() + 5)
+            unbegun = Exchange(pool, address, look(), loop.time() + 5)
             task = loop.create_task(unbegun.run())
             task.cancel()
             await asyncio.wait([task])
