--- a/lupinreach/net/agent.py
+++ b/lupinreach/net/agent.py
@@ -65,7 +65,7 @@
         self.log = log or Log(config.name, self.clock)
         self.counters = Counters()
         self.tasks = Tasks(self.clock, self.log, self.counters)
-        self.standing = Readiness()
+        self.readiness = Readiness()
         self._sockets = sockets or Sockets()
         available = _descriptor_limit(config.sockets) - RESERVED_DESCRIPTORS - reserved
         # An API call needs a client and a backend connection. With fewer backend connections than client
@@ -102,7 +102,7 @@
             self.clock,
             self.counters,
             self.tasks,
-            self.standing,
+            self.readiness,
             self.pool,
             self.directory,
             self.balancer,
@@ -138,7 +138,7 @@
                 async with asyncio.timeout(directory_wait_s):
                     await self.directory.list_received.wait()
         self.listener.open()
-        self.standing.accepting = True
+        self.readiness.accepting = True
         self.tasks.spawn("sweep", self.listener.sweep())
         unused = UNUSED_IDLE_SLOS * max(p.slo for p in self.config.settings.products)
         self.tasks.spawn("idle backends", self.pool.sweep(self.balancer.used_backends, unused))
@@ -156,8 +156,8 @@
 
         Unless another process has taken over (`succeeded`), connections are accepted for a short time more.
         """
-        self.standing.succeeded = succeeded
-        self.standing.stopping = True
+        self.readiness.succeeded = succeeded
+        self.readiness.stopping = True
         self.log.event("stopping", clients=len(self.listener.clients), succeeded=succeeded)
         if succeeded:
             # The other process accepts what waits in the shared queue. Busy connections close with their
@@ -206,9 +206,9 @@
 
     def drain(self, on: bool) -> None:
         """Start or end the drain of clients. Idempotent."""
-        if on is not (self.standing.drained_at is not None):
+        if on is not (self.readiness.drained_at is not None):
             self.log.event("drain on" if on else "drain off")
-        self.standing.drain(self.clock.now()) if on else self.standing.resume()
+        self.readiness.drain(self.clock.now()) if on else self.readiness.resume()
 
     def report(self, event: str = "counters") -> None:
         """Log all counters."""
@@ -252,7 +252,7 @@
             self.balancer.update_backends(self.clock.now(), update_kind, entries)
         except Exception as fault:
             self.tasks.fault("listed", fault)
-        self.standing.listed = self.standing.listed or bool(entries)
+        self.readiness.listed = self.readiness.listed or bool(entries)
 
     def _probe(self, backend: int) -> None:
         self.tasks.spawn("probe", probe(self.serving, backend))
--- a/lupinreach/net/listener.py
+++ b/lupinreach/net/listener.py
@@ -63,7 +63,7 @@
         try:
             while self._keep_alive:
                 await self._serve_request()
-            end = ConnectionEnd.STOPPED if self._serving.standing.stopping else ConnectionEnd.CLOSED_BY_PEER
+            end = ConnectionEnd.STOPPED if self._serving.readiness.stopping else ConnectionEnd.CLOSED_BY_PEER
         except ConnectionEnded as ended:
             end = ended.end
             if end in REFUSAL_STATUSES:
@@ -115,7 +115,7 @@
         arrived = self._serving.clock.now() - channel.ms_since_receive  # time of its last byte
         if request.target == protocol.READY_PATH:
             self._release(upload)
-            self.send_answer(200 if self._serving.standing.ready else 503)
+            self.send_answer(200 if self._serving.readiness.ready else 503)
             await self._wait_until_written()
         else:
             self._serving.counters.open += 1
@@ -158,7 +158,7 @@
 
     def _decide_keep_alive(self) -> bool:
         """Decide if the connection stays open after the answer, which announces it."""
-        if self._serving.standing.closes_after_answer or self._listener.is_crowded:
+        if self._serving.readiness.closes_after_answer or self._listener.is_crowded:
             self._keep_alive = False
         return self._keep_alive
 
@@ -393,7 +393,7 @@
         """The connection waits for a request and may be closed for another one."""
         client.since = self._serving.clock.now()
         (self.fresh if client.fresh else self.idle)[client] = None
-        if self._serving.standing.stopping:
+        if self._serving.readiness.stopping:
             self.changed.set()  # its last answer had already announced keep-alive
         self._resume()
 
@@ -416,7 +416,7 @@
                     break
                 if not client.channel.has_unread_input:
                     self.close_client(client, ConnectionEnd.TIMED_OUT)
-            if self._serving.standing.closes_idle(now):
+            if self._serving.readiness.closes_idle(now):
                 self.close_idle()
             for client in list(self.idle):
                 if (
--- a/lupinreach/net/serving.py
+++ b/lupinreach/net/serving.py
@@ -25,7 +25,7 @@
     clock: Clock
     counters: Counters
     tasks: Tasks
-    standing: Readiness
+    readiness: Readiness
     pool: Pool
     directory: Directory
     balancer: Balancer
--- a/lupinreach/ops/fleet_agent.py
+++ b/lupinreach/ops/fleet_agent.py
@@ -136,7 +136,7 @@
             self.metrics,
         )
         agent.directory.is_stale_version = self.is_older_list
-        agent.standing.returning = not self.startup.ready
+        agent.readiness.returning = not self.startup.ready
 
     def _draw(self) -> float:
         """The next pseudo-random number from 0 to 1."""
@@ -222,7 +222,7 @@
             self._agent.balancer.update_backends(
                 self._agent.clock.now(), UpdateKind.CACHED, self._with_withheld(self._listed.values())
             )
-            self._agent.standing.listed = self._agent.standing.listed or bool(self._listed)
+            self._agent.readiness.listed = self._agent.readiness.listed or bool(self._listed)
             return
         changed = [
             replace(self._listed[i], state=ListState.DRAINING if i in held else ListState.READY)
@@ -481,7 +481,7 @@
             self._agent.log.event(
                 "returned", stage=stage.name.lower(), took_ms=round(took), to=Stage(stage + 1).name.lower()
             )
-        self._agent.standing.returning = not self.startup.ready
+        self._agent.readiness.returning = not self.startup.ready
 
 
 def _drain(e: Listing) -> Drain:
--- a/lupinreach/ops/operator_endpoint.py
+++ b/lupinreach/ops/operator_endpoint.py
@@ -159,11 +159,11 @@
         return handler()
 
     def _ready(self) -> Response:
-        standing = self._agent.standing
+        readiness = self._agent.readiness
         return (
             Response(200, "yes")
-            if standing.serves_new_clients
-            else Response(503, f"no: {standing.state.value}")
+            if readiness.serves_new_clients
+            else Response(503, f"no: {readiness.state.value}")
         )
 
     def _vars(self) -> Response:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -353,7 +353,7 @@
         return self
 
     async def __aexit__(self, *_):
-        if not self.agent.standing.stopping:
+        if not self.agent.readiness.stopping:
             self.agent.listener.close()
             await self.agent.tasks.stop()
         os.close(self.sink)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -62,9 +62,9 @@
         "stop": lambda s: setattr(s, "stopping", True),
     }
     for order in itertools.product(events, repeat=4):
-        standing, listed, drained, stopping = Readiness(), False, None, False
+        readiness, listed, drained, stopping = Readiness(), False, None, False
         for name in order:
-            events[name](standing)
+            events[name](readiness)
             listed, stopping = listed or name == "listed", stopping or name == "stop"
             if name in ("on", "again"):
                 drained = drained or (1000.0 if name == "on" else 5000.0)
@@ -79,15 +79,15 @@
                 if listed
                 else State.UNLISTED
             )
-            assert standing.state is expected
-            assert standing.ready == (expected is State.SERVING)
-            assert standing.closes_after_answer == (stopping or drained is not None)
-            assert not standing.serves_new_clients
-            standing.accepting = True
-            assert standing.serves_new_clients == (listed and not stopping)
-            standing.accepting = False
+            assert readiness.state is expected
+            assert readiness.ready == (expected is State.SERVING)
+            assert readiness.closes_after_answer == (stopping or drained is not None)
+            assert not readiness.serves_new_clients
+            readiness.accepting = True
+            assert readiness.serves_new_clients == (listed and not stopping)
+            readiness.accepting = False
             for late in (-1.0, 0.0):
-                assert standing.closes_idle((drained or 0.0) + DRAIN_SETTLE_MS + late) == (
+                assert readiness.closes_idle((drained or 0.0) + DRAIN_SETTLE_MS + late) == (
                     expected is State.DRAINED and late == 0.0
                 )
 
@@ -122,7 +122,7 @@
         async with Operated(target("s-1", "127.0.0.1:9")) as site:
             status, head, text = await site.call(method, path, more, body)
             assert status == expected and contained in head + text and b"Connection: close" in head
-            assert (site.agent.standing.drained_at is not None) == (
+            assert (site.agent.readiness.drained_at is not None) == (
                 path == b"/_lameduck/on" and expected == 200
             )
 
@@ -282,7 +282,7 @@
             site.endpoint = OperatorEndpoint(second, ("127.0.0.1", 0))
             site.endpoint.open()
             starting = asyncio.create_task(second.start(directory_wait_s=0.2))  # the directory stays silent
-            while not second.standing.listed:
+            while not second.readiness.listed:
                 await asyncio.sleep(0)
             assert (await site.call(b"GET", b"/_ready"))[0] == 503 and not starting.done()
             await starting
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -193,7 +193,7 @@
         clock=SimpleNamespace(now=lambda: 5_000.0),
         counters=SimpleNamespace(others=Counter(), answered=Counter()),
         directory=SimpleNamespace(is_stale_version=None, version=60, age=None),
-        standing=SimpleNamespace(returning=False, listed=False),
+        readiness=SimpleNamespace(returning=False, listed=False),
         listed=[],
         sent=[],
         tasks=SimpleNamespace(spawn=spawned),
@@ -345,7 +345,7 @@
     assert [(news, [e.backend for e in entries]) for news, entries in agent.listed] == [
         (UpdateKind.CACHED, [0, 1])
     ]
-    assert agent.standing.listed
+    assert agent.readiness.listed
 
 
 @pytest.mark.parametrize(
