--- a/lupinreach/__main__.py
+++ b/lupinreach/__main__.py
@@ -16,7 +16,7 @@
 from lupinreach.net.agent import Agent, BalancerFactory
 from lupinreach.net.clock import Clock
 
-DOOR_DESCRIPTORS = 18  # of the operators' port, if it is configured
+OPERATOR_ENDPOINT_DESCRIPTORS = 18  # reserved for the operator endpoint, if configured
 DIRECTORY_WAIT_S = 1.5  # how long a new process waits for the directory while the old one serves
 GC_THRESHOLD = 2000  # new objects until a collection; some hundred API calls in progress
 
@@ -35,12 +35,12 @@
         )
     )
     logging.getLogger().addHandler(agent.log)
-    door = None
+    operator_endpoint = None
     if agent.config.mgmt is not None:
         from lupinreach.ops.operator_endpoint import OperatorEndpoint  # not loaded unless configured
 
-        door = OperatorEndpoint(agent, agent.config.mgmt)
-        door.open()  # before the agent starts: until then `/_ready` answers no
+        operator_endpoint = OperatorEndpoint(agent, agent.config.mgmt)
+        operator_endpoint.open()  # before the agent starts: until then `/_ready` answers no
     succession = None
     if agent.config.inherited is not None:
         from lupinreach.ops.succession import Succession  # not loaded unless needed
@@ -63,8 +63,8 @@
     if carry is not None and not succeeded:
         await carry.save()  # with a successor the file belongs to that process
     await agent.stop(succeeded)
-    if door is not None:
-        door.close()
+    if operator_endpoint is not None:
+        operator_endpoint.close()
 
 
 async def main(make_balancer: BalancerFactory, clock: Clock | None) -> int:
@@ -76,7 +76,7 @@
             config,
             clock=clock,
             make_balancer=make_balancer,
-            reserved=DOOR_DESCRIPTORS if config.mgmt is not None else 0,
+            reserved=OPERATOR_ENDPOINT_DESCRIPTORS if config.mgmt is not None else 0,
         )
     except BadConfig as bad:
         print(f"lupinreach: {bad}", file=sys.stderr)
--- a/lupinreach/bed/commands/cli.py
+++ b/lupinreach/bed/commands/cli.py
@@ -96,21 +96,21 @@
     """Query the agents at DOORS (host:port for operators); exit 1 if two disagree or one doesn't answer."""
     from lupinreach.fleet import show
 
-    for door in doors:
-        if not door.rpartition(":")[2].isdecimal():
-            exit_with_usage_error(f"{door}: a door is host:port")
+    for endpoint in doors:
+        if not endpoint.rpartition(":")[2].isdecimal():
+            exit_with_usage_error(f"{endpoint}: a door is host:port")
     with ThreadPoolExecutor(min(32, len(doors))) as pool:
         responses = dict(zip(doors, pool.map(show.fetch, doors), strict=True))
-    states = {door: found for door, found in responses.items() if isinstance(found, dict)}
-    unreachable = {door: reason for door, reason in responses.items() if isinstance(reason, str)}
+    states = {endpoint: found for endpoint, found in responses.items() if isinstance(found, dict)}
+    unreachable = {endpoint: reason for endpoint, reason in responses.items() if isinstance(reason, str)}
     table = Table(box=None)
     for column in show.COLUMNS:
         table.add_column(column)
-    for door, found in states.items():
-        table.add_row(door, *show.row(found))
+    for endpoint, found in states.items():
+        table.add_row(endpoint, *show.row(found))
     stderr_console.print(table)
-    for door, reason in unreachable.items():
-        stderr_console.print(f"{door}: {reason}")
+    for endpoint, reason in unreachable.items():
+        stderr_console.print(f"{endpoint}: {reason}")
     conflicts = show.disagreements(states) if states else []
     for line in conflicts:
         stderr_console.print(line)
