--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -39,7 +39,7 @@
 }
 TROUBLES = {
     "power": {"faults": [{"kind": "power", "at": 2, "agents": 0.6, "backends": 1.0, "registry": 1.4}]},
-    "deaf and apart": {
+    "deaf-and-apart": {
         "troubles": [
             {"kind": "deaf-agents", "at": 2, "seconds": 2.5, "targets": [1]},
             {"kind": "drain", "at": 2.2, "seconds": 2, "targets": [0]},
@@ -47,7 +47,7 @@
             {"kind": "narrow", "at": 2, "seconds": 2, "targets": [2], "strength": 5.0},
         ]
     },
-    "reset and twin": {
+    "reset-and-twin": {
         "agents": {"count": 3, "carry_s": 60},
         "troubles": [
             {"kind": "cut-reset", "at": 2, "seconds": 2, "targets": ["b"]},
